--- a/bench/src/main/java/org/sardinelift/bench/model/LoadModel.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/LoadModel.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.stream.IntStream;
-import org.sardinelift.core.load.LoadBoard;
-import org.sardinelift.core.load.ReturnTimes;
+import org.sardinelift.core.load.LoadTracker;
+import org.sardinelift.core.load.RetryAfterSchedule;
+import org.sardinelift.core.load.TargetCalls;
 import org.sardinelift.core.load.TargetLoad;
-import org.sardinelift.core.load.Use;
 
 /**
  * Gateways and workers that share targets without a common queue, callers that honour Retry-After
@@ -151,26 +151,30 @@
         return targets.stream().filter(it -> it.id().equals(id)).findFirst().orElseThrow();
     }
 
-    List<TargetLoad> loads(LoadBoard board) {
+    List<TargetLoad> loads(LoadTracker board) {
         return targets.stream()
-                .map(target -> load(target, board.use(target.id(), clock.now())))
+                .map(target -> load(target, board.knownCalls(target.id(), clock.now())))
                 .toList();
     }
 
     private List<TargetLoad> exactLoads() {
         return targets.stream()
-                .map(target -> load(target, new Use(target.calls(false), target.calls(true))))
+                .map(
+                        target ->
+                                load(
+                                        target,
+                                        new TargetCalls(target.calls(false), target.calls(true))))
                 .toList();
     }
 
-    private static TargetLoad load(ModelTarget target, Use use) {
+    private static TargetLoad load(ModelTarget target, TargetCalls use) {
         return new TargetLoad(
                 target.id(), target.zone(), target.slots(), use, CALL_NANOS, FIRST_NANOS);
     }
 
     /** Tells the others of a change of an instance's calls, each after the time of a report. */
-    void report(String instance, String zone, LoadBoard own, boolean freed) {
-        Map<String, Use> uses = new HashMap<>(own.ownUses());
+    void report(String instance, String zone, LoadTracker own, boolean freed) {
+        Map<String, TargetCalls> uses = new HashMap<>(own.ownCallsByTarget());
         gateways.stream()
                 .filter(each -> !each.name.equals(instance))
                 .forEach(
@@ -194,9 +198,9 @@
         return freed ? NEAR_REPORT_OF_FREED : NEAR_REPORT;
     }
 
-    static LoadBoard board() {
+    static LoadTracker board() {
         // Reports come with each change here, so that none expires.
-        return LoadBoard.create(Duration.ofHours(1), Duration.ofMillis(400));
+        return LoadTracker.create(Duration.ofHours(1), Duration.ofMillis(400));
     }
 
     /** A call, in its first or second attempt. */
@@ -205,8 +209,8 @@
     private final class Gateway {
         private final String name;
         private final String zone;
-        private final LoadBoard board = board();
-        private final ReturnTimes returns = ReturnTimes.create();
+        private final LoadTracker board = board();
+        private final RetryAfterSchedule returns = RetryAfterSchedule.create();
 
         Gateway(String name, String zone) {
             this.name = name;
@@ -219,8 +223,8 @@
                 returns.onNewCall(clock.now());
             }
             Duration within = call.returned() ? OBJECTIVE : OBJECTIVE.minus(KEPT_FOR_RETURNERS);
-            LoadBoard alone = board();
-            board.ownUses().forEach(alone::onOwn);
+            LoadTracker alone = board();
+            board.ownCallsByTarget().forEach(alone::onOwnCallsChanged);
             Optional<TargetLoad> chosen =
                     policy.choose(
                             new ModelPolicy.Situation(
@@ -247,7 +251,7 @@
             double slots = settings.targets() * settings.slots();
             double perSecond = slots / CALL_NANOS * SECOND / settings.gateways();
             Duration back =
-                    returns.next(
+                    returns.nextRetryAfter(
                             Duration.ZERO,
                             perSecond,
                             left.dividedBy(RETURN_WITHIN_PART),
@@ -295,7 +299,7 @@
         }
 
         private void use(ModelTarget target, int change) {
-            board.onOwn(target.id(), new Use(change, 0));
+            board.onOwnCallsChanged(target.id(), new TargetCalls(change, 0));
             report(name, zone, board, change < 0);
         }
     }
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelPolicy.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelPolicy.java
@@ -46,7 +46,7 @@
         @Override
         Optional<TargetLoad> choose(Situation situation) {
             return situation.own().stream()
-                    .min(Comparator.comparingInt(target -> target.use().online()));
+                    .min(Comparator.comparingInt(target -> target.calls().online()));
         }
     },
     /** The better of two random targets by the calls of this gateway. */
@@ -56,7 +56,7 @@
             List<TargetLoad> targets = situation.own();
             TargetLoad first = targets.get(situation.random().nextInt(targets.size()));
             TargetLoad second = targets.get(situation.random().nextInt(targets.size()));
-            return Optional.of(second.use().online() < first.use().online() ? second : first);
+            return Optional.of(second.calls().online() < first.calls().online() ? second : first);
         }
     };
 
@@ -103,7 +103,7 @@
         Choice choice =
                 Placement.of(situation.zone(), MARGIN)
                         .choose(loads, situation.within(), situation.random().nextLong());
-        return choice instanceof Choice.Place place
+        return choice instanceof Choice.Placed place
                 ? Optional.of(place.target())
                 : Optional.empty();
     }
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelWorker.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelWorker.java
@@ -14,11 +14,11 @@
 import org.sardinelift.core.joblog.JobItem;
 import org.sardinelift.core.joblog.JobProgress;
 import org.sardinelift.core.joblog.JobSpec;
-import org.sardinelift.core.joblog.YieldShare;
-import org.sardinelift.core.load.BatchSlots;
-import org.sardinelift.core.load.LoadBoard;
+import org.sardinelift.core.joblog.PreemptionShare;
+import org.sardinelift.core.load.BatchSlotSelector;
+import org.sardinelift.core.load.LoadTracker;
+import org.sardinelift.core.load.TargetCalls;
 import org.sardinelift.core.load.TargetLoad;
-import org.sardinelift.core.load.Use;
 
 /** A worker of the model: runs the items of its jobs with the product's decisions. */
 final class ModelWorker {
@@ -29,8 +29,8 @@
     private final String name;
     private final String zone;
     private final LoadModel model;
-    private final LoadBoard board = LoadModel.board();
-    private final BatchSlots slots;
+    private final LoadTracker board = LoadModel.board();
+    private final BatchSlotSelector slots;
     private final ItemSchedule schedule =
             ItemSchedule.of(USUAL_EVENTS, Duration.ofMillis(27), Duration.ofMillis(400));
     private final List<JobProgress> jobs = new ArrayList<>();
@@ -38,14 +38,14 @@
     private final Map<String, List<Running>> running = new HashMap<>();
     private int submitted;
 
-    private record Running(ItemSchedule.Due due, ModelRun run) {}
+    private record Running(ItemSchedule.ScheduledItem due, ModelRun run) {}
 
     ModelWorker(String name, String zone, LoadModel model) {
         this.name = name;
         this.zone = zone;
         this.model = model;
         this.slots =
-                BatchSlots.of(
+                BatchSlotSelector.of(
                         zone, Duration.ofMillis(40), Duration.ofMillis(150), Duration.ofMillis(6));
     }
 
@@ -78,7 +78,7 @@
         jobs.add(JobProgress.of(new JobSpec(id, "team", "route", "host", nowMs(), items)));
     }
 
-    void onReport(String instance, Map<String, Use> uses) {
+    void onReport(String instance, Map<String, TargetCalls> uses) {
         board.onReport(instance, uses, model.clock().now());
         observe();
         yieldSlots();
@@ -94,35 +94,35 @@
         long now = model.clock().now();
         boolean more = true;
         while (more) {
-            Optional<TargetLoad> slot = slots.pick(model.loads(board), now);
-            Optional<ItemSchedule.Due> next =
-                    slot.isEmpty() ? Optional.empty() : schedule.next(items(), now, nowMs());
+            Optional<TargetLoad> slot = slots.select(model.loads(board), now);
+            Optional<ItemSchedule.ScheduledItem> next =
+                    slot.isEmpty() ? Optional.empty() : schedule.selectNext(items(), now, nowMs());
             more = next.isPresent();
             next.ifPresent(due -> startItem(due, model.target(slot.get().id())));
         }
     }
 
-    private Stream<ItemSchedule.Due> items() {
+    private Stream<ItemSchedule.ScheduledItem> items() {
         return jobs.stream()
                 .flatMap(
                         job ->
                                 job.openItems()
                                         .map(
                                                 item ->
-                                                        new ItemSchedule.Due(
+                                                        new ItemSchedule.ScheduledItem(
                                                                 job,
                                                                 item,
                                                                 job.spec().submittedMs()
                                                                         + DUE_MS)));
     }
 
-    private void startItem(ItemSchedule.Due due, ModelTarget target) {
+    private void startItem(ItemSchedule.ScheduledItem due, ModelTarget target) {
         long startedAt = model.clock().now();
-        slots.onStart(target.id(), startedAt);
-        due.item().running(true);
+        slots.onItemStarted(target.id(), startedAt);
+        due.item().setRunning(true);
         use(target, 1);
         ItemProgress item = due.item();
-        int left = Math.max(1, sizes.get(item.item().id()) - item.events());
+        int left = Math.max(1, sizes.get(item.item().id()) - item.eventCount());
         ModelRun[] run = new ModelRun[1];
         run[0] =
                 new ModelRun(
@@ -137,10 +137,12 @@
         target.send(run[0]);
     }
 
-    private void onDone(ItemSchedule.Due due, ModelTarget target, int events, long nanos) {
+    private void onDone(
+            ItemSchedule.ScheduledItem due, ModelTarget target, int events, long nanos) {
         use(target, -1);
-        due.item().running(false);
-        schedule.onDone(sizes.get(due.item().item().id()), events, Duration.ofNanos(nanos));
+        due.item().setRunning(false);
+        schedule.onItemCompleted(
+                sizes.get(due.item().item().id()), events, Duration.ofNanos(nanos));
         due.job().onResult(ItemResult.completed(due.item().item().id(), ""));
         model.result().onItemDone(nowMs() <= due.dueMs());
     }
@@ -148,33 +150,34 @@
     private void yieldSlots() {
         for (Map.Entry<String, List<Running>> each : running.entrySet()) {
             ModelTarget target = model.target(each.getKey());
-            int excess = board.use(target.id(), model.clock().now()).total() - target.slots();
+            int excess =
+                    board.knownCalls(target.id(), model.clock().now()).total() - target.slots();
             int share =
-                    YieldShare.of(
+                    PreemptionShare.itemsToPreempt(
                             name,
                             each.getValue().size(),
-                            board.batchByInstance(target.id()),
+                            board.batchItemsByInstance(target.id()),
                             excess);
             IntStream.range(0, share).forEach(i -> yieldOne(target, each.getValue()));
         }
     }
 
     private void yieldOne(ModelTarget target, List<Running> runs) {
-        ItemSchedule.Due chosen =
-                schedule.firstToYield(runs.stream().map(Running::due).toList(), nowMs())
+        ItemSchedule.ScheduledItem chosen =
+                schedule.selectForPreemption(runs.stream().map(Running::due).toList(), nowMs())
                         .orElseThrow();
         Running cut = runs.stream().filter(run -> run.due() == chosen).findFirst().orElseThrow();
         runs.remove(cut);
         int events = cut.run().events(model.clock().now());
         IntStream.range(0, events).forEach(i -> chosen.item().onEvent(i, ""));
-        chosen.item().running(false);
+        chosen.item().setRunning(false);
         target.drop(cut.run());
         use(target, -1);
         model.result().onCut();
     }
 
     private void use(ModelTarget target, int change) {
-        board.onOwn(target.id(), new Use(0, change));
+        board.onOwnCallsChanged(target.id(), new TargetCalls(0, change));
         model.report(name, zone, board, change < 0);
     }
 
--- a/bench/src/main/java/org/sardinelift/bench/slope/CatalogSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/CatalogSlopes.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
 import org.sardinelift.core.catalog.Catalog;
-import org.sardinelift.core.catalog.CatalogLog;
+import org.sardinelift.core.catalog.CatalogMerger;
 import org.sardinelift.core.catalog.ConfigKind;
 import org.sardinelift.core.catalog.ConfigRef;
 import org.sardinelift.core.catalog.ConfigState;
@@ -39,14 +39,14 @@
                         CatalogSlopes::changeTime));
     }
 
-    private record Held(CatalogLog log, Catalog catalog) {
-        static Held of(CatalogLog log) {
+    private record Held(CatalogMerger log, Catalog catalog) {
+        static Held of(CatalogMerger log) {
             return new Held(log, log.catalog());
         }
     }
 
     private static double changeTime(int teams) {
-        CatalogLog log = filled(teams);
+        CatalogMerger log = filled(teams);
         AtomicLong revision = new AtomicLong(1L << 32);
         return Gauge.nanos(
                 () -> {
@@ -56,8 +56,8 @@
                 });
     }
 
-    private static CatalogLog filled(int teams) {
-        CatalogLog log = CatalogLog.create();
+    private static CatalogMerger filled(int teams) {
+        CatalogMerger log = CatalogMerger.create();
         log.apply(
                 new ConfigState(
                         new ConfigRef(ConfigKind.TEMPLATE, "standard"),
--- a/bench/src/main/java/org/sardinelift/bench/slope/GateSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/GateSlopes.java
@@ -54,7 +54,7 @@
                 () -> {
                     long next = number.incrementAndGet();
                     note(gate.release(next, running.remove()), running);
-                    note(gate.offer(next, call(next, teams)), running);
+                    note(gate.submit(next, call(next, teams)), running);
                 });
     }
 
@@ -81,7 +81,7 @@
                         base.reportTtlMs());
         SlotGate gate = SlotGate.create(settings);
         for (int number = 0; number < queued + SLOTS; number++) {
-            note(gate.offer(0, call(number, teams)), running);
+            note(gate.submit(0, call(number, teams)), running);
         }
         return gate;
     }
--- a/bench/src/main/java/org/sardinelift/bench/slope/IgnoredActions.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/IgnoredActions.java
@@ -17,5 +17,5 @@
     public void lend(String peer, long exchange, String team, double tokens, long ttlMs) {}
 
     @Override
-    public void call(ShareCall call) {}
+    public void callPlatform(ShareCall call) {}
 }
--- a/bench/src/main/java/org/sardinelift/bench/slope/LimitFleet.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/LimitFleet.java
@@ -116,7 +116,8 @@
 
     /** Tells an entry that its peers and the list are there. */
     private void reach(int index) {
-        entries.forEach(peer -> entries.get(index).ledger().onPeer(peer.self().instance(), 0, now));
+        entries.forEach(
+                peer -> entries.get(index).ledger().onPeerReport(peer.self().instance(), 0, now));
     }
 
     private static String name(int index) {
@@ -177,7 +178,7 @@
         }
 
         @Override
-        public void call(ShareCall call) {
+        public void callPlatform(ShareCall call) {
             FleetLimit caller = entries.get(index);
             if (call instanceof ShareCall.Write write) {
                 mail.add(() -> write(caller, write));
--- a/bench/src/test/java/org/sardinelift/bench/slope/CompanionFleetTest.java
+++ b/bench/src/test/java/org/sardinelift/bench/slope/CompanionFleetTest.java
@@ -12,7 +12,7 @@
     void everyCompanionIsUsableAndItsFreeSlotsAreSeen() {
         try (CompanionFleet fleet = CompanionFleet.start(22)) {
             assertEquals(22, fleet.candidates().size());
-            assertTrue(fleet.candidates().stream().allMatch(Candidate::usable));
+            assertTrue(fleet.candidates().stream().allMatch(Candidate::isUsable));
             assertEquals(3, fleet.freeBatchSlots(CompanionFleet.model(0)));
         }
     }
--- a/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
+++ b/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
@@ -31,7 +31,7 @@
 import org.sardinelift.core.explain.DecisionLog;
 import org.sardinelift.core.explain.DecisionRecorder;
 import org.sardinelift.core.gate.GateRefusal;
-import org.sardinelift.core.gate.ReportPace;
+import org.sardinelift.core.gate.ReportPacer;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.http.HttpLimits;
 import org.sardinelift.http.HttpServer;
@@ -76,7 +76,7 @@
     private final LoadReporter reporter;
     private final FrameServer peer;
     private final HttpServer operators;
-    private final CompletableFuture<Void> drainAsked = new CompletableFuture<>();
+    private final CompletableFuture<Void> drainRequested = new CompletableFuture<>();
     private volatile boolean leaving;
     private volatile boolean targetUp = true;
 
@@ -133,13 +133,13 @@
                         settings.operators().port(),
                         HttpLimits.defaults(),
                         null,
-                        OperatorRoutes.of(this::notReady, () -> drainAsked.complete(null)));
+                        OperatorRoutes.of(this::notReady, () -> drainRequested.complete(null)));
         startControl();
     }
 
     private LoadReporter reporter() {
-        ReportPace pace =
-                ReportPace.of(
+        ReportPacer pace =
+                ReportPacer.of(
                         settings.reportInterval(), settings.reportRefresh(), System.nanoTime());
         return new LoadReporter(control, pace, this::load, this::tell);
     }
@@ -201,12 +201,12 @@
      *
      * @return completes once a drain is asked for
      */
-    public CompletableFuture<Void> drainAsked() {
-        return drainAsked;
+    public CompletableFuture<Void> drainRequested() {
+        return drainRequested;
     }
 
     private Optional<String> notReady() {
-        if (leaving || drainAsked.isDone()) {
+        if (leaving || drainRequested.isDone()) {
             return Optional.of("draining");
         }
         return targetUp
--- a/companion/src/main/java/org/sardinelift/companion/call/CallDesk.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallDesk.java
@@ -115,7 +115,7 @@
         ticks.within(active.isEmpty() ? settings.idleTick() : settings.tick());
         long now = now();
         for (Attempt attempt : List.copyOf(active.values())) {
-            gate.progress(attempt.key(), attempt.answer().length());
+            gate.recordProgress(attempt.key(), attempt.answer().length());
             if (attempt.begun() && now >= attempt.deadlineMs()) {
                 fail(attempt, FailureKind.DEADLINE_EXCEEDED, "the call's deadline has passed");
             } else if (attempt.orphanedBefore(now - settings.orphanGrace().toMillis())) {
@@ -146,7 +146,7 @@
      * @param load the report
      */
     public void onLoad(EngineLoad load) {
-        perform(gate.report(now(), load));
+        perform(gate.onLoadReport(now(), load));
     }
 
     /**
@@ -204,7 +204,7 @@
         busy = true;
         ticks.within(settings.tick());
         onLoadChange.run();
-        perform(gate.offer(now, attempt.gateCall(target.resumes())));
+        perform(gate.submit(now, attempt.gateCall(target.resumes())));
     }
 
     private void cancel(Cancel cancel) {
@@ -271,7 +271,7 @@
         if (action instanceof GateAction.Run) {
             run(attempt);
         } else if (action instanceof GateAction.Preempt preempt) {
-            preempt(attempt, preempt.waits());
+            preempt(attempt, preempt.isRequeued());
         } else if (action instanceof GateAction.Refuse refuse) {
             FailureKind failure = failure(refuse.reason());
             decisions.refused(attempt, "no slot: " + failure.name(), gate);
--- a/companion/src/main/java/org/sardinelift/companion/call/CallSettings.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallSettings.java
@@ -68,7 +68,7 @@
     private static GateSettings readGate(SettingsNode node, GateSettings defaults) {
         int most = Integer.MAX_VALUE;
         return new GateSettings(
-                node.flag("enabled", defaults.enabled()),
+                node.flag("enabled", defaults.isEnabled()),
                 defaults.slots(),
                 node.integer("maxOnlineQueue", defaults.maxOnlineQueue(), 0, most),
                 node.integer("maxBatchQueue", defaults.maxBatchQueue(), 0, most),
--- a/companion/src/main/java/org/sardinelift/companion/link/LoadReporter.java
+++ b/companion/src/main/java/org/sardinelift/companion/link/LoadReporter.java
@@ -4,14 +4,14 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
-import org.sardinelift.core.gate.ReportPace;
+import org.sardinelift.core.gate.ReportPacer;
 import org.sardinelift.protocol.generated.LoadReport;
 import org.sardinelift.runtime.Alarm;
 import org.sardinelift.runtime.ControlThread;
 
 /** Tells entries the load when its pace says so. Owned by the control thread. */
 public final class LoadReporter {
-    private final ReportPace pace;
+    private final ReportPacer pace;
     private final Supplier<LoadReport> load;
     private final Consumer<LoadReport> send;
     private final Alarm alarm;
@@ -27,7 +27,7 @@
      */
     public LoadReporter(
             ControlThread control,
-            ReportPace pace,
+            ReportPacer pace,
             Supplier<LoadReport> load,
             Consumer<LoadReport> send) {
         this.pace = pace;
@@ -60,7 +60,7 @@
     public void report() {
         LoadReport next = load.get();
         last = next;
-        pace.onReport(System.nanoTime());
+        pace.onReportSent(System.nanoTime());
         setAlarm();
         send.accept(next);
     }
@@ -70,6 +70,6 @@
     }
 
     private void setAlarm() {
-        alarm.within(Duration.ofNanos(pace.dueInNanos(System.nanoTime())));
+        alarm.within(Duration.ofNanos(pace.nanosUntilDue(System.nanoTime())));
     }
 }
--- a/companion/src/test/java/org/sardinelift/companion/OperatorRoutesTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/OperatorRoutesTest.java
@@ -54,9 +54,9 @@
     @Test
     void aDrainIsAskedForByPostOnly() throws Exception {
         assertEquals(404, send("GET", "/drain").status());
-        assertFalse(rig.companion.drainAsked().isDone());
+        assertFalse(rig.companion.drainRequested().isDone());
         assertEquals(202, send("POST", "/drain").status());
-        rig.companion.drainAsked().get(5, TimeUnit.SECONDS);
+        rig.companion.drainRequested().get(5, TimeUnit.SECONDS);
         assertEquals("{\"ready\":false,\"reason\":\"draining\"}", send("GET", "/readyz").text());
     }
 
--- a/core/src/main/java/org/sardinelift/core/batch/BatchScheduler.java
+++ b/core/src/main/java/org/sardinelift/core/batch/BatchScheduler.java
@@ -18,7 +18,7 @@
 public final class BatchScheduler<T> {
     private final Map<String, Team<T>> teams = new HashMap<>();
     private double served;
-    private int waiting;
+    private int waitingCount;
 
     private BatchScheduler() {}
 
@@ -54,7 +54,7 @@
         Team<T> owner = teams.computeIfAbsent(team, name -> new Team<>(served));
         owner.weight = Math.max(1, weight);
         owner.jobs.computeIfAbsent(job, name -> new Job<>(deadlineMs)).add(lane, group, item);
-        waiting++;
+        waitingCount++;
     }
 
     /**
@@ -63,7 +63,7 @@
      * @param startable whether an item can start now
      * @return the item, or empty where none can start
      */
-    public Optional<T> next(Predicate<T> startable) {
+    public Optional<T> dequeue(Predicate<T> startable) {
         Optional<Team<T>> chosen =
                 teams.values().stream()
                         .filter(team -> team.head(startable).isPresent())
@@ -72,7 +72,7 @@
                 team -> {
                     served = team.served;
                     team.served += 1.0 / team.weight;
-                    waiting--;
+                    waitingCount--;
                     T item = team.take(startable);
                     teams.values().removeIf(other -> other.jobs.isEmpty());
                     return item;
@@ -85,11 +85,11 @@
      * @param team its team
      * @param job the job
      */
-    public void drop(String team, String job) {
+    public void removeJob(String team, String job) {
         Team<T> owner = teams.get(team);
         if (owner != null) {
             Job<T> dropped = owner.jobs.remove(job);
-            waiting -= dropped == null ? 0 : dropped.size();
+            waitingCount -= dropped == null ? 0 : dropped.size();
             if (owner.jobs.isEmpty()) {
                 teams.remove(team);
             }
@@ -114,8 +114,8 @@
      *
      * @return their number
      */
-    public int waiting() {
-        return waiting;
+    public int waitingCount() {
+        return waitingCount;
     }
 
     private static final class Team<T> {
--- a/core/src/main/java/org/sardinelift/core/batch/ChunkResult.java
+++ b/core/src/main/java/org/sardinelift/core/batch/ChunkResult.java
@@ -9,14 +9,14 @@
  * @param failed items that ended with a reason instead
  * @param cancelled items that a cancel ended
  */
-public record ChunkResult(String mark, int parts, int completed, int failed, int cancelled) {
+public record ChunkResult(String writeId, int parts, int completed, int failed, int cancelled) {
 
     /**
      * Items that ended.
      *
      * @return their number
      */
-    public int items() {
+    public int itemCount() {
         return completed + failed + cancelled;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/batch/Lateness.java
+++ b/core/src/main/java/org/sardinelift/core/batch/CompletionEstimate.java
@@ -6,7 +6,7 @@
  * @param sinceMs epoch milliseconds from which items are counted
  * @param ended items ended since then
  */
-public record Lateness(long sinceMs, int ended) {
+public record CompletionEstimate(long startMs, int ended) {
     /** Shortest time over which a pace is taken, milliseconds. */
     private static final long MIN_SAMPLE_MS = 500;
 
@@ -18,7 +18,7 @@
      * @return epoch milliseconds, 0 while the pace is unknown
      */
     public long expectedEndMs(long nowMs, int open) {
-        long elapsed = nowMs - sinceMs;
+        long elapsed = nowMs - startMs;
         if (ended == 0 || elapsed < MIN_SAMPLE_MS) {
             return 0;
         }
@@ -31,7 +31,7 @@
      * @param more their number
      * @return the next estimate
      */
-    public Lateness plus(int more) {
-        return new Lateness(sinceMs, ended + more);
+    public CompletionEstimate plusEnded(int more) {
+        return new CompletionEstimate(startMs, ended + more);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/batch/Rendezvous.java
+++ b/core/src/main/java/org/sardinelift/core/batch/EntryRendezvous.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 
 /** Rendezvous hashing: all that see the same entries choose the same one for a job. */
-public final class Rendezvous {
+public final class EntryRendezvous {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
     private static final long MIX = 0xff51afd7ed558ccdL;
     private static final int SHIFT = 33;
 
-    private Rendezvous() {}
+    private EntryRendezvous() {}
 
     /**
      * Chooses an entry.
@@ -20,7 +20,7 @@
      * @param entries names of live entries
      * @return the first in the job's order, or empty where there is none
      */
-    public static Optional<String> first(String job, Collection<String> entries) {
+    public static Optional<String> choose(String job, Collection<String> entries) {
         return entries.stream()
                 .max(
                         Comparator.comparingLong((String entry) -> score(job, entry))
--- a/core/src/main/java/org/sardinelift/core/batch/Holder.java
+++ b/core/src/main/java/org/sardinelift/core/batch/Holder.java
@@ -15,7 +15,7 @@
      *
      * @return false for {@link #NONE}
      */
-    public boolean present() {
+    public boolean isPresent() {
         return !instance.isEmpty();
     }
 }
--- a/core/src/main/java/org/sardinelift/core/batch/ItemRetry.java
+++ b/core/src/main/java/org/sardinelift/core/batch/ItemRetryPolicy.java
@@ -11,28 +11,28 @@
  * @param maxAttempts attempts that may count against an item
  * @param maxPostponements attempts that the fleet had no place for or gave up for other work
  * @param firstPause pause after the first attempt; doubles with each further one
- * @param longestPause longest pause
+ * @param maxBackoff longest pause
  */
-public record ItemRetry(
-        int maxAttempts, int maxPostponements, Duration firstPause, Duration longestPause) {
+public record ItemRetryPolicy(
+        int maxAttempts, int maxPostponements, Duration initialBackoff, Duration maxBackoff) {
     private static final int MAX_DOUBLINGS = 20;
 
     /** What happens to an item. */
-    public sealed interface Verdict {
+    public sealed interface Decision {
         /**
          * The item is tried again.
          *
          * @param pause time to wait before
-         * @param counted whether the attempt counts against the item
+         * @param countsAsAttempt whether the attempt counts against the item
          */
-        record Again(Duration pause, boolean counted) implements Verdict {}
+        record Retry(Duration pause, boolean countsAsAttempt) implements Decision {}
 
         /**
          * The item ends.
          *
          * @param problem the reason
          */
-        record End(Problem problem) implements Verdict {}
+        record Fail(Problem problem) implements Decision {}
     }
 
     /**
@@ -45,26 +45,26 @@
      * @param postponements attempts postponed so far, this one included
      * @return what happens
      */
-    public Verdict decide(Problem problem, boolean idempotent, int attempts, int postponements) {
-        if (!problem.outcome().allowsRetry(idempotent)) {
-            return new Verdict.End(
+    public Decision decide(Problem problem, boolean idempotent, int attempts, int postponements) {
+        if (!problem.outcome().mayRetry(idempotent)) {
+            return new Decision.Fail(
                     problem.outcome() == RunOutcome.UNKNOWN ? notRepeated(problem) : problem);
         }
         return switch (problem.kind()) {
             case RATE_LIMITED, OVERLOADED, PREEMPTED, NO_TARGET, DRAINING, ISOLATED, CANCELLED ->
                     postponements < maxPostponements
-                            ? new Verdict.Again(
+                            ? new Decision.Retry(
                                     problem.retryAfter().orElse(pause(postponements)), false)
-                            : new Verdict.End(problem);
+                            : new Decision.Fail(problem);
             case TARGET_FAILED,
                     OUTCOME_UNKNOWN,
                     DEADLINE_EXCEEDED,
                     PLATFORM_UNAVAILABLE,
                     INTERNAL ->
                     attempts < maxAttempts
-                            ? new Verdict.Again(pause(attempts), true)
-                            : new Verdict.End(problem);
-            default -> new Verdict.End(problem);
+                            ? new Decision.Retry(pause(attempts), true)
+                            : new Decision.Fail(problem);
+            default -> new Decision.Fail(problem);
         };
     }
 
@@ -90,7 +90,7 @@
 
     private Duration pause(int attempts) {
         int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, attempts - 1));
-        Duration pause = firstPause.multipliedBy(1L << doublings);
-        return pause.compareTo(longestPause) < 0 ? pause : longestPause;
+        Duration pause = initialBackoff.multipliedBy(1L << doublings);
+        return pause.compareTo(maxBackoff) < 0 ? pause : maxBackoff;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/batch/JobPhase.java
+++ b/core/src/main/java/org/sardinelift/core/batch/JobPhase.java
@@ -11,11 +11,11 @@
     /** Every item has ended. */
     COMPLETED(true, "completed");
 
-    private final boolean terminal;
+    private final boolean isTerminal;
     private final String label;
 
     JobPhase(boolean terminal, String label) {
-        this.terminal = terminal;
+        this.isTerminal = terminal;
         this.label = label;
     }
 
@@ -24,8 +24,8 @@
      *
      * @return true where nothing changes any more
      */
-    public boolean terminal() {
-        return terminal;
+    public boolean isTerminal() {
+        return isTerminal;
     }
 
     /**
--- a/core/src/main/java/org/sardinelift/core/batch/JobState.java
+++ b/core/src/main/java/org/sardinelift/core/batch/JobState.java
@@ -65,7 +65,7 @@
      * @return the next state; this one where the job has ended
      */
     public JobState claim(Holder next) {
-        return phase.terminal() ? this : with(phase, fence + 1, next, chunks, intents);
+        return phase.isTerminal() ? this : with(phase, fence + 1, next, chunks, intents);
     }
 
     /**
@@ -75,7 +75,7 @@
      * @return the next state; this one where the fence is void
      */
     public JobState release(long byFence) {
-        return holds(byFence) ? with(phase, fence, Holder.NONE, chunks, intents) : this;
+        return isWritableUnder(byFence) ? with(phase, fence, Holder.NONE, chunks, intents) : this;
     }
 
     /**
@@ -85,8 +85,8 @@
      * @param chunk chunk of these calls
      * @return the next state; this one where the fence is void or an older intent stands
      */
-    public JobState intend(long byFence, int chunk) {
-        if (!holds(byFence) || phase != JobPhase.OPEN || intents.containsKey(chunk)) {
+    public JobState recordIntent(long byFence, int chunk) {
+        if (!isWritableUnder(byFence) || phase != JobPhase.OPEN || intents.containsKey(chunk)) {
             return this;
         }
         SortedMap<Integer, Long> next = new TreeMap<>(intents);
@@ -102,7 +102,7 @@
      * @return the next state; this one where the fence is void
      */
     public JobState commit(long byFence, Map<Integer, ChunkResult> results) {
-        if (!holds(byFence)) {
+        if (!isWritableUnder(byFence)) {
             return this;
         }
         SortedMap<Integer, ChunkResult> next = new TreeMap<>(chunks);
@@ -132,7 +132,7 @@
      * @return the next state; this one where the fence is void or no cancel was asked for
      */
     public JobState finishCancel(long byFence) {
-        return holds(byFence) && phase == JobPhase.CANCELLING
+        return isWritableUnder(byFence) && phase == JobPhase.CANCELLING
                 ? with(JobPhase.CANCELLED, fence, holder, chunks, new TreeMap<>())
                 : this;
     }
@@ -143,7 +143,7 @@
      * @param endMs epoch milliseconds, 0 for unknown
      * @return the next state
      */
-    public JobState expectEnd(long endMs) {
+    public JobState withExpectedEnd(long endMs) {
         return new JobState(team, items, chunkCount, phase, fence, holder, chunks, intents, endMs);
     }
 
@@ -153,8 +153,8 @@
      * @param byFence fence of a holder
      * @return true where it is the newest and the job has not ended
      */
-    public boolean holds(long byFence) {
-        return fence == byFence && holder.present() && !phase.terminal();
+    public boolean isWritableUnder(long byFence) {
+        return fence == byFence && holder.isPresent() && !phase.isTerminal();
     }
 
     /**
--- a/core/src/main/java/org/sardinelift/core/batch/LaneShares.java
+++ b/core/src/main/java/org/sardinelift/core/batch/LaneShares.java
@@ -45,7 +45,7 @@
      * @param instance the entry
      * @param loads loads by lane and team
      */
-    public void noted(String instance, Map<String, Map<String, Load>> loads) {
+    public void update(String instance, Map<String, Map<String, Load>> loads) {
         others.put(instance, loads);
     }
 
--- a/core/src/main/java/org/sardinelift/core/batch/LeaseWatch.java
+++ b/core/src/main/java/org/sardinelift/core/batch/LeaseMonitor.java
@@ -11,14 +11,14 @@
  * has not changed for the timeout. Time in which the platform could not be watched counts for
  * nobody, so that an outage makes no lease lapse.
  */
-public final class LeaseWatch {
+public final class LeaseMonitor {
     private final long timeoutNanos;
     private final Map<String, Seen> leases = new HashMap<>();
     private long watchedSinceNanos;
     private long watchedUntilNanos;
     private boolean watching;
 
-    private LeaseWatch(Duration timeout) {
+    private LeaseMonitor(Duration timeout) {
         timeoutNanos = timeout.toNanos();
     }
 
@@ -28,8 +28,8 @@
      * @param timeout time without a change after which a lease has lapsed
      * @return the watch
      */
-    public static LeaseWatch of(Duration timeout) {
-        return new LeaseWatch(timeout);
+    public static LeaseMonitor of(Duration timeout) {
+        return new LeaseMonitor(timeout);
     }
 
     /**
@@ -40,7 +40,7 @@
      * @param version version of the object
      * @param nowNanos time
      */
-    public void changed(String instance, String incarnation, long version, long nowNanos) {
+    public void onChanged(String instance, String incarnation, long version, long nowNanos) {
         Seen seen = leases.get(instance);
         if (seen == null || seen.version() < version) {
             leases.put(instance, new Seen(incarnation, version, nowNanos));
@@ -52,7 +52,7 @@
      *
      * @param instance instance that the lease belonged to
      */
-    public void removed(String instance) {
+    public void onRemoved(String instance) {
         leases.remove(instance);
     }
 
@@ -62,7 +62,7 @@
      *
      * @param nowNanos time
      */
-    public void watched(long nowNanos) {
+    public void onWatchAnswered(long nowNanos) {
         if (!watching || nowNanos - watchedUntilNanos > timeoutNanos) {
             watchedSinceNanos = nowNanos;
         }
@@ -71,7 +71,7 @@
     }
 
     /** Notes that the platform did not answer a watch. */
-    public void lost() {
+    public void onWatchFailed() {
         watching = false;
     }
 
@@ -82,7 +82,7 @@
      * @param nowNanos time
      * @return true where the lease lapsed, is gone or belongs to another incarnation
      */
-    public boolean lapsed(Holder holder, long nowNanos) {
+    public boolean hasLapsed(Holder holder, long nowNanos) {
         if (!watching || nowNanos - watchedUntilNanos > timeoutNanos) {
             return false;
         }
@@ -99,7 +99,7 @@
      * @param nowNanos time
      * @return their instance names
      */
-    public List<String> live(long nowNanos) {
+    public List<String> liveInstances(long nowNanos) {
         return leases.entrySet().stream()
                 .filter(lease -> !stale(lease.getValue(), nowNanos))
                 .map(Map.Entry::getKey)
@@ -113,7 +113,7 @@
      * @param instance instance name
      * @return the incarnation, or empty where no lease is known
      */
-    public Optional<String> incarnation(String instance) {
+    public Optional<String> incarnationOf(String instance) {
         return Optional.ofNullable(leases.get(instance)).map(Seen::incarnation);
     }
 
--- a/core/src/main/java/org/sardinelift/core/batch/LeaseHold.java
+++ b/core/src/main/java/org/sardinelift/core/batch/OwnLease.java
@@ -6,14 +6,14 @@
  * This entry's own lease, judged by its monotonic clock at each use, since a paused process cannot
  * know that it was paused.
  */
-public final class LeaseHold {
+public final class OwnLease {
     private final long validNanos;
     private long confirmedNanos;
     private boolean confirmed;
     private long unansweredNanos;
     private boolean detached;
 
-    private LeaseHold(Duration valid) {
+    private OwnLease(Duration valid) {
         validNanos = valid.toNanos();
     }
 
@@ -24,8 +24,8 @@
      *     after which others take it to have lapsed
      * @return the lease
      */
-    public static LeaseHold of(Duration valid) {
-        return new LeaseHold(valid);
+    public static OwnLease of(Duration valid) {
+        return new OwnLease(valid);
     }
 
     /**
@@ -33,7 +33,7 @@
      *
      * @param sentNanos time at which it was sent
      */
-    public void renewed(long sentNanos) {
+    public void onRenewed(long sentNanos) {
         confirmedNanos = sentNanos;
         confirmed = true;
         detached = false;
@@ -44,13 +44,13 @@
      *
      * @param nowNanos time
      */
-    public void unanswered(long nowNanos) {
+    public void onUnanswered(long nowNanos) {
         unansweredNanos = nowNanos;
         detached = true;
     }
 
     /** Notes that the lease belongs to another incarnation. */
-    public void lost() {
+    public void onLost() {
         confirmed = false;
         detached = false;
     }
@@ -61,7 +61,7 @@
      * @param nowNanos time
      * @return true where anything may be started
      */
-    public boolean valid(long nowNanos) {
+    public boolean isValid(long nowNanos) {
         return confirmed && nowNanos - confirmedNanos < validNanos;
     }
 
@@ -73,7 +73,8 @@
      * @param nowNanos time
      * @return true where repeatable calls may be started
      */
-    public boolean allowsRepeatable(long nowNanos) {
-        return valid(nowNanos) || confirmed && detached && nowNanos - unansweredNanos < validNanos;
+    public boolean mayStartRepeatable(long nowNanos) {
+        return isValid(nowNanos)
+                || confirmed && detached && nowNanos - unansweredNanos < validNanos;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/batch/JobStage.java
+++ b/core/src/main/java/org/sardinelift/core/batch/RemovalStage.java
@@ -1,7 +1,7 @@
 package org.sardinelift.core.batch;
 
 /** How far the removal of a job has come. */
-public enum JobStage {
+public enum RemovalStage {
     /** The job is there for callers. */
     LIVE,
     /** Callers no longer find the job; its objects are still there for those that read them. */
--- a/core/src/main/java/org/sardinelift/core/batch/Retention.java
+++ b/core/src/main/java/org/sardinelift/core/batch/RetentionPolicy.java
@@ -10,7 +10,7 @@
  * @param keepMs time from a job's end for which its results stay readable, milliseconds
  * @param holdMs time between two steps, milliseconds; longer than any call is under way
  */
-public record Retention(long keepMs, long holdMs) {
+public record RetentionPolicy(long retentionMs, long stepDelayMs) {
 
     /**
      * What is known of a job.
@@ -19,10 +19,14 @@
      * @param sinceMs when that stage was reached, epoch milliseconds
      * @param createdMs when the job was accepted, epoch milliseconds
      * @param state its state, empty where it certainly has none
-     * @param open whether its marker is there
+     * @param hasMarker whether its marker is there
      */
-    public record Facts(
-            JobStage stage, long sinceMs, long createdMs, Optional<JobState> state, boolean open) {}
+    public record JobInfo(
+            RemovalStage stage,
+            long stageSinceMs,
+            long createdMs,
+            Optional<JobState> state,
+            boolean hasMarker) {}
 
     /** The next step. */
     public sealed interface Step {}
@@ -38,10 +42,10 @@
     public record Retire() implements Step {}
 
     /** Delete all objects of the job but its header. */
-    public record Empty() implements Step {}
+    public record DeleteObjects() implements Step {}
 
     /** Delete the header. */
-    public record Remove() implements Step {}
+    public record DeleteHeader() implements Step {}
 
     /**
      * Decides the next step.
@@ -51,22 +55,22 @@
      * @param nowMs the time, epoch milliseconds
      * @return the step
      */
-    public Step next(Facts facts, long lookMs, long nowMs) {
+    public Step nextStep(JobInfo facts, long lookMs, long nowMs) {
         return switch (facts.stage()) {
             case LIVE -> live(facts, lookMs, nowMs);
-            case RETIRED -> due(facts.sinceMs() + holdMs, nowMs, new Empty());
-            case EMPTIED -> due(facts.sinceMs() + holdMs, nowMs, new Remove());
+            case RETIRED -> due(facts.stageSinceMs() + stepDelayMs, nowMs, new DeleteObjects());
+            case EMPTIED -> due(facts.stageSinceMs() + stepDelayMs, nowMs, new DeleteHeader());
         };
     }
 
-    private Step live(Facts facts, long lookMs, long nowMs) {
-        boolean running = facts.state().map(state -> !state.phase().terminal()).orElse(false);
-        boolean unclaimed = facts.state().isEmpty() && facts.open();
+    private Step live(JobInfo facts, long lookMs, long nowMs) {
+        boolean running = facts.state().map(state -> !state.phase().isTerminal()).orElse(false);
+        boolean unclaimed = facts.state().isEmpty() && facts.hasMarker();
         if (running || unclaimed) {
-            return new Wait(Math.max(lookMs + keepMs, nowMs + holdMs));
+            return new Wait(Math.max(lookMs + retentionMs, nowMs + stepDelayMs));
         }
         long endMs = facts.state().map(JobState::expectedEndMs).orElse(0L);
-        return due(Math.max(facts.createdMs(), endMs) + keepMs, nowMs, new Retire());
+        return due(Math.max(facts.createdMs(), endMs) + retentionMs, nowMs, new Retire());
     }
 
     private static Step due(long dueMs, long nowMs, Step step) {
@@ -80,7 +84,7 @@
      * @param nowMs the time, epoch milliseconds
      * @return true where it may be about to be removed
      */
-    public boolean closing(long createdMs, long nowMs) {
-        return createdMs + keepMs - holdMs <= nowMs;
+    public boolean isTooOldToAccept(long createdMs, long nowMs) {
+        return createdMs + retentionMs - stepDelayMs <= nowMs;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/catalog/CatalogLog.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/CatalogMerger.java
@@ -16,21 +16,21 @@
  * tombstone with its revision, so that neither a late change nor a stale list brings the object
  * back. Not safe for use by several threads.
  */
-public final class CatalogLog {
+public final class CatalogMerger {
     private final Map<ConfigRef, ConfigState> states = new HashMap<>();
     private final Map<ConfigKind, Long> listedAt = new EnumMap<>(ConfigKind.class);
-    private long watchedTo;
-    private long newest;
+    private long markCompleteTo;
+    private long newestRevision;
 
-    private CatalogLog() {}
+    private CatalogMerger() {}
 
     /**
      * A log that knows nothing yet.
      *
      * @return an empty log
      */
-    public static CatalogLog create() {
-        return new CatalogLog();
+    public static CatalogMerger create() {
+        return new CatalogMerger();
     }
 
     /**
@@ -45,7 +45,7 @@
             return false;
         }
         states.put(state.ref(), state);
-        newest = Math.max(newest, state.revision());
+        newestRevision = Math.max(newestRevision, state.revision());
         return true;
     }
 
@@ -59,7 +59,7 @@
      * @return whether anything changed
      */
     public boolean applyList(ConfigKind kind, long revision, Collection<ConfigState> listed) {
-        if (revision < Math.max(watchedTo, listedAt.getOrDefault(kind, 0L))) {
+        if (revision < Math.max(markCompleteTo, listedAt.getOrDefault(kind, 0L))) {
             return false;
         }
         Set<ConfigRef> present = listed.stream().map(ConfigState::ref).collect(Collectors.toSet());
@@ -80,8 +80,8 @@
      *
      * @param revision that revision
      */
-    public void watchedTo(long revision) {
-        watchedTo = Math.max(watchedTo, revision);
+    public void markCompleteTo(long revision) {
+        markCompleteTo = Math.max(markCompleteTo, revision);
     }
 
     /**
@@ -89,10 +89,11 @@
      *
      * @return the revision, 0 until every kind was listed
      */
-    public long completeTo() {
+    public long completeRevision() {
         return listedAt.size() < ConfigKind.values().length
                 ? 0
-                : Math.max(watchedTo, listedAt.values().stream().min(Long::compare).orElse(0L));
+                : Math.max(
+                        markCompleteTo, listedAt.values().stream().min(Long::compare).orElse(0L));
     }
 
     /**
@@ -101,8 +102,8 @@
      *
      * @return the revision, 0 for none
      */
-    public long newest() {
-        return newest;
+    public long newestRevision() {
+        return newestRevision;
     }
 
     /**
@@ -116,10 +117,10 @@
         Map<String, TeamPlan> teams =
                 inForce(ConfigKind.TEAM, TeamSpec.class, TeamSpec::name).values().stream()
                         .filter(team -> templates.containsKey(team.template()))
-                        .map(team -> team.over(templates.get(team.template())))
+                        .map(team -> team.resolve(templates.get(team.template())))
                         .collect(Collectors.toUnmodifiableMap(TeamPlan::name, plan -> plan));
         return new Catalog(
-                completeTo(),
+                completeRevision(),
                 teams,
                 inForce(ConfigKind.KEY, KeyEntry.class, KeyEntry::id),
                 inForce(ConfigKind.SERVICE, ServiceSpec.class, ServiceSpec::name));
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigCall.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigCall.java
@@ -33,7 +33,7 @@
      *
      * @param number number of the call
      * @param afterRevision the revision held
-     * @param longest longest wait
+     * @param maxWait longest wait
      */
-    record Watch(long number, long afterRevision, Duration longest) implements ConfigCall {}
+    record Watch(long number, long afterRevision, Duration maxWait) implements ConfigCall {}
 }
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigSync.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigSync.java
@@ -11,7 +11,7 @@
  * must have reached, so that a list from a lagging replica is noticed; then lists; then watches
  * from the revision held; lists again after a gap and when a peer holds a newer change for longer
  * than a bound. One call is under way at a time; a call without an answer is given up, and its late
- * answer still counts as information, since {@link CatalogLog} only goes forward. Times are
+ * answer still counts as information, since {@link CatalogMerger} only goes forward. Times are
  * milliseconds of a monotonic clock. Not safe for use by several threads.
  */
 public final class ConfigSync {
@@ -23,7 +23,7 @@
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private final CatalogLog log = CatalogLog.create();
+    private final CatalogMerger merger = CatalogMerger.create();
     private final ConfigTimings timings;
     private Phase phase = Phase.BARRIER;
     private long barrier;
@@ -56,12 +56,12 @@
      * @param nowMs the time
      * @return the call to make, empty to wait
      */
-    public Optional<ConfigCall> tick(long nowMs) {
+    public Optional<ConfigCall> nextCall(long nowMs) {
         if (waiting && nowMs >= giveUpAt) {
             waiting = false;
             nextCallAt = nowMs;
         }
-        if (isBehindFor(timings.behindBound(), nowMs) && phase == Phase.WATCH) {
+        if (isBehindFor(timings.relistDelay(), nowMs) && phase == Phase.WATCH) {
             phase = Phase.LIST;
             waiting = false;
             nextCallAt = nowMs;
@@ -77,7 +77,7 @@
                 switch (phase) {
                     case BARRIER -> new ConfigCall.Barrier(number);
                     case LIST -> new ConfigCall.ListAll(number);
-                    case WATCH -> new ConfigCall.Watch(number, log.completeTo(), wait);
+                    case WATCH -> new ConfigCall.Watch(number, merger.completeRevision(), wait);
                 });
     }
 
@@ -88,7 +88,7 @@
      * @param revision the store's revision of the write
      * @param nowMs the time
      */
-    public void onBarrier(long call, long revision, long nowMs) {
+    public void onBarrierWritten(long call, long revision, long nowMs) {
         platformAt = nowMs;
         barrier = Math.max(barrier, revision);
         if (phase == Phase.BARRIER) {
@@ -114,15 +114,16 @@
         platformAt = nowMs;
         boolean changed = false;
         for (Map.Entry<ConfigKind, Long> entry : revisions.entrySet()) {
-            changed |= log.applyList(entry.getKey(), entry.getValue(), listed.get(entry.getKey()));
+            changed |=
+                    merger.applyList(entry.getKey(), entry.getValue(), listed.get(entry.getKey()));
         }
         long oldest = revisions.values().stream().min(Long::compare).orElse(0L);
-        boolean fresh = oldest >= Math.max(barrier, heard) && oldest >= log.completeTo();
+        boolean fresh = oldest >= Math.max(barrier, heard) && oldest >= merger.completeRevision();
         if (fresh && phase == Phase.LIST) {
             phase = Phase.WATCH;
         }
         settleBehind(nowMs);
-        ended(call, nowMs, fresh ? Duration.ZERO : timings.retry());
+        ended(call, nowMs, fresh ? Duration.ZERO : timings.retryPause());
         return changed;
     }
 
@@ -137,8 +138,8 @@
      */
     public boolean onChanges(long call, long revision, List<ConfigState> changes, long nowMs) {
         platformAt = nowMs;
-        boolean changed = changes.stream().map(log::apply).reduce(false, Boolean::logicalOr);
-        log.watchedTo(revision);
+        boolean changed = changes.stream().map(merger::apply).reduce(false, Boolean::logicalOr);
+        merger.markCompleteTo(revision);
         settleBehind(nowMs);
         ended(call, nowMs, timings.watchPause());
         return changed;
@@ -162,8 +163,8 @@
      * @param call number of the call
      * @param nowMs the time
      */
-    public void onFailed(long call, long nowMs) {
-        ended(call, nowMs, timings.retry());
+    public void onCallFailed(long call, long nowMs) {
+        ended(call, nowMs, timings.retryPause());
     }
 
     /**
@@ -172,7 +173,7 @@
      * @param revision revision of the newest configuration change that the peer holds
      * @param nowMs the time
      */
-    public void onPeer(long revision, long nowMs) {
+    public void onPeerRevision(long revision, long nowMs) {
         peerAt = nowMs;
         heard = Math.max(heard, revision);
         settleBehind(nowMs);
@@ -184,7 +185,7 @@
      * @return true once requests may be judged by it
      */
     public boolean isReady() {
-        return phase == Phase.WATCH || (log.completeTo() >= barrier && barrier > 0);
+        return phase == Phase.WATCH || (merger.completeRevision() >= barrier && barrier > 0);
     }
 
     /**
@@ -196,8 +197,8 @@
      */
     public boolean isIsolated(long nowMs) {
         long silence = nowMs - Math.max(platformAt, peerAt);
-        return silence > timings.isolation().toMillis()
-                || isBehindFor(timings.longestBehind(), nowMs);
+        return silence > timings.isolationTimeout().toMillis()
+                || isBehindFor(timings.maxBehind(), nowMs);
     }
 
     /**
@@ -205,8 +206,8 @@
      *
      * @return the log
      */
-    public CatalogLog log() {
-        return log;
+    public CatalogMerger merger() {
+        return merger;
     }
 
     /**
@@ -215,7 +216,7 @@
      * @param nowMs the time
      * @return milliseconds
      */
-    public long platformAgeMs(long nowMs) {
+    public long platformContactAgeMs(long nowMs) {
         return nowMs - platformAt;
     }
 
@@ -224,7 +225,7 @@
     }
 
     private void settleBehind(long nowMs) {
-        if (heard <= log.completeTo()) {
+        if (heard <= merger.completeRevision()) {
             behindSince = NEVER;
         } else if (behindSince == NEVER) {
             behindSince = nowMs;
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigTimings.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigTimings.java
@@ -17,11 +17,11 @@
 public record ConfigTimings(
         Duration watchWait,
         Duration callTimeout,
-        Duration retry,
+        Duration retryPause,
         Duration watchPause,
-        Duration gossip,
-        Duration behindBound,
-        Duration isolation) {
+        Duration gossipInterval,
+        Duration relistDelay,
+        Duration isolationTimeout) {
     private static final int LATE_CALLS = 3;
 
     /**
@@ -46,7 +46,7 @@
      *
      * @return time for a whole watch and two more calls
      */
-    public Duration longestBehind() {
+    public Duration maxBehind() {
         return watchWait.plus(callTimeout.multipliedBy(LATE_CALLS));
     }
 }
--- a/core/src/main/java/org/sardinelift/core/catalog/KeyEntry.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/KeyEntry.java
@@ -6,7 +6,7 @@
  * @param id public identifier of the key, the part before the secret
  * @param team team that it was issued to
  * @param digest keyed hash of the whole key, hexadecimal
- * @param withdrawn whether it has been withdrawn
+ * @param isWithdrawn whether it has been withdrawn
  */
-public record KeyEntry(String id, String team, String digest, boolean withdrawn)
+public record KeyEntry(String id, String team, String digest, boolean isWithdrawn)
         implements ConfigItem {}
--- a/core/src/main/java/org/sardinelift/core/catalog/ServiceSpec.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ServiceSpec.java
@@ -8,15 +8,15 @@
  * @param name service name
  * @param engine whether its targets are model engines; otherwise a plain service
  * @param models models and adapters that it serves, empty for a plain service
- * @param open whether requests need no key
+ * @param isOpen whether requests need no key
  * @param repeatableMethods HTTP methods whose calls may be repeated
  * @param checksFence whether its targets refuse orders with an old fencing number themselves
  */
 public record ServiceSpec(
         String name,
-        boolean engine,
+        boolean isEngine,
         Set<String> models,
-        boolean open,
+        boolean isOpen,
         Set<String> repeatableMethods,
         boolean checksFence)
         implements ConfigItem {}
--- a/core/src/main/java/org/sardinelift/core/catalog/TeamSpec.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/TeamSpec.java
@@ -32,7 +32,7 @@
      * @param base the template
      * @return what the team is due
      */
-    public TeamPlan over(TeamTemplate base) {
+    public TeamPlan resolve(TeamTemplate base) {
         return new TeamPlan(
                 name,
                 ratePerSecond.orElse(base.ratePerSecond()),
--- a/core/src/main/java/org/sardinelift/core/explain/DecisionAction.java
+++ b/core/src/main/java/org/sardinelift/core/explain/DecisionAction.java
@@ -48,11 +48,11 @@
     SHARE_RECLAIMED("share reclaimed", false);
 
     private final String label;
-    private final boolean ofCall;
+    private final boolean isAboutCall;
 
     DecisionAction(String label, boolean ofCall) {
         this.label = label;
-        this.ofCall = ofCall;
+        this.isAboutCall = ofCall;
     }
 
     /**
@@ -69,7 +69,7 @@
      *
      * @return true for decisions about single calls
      */
-    public boolean ofCall() {
-        return ofCall;
+    public boolean isAboutCall() {
+        return isAboutCall;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/explain/DecisionLog.java
+++ b/core/src/main/java/org/sardinelift/core/explain/DecisionLog.java
@@ -38,7 +38,7 @@
      * @param record the decision
      */
     public void add(DecisionRecord record) {
-        (record.action().ofCall() ? calls : others).add(record);
+        (record.action().isAboutCall() ? calls : others).add(record);
     }
 
     /**
--- a/core/src/main/java/org/sardinelift/core/explain/JobStatus.java
+++ b/core/src/main/java/org/sardinelift/core/explain/JobStatus.java
@@ -17,10 +17,10 @@
         String team,
         String takenOverFrom,
         int items,
-        int open,
+        int openItems,
         long dueMs,
         long expectedEndMs,
-        boolean late) {
+        boolean isLate) {
 
     /**
      * The same job a while later.
@@ -30,7 +30,7 @@
      * @param nowMs the time, epoch milliseconds
      * @return the status then
      */
-    public JobStatus progressed(int nowOpen, long endMs, long nowMs) {
+    public JobStatus withProgress(int nowOpen, long endMs, long nowMs) {
         boolean nowLate = dueMs != Long.MAX_VALUE && Math.max(nowMs, endMs) > dueMs;
         return new JobStatus(id, team, takenOverFrom, items, nowOpen, dueMs, endMs, nowLate);
     }
--- a/core/src/main/java/org/sardinelift/core/explain/TeamTally.java
+++ b/core/src/main/java/org/sardinelift/core/explain/TeamRequestCounter.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 
 /** Counts each team's requests at one instance. Safe for use by several threads. */
-public final class TeamTally {
+public final class TeamRequestCounter {
     /** Time over which a rate is taken, seconds. */
     public static final int WINDOW_SECONDS = 10;
 
@@ -16,15 +16,15 @@
 
     private final Map<String, Counts> teams = new ConcurrentHashMap<>();
 
-    private TeamTally() {}
+    private TeamRequestCounter() {}
 
     /**
      * Makes a tally without counts.
      *
      * @return the tally
      */
-    public static TeamTally create() {
-        return new TeamTally();
+    public static TeamRequestCounter create() {
+        return new TeamRequestCounter();
     }
 
     /**
@@ -42,7 +42,7 @@
      * @param team its team
      * @param nowNanos monotonic time, nanoseconds
      */
-    public void admitted(String team, long nowNanos) {
+    public void onAdmitted(String team, long nowNanos) {
         counts(team).admit(Math.floorDiv(nowNanos, NANOS_PER_SECOND));
     }
 
@@ -51,7 +51,7 @@
      *
      * @param team its team
      */
-    public void refused(String team) {
+    public void onRefused(String team) {
         counts(team).refuse();
     }
 
--- a/core/src/main/java/org/sardinelift/core/explain/TeamStatus.java
+++ b/core/src/main/java/org/sardinelift/core/explain/TeamStatus.java
@@ -18,8 +18,12 @@
  * @param batch its batch items under way here
  */
 public record TeamStatus(
-        String team, @Nullable TeamPlan plan, TeamTally.Traffic traffic, long online, long batch) {
-    private static final TeamTally.Traffic IDLE = new TeamTally.Traffic(0, 0, 0);
+        String team,
+        @Nullable TeamPlan plan,
+        TeamRequestCounter.Traffic traffic,
+        long onlineCalls,
+        long batchItems) {
+    private static final TeamRequestCounter.Traffic IDLE = new TeamRequestCounter.Traffic(0, 0, 0);
 
     /**
      * The teams that have had requests or have calls under way at the entry.
@@ -30,9 +34,9 @@
      * @param batch batch items under way by team
      * @return one status for each team, by name
      */
-    public static List<TeamStatus> all(
+    public static List<TeamStatus> ofActiveTeams(
             Map<String, TeamPlan> plans,
-            Map<String, TeamTally.Traffic> traffic,
+            Map<String, TeamRequestCounter.Traffic> traffic,
             Map<String, Long> online,
             Map<String, Long> batch) {
         Set<String> active = new TreeSet<>();
--- a/core/src/main/java/org/sardinelift/core/fleet/PathStep.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/HeartbeatAction.java
@@ -1,22 +1,22 @@
 package org.sardinelift.core.fleet;
 
 /** What one end of a connection does next to know that the path is alive. */
-public sealed interface PathStep {
+public sealed interface HeartbeatAction {
 
     /** Nothing is due. */
-    record Wait() implements PathStep {}
+    record Wait() implements HeartbeatAction {}
 
     /**
      * Send a heartbeat.
      *
      * @param sequence its sequence number
      */
-    record Heartbeat(long sequence) implements PathStep {}
+    record SendHeartbeat(long sequence) implements HeartbeatAction {}
 
     /**
      * The path is silent: close the connection.
      *
      * @param reason what was missed and for how long
      */
-    record Silent(String reason) implements PathStep {}
+    record Close(String reason) implements HeartbeatAction {}
 }
--- a/core/src/main/java/org/sardinelift/core/fleet/PathWatch.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/HeartbeatMonitor.java
@@ -9,7 +9,7 @@
  * acceptor as the opener's close, or as silence. Times are nanoseconds of a monotonic clock. Not
  * safe for use by several threads.
  */
-public final class PathWatch {
+public final class HeartbeatMonitor {
     private final boolean opener;
     private final long heartbeatNanos;
     private final long silenceNanos;
@@ -19,7 +19,7 @@
     private long sentSequence;
     private boolean unanswered;
 
-    private PathWatch(boolean opener, Duration heartbeat, Duration silence, long nowNanos) {
+    private HeartbeatMonitor(boolean opener, Duration heartbeat, Duration silence, long nowNanos) {
         this.opener = opener;
         heartbeatNanos = heartbeat.toNanos();
         silenceNanos = silence.toNanos();
@@ -35,8 +35,8 @@
      * @param nowNanos time at which the connection was opened
      * @return the watch
      */
-    public static PathWatch ofOpener(Duration heartbeat, Duration silence, long nowNanos) {
-        return new PathWatch(true, heartbeat, silence, nowNanos);
+    public static HeartbeatMonitor ofOpener(Duration heartbeat, Duration silence, long nowNanos) {
+        return new HeartbeatMonitor(true, heartbeat, silence, nowNanos);
     }
 
     /**
@@ -46,8 +46,8 @@
      * @param nowNanos time at which the connection was accepted
      * @return the watch
      */
-    public static PathWatch ofAcceptor(Duration silence, long nowNanos) {
-        return new PathWatch(false, silence, silence, nowNanos);
+    public static HeartbeatMonitor ofAcceptor(Duration silence, long nowNanos) {
+        return new HeartbeatMonitor(false, silence, silence, nowNanos);
     }
 
     /**
@@ -56,7 +56,7 @@
      * @param nowNanos time now
      * @return false where they came after a silence, so that they may be long out of date
      */
-    public boolean onBytes(long nowNanos) {
+    public boolean onBytesReceived(long nowNanos) {
         if (nowNanos - lastBytesNanos > silenceNanos) {
             return false;
         }
@@ -82,7 +82,7 @@
      * @param sequence its sequence number
      * @param nowNanos time now
      */
-    public void onAnswer(long sequence, long nowNanos) {
+    public void onHeartbeatAnswered(long sequence, long nowNanos) {
         unanswered = sequence < sentSequence;
         unansweredSinceNanos = nowNanos;
     }
@@ -93,19 +93,20 @@
      * @param nowNanos time now
      * @return what to do
      */
-    public PathStep check(long nowNanos) {
+    public HeartbeatAction check(long nowNanos) {
         if (nowNanos - lastBytesNanos > silenceNanos) {
-            return new PathStep.Silent("no byte came for " + millis(nowNanos - lastBytesNanos));
+            return new HeartbeatAction.Close(
+                    "no byte came for " + millis(nowNanos - lastBytesNanos));
         }
         if (unanswered && nowNanos - unansweredSinceNanos > silenceNanos) {
-            return new PathStep.Silent(
+            return new HeartbeatAction.Close(
                     "no heartbeat was answered for " + millis(nowNanos - unansweredSinceNanos));
         }
         if (opener && nowNanos - nextHeartbeatNanos >= 0) {
             nextHeartbeatNanos = nowNanos + heartbeatNanos;
-            return new PathStep.Heartbeat(++sentSequence);
+            return new HeartbeatAction.SendHeartbeat(++sentSequence);
         }
-        return new PathStep.Wait();
+        return new HeartbeatAction.Wait();
     }
 
     /**
@@ -114,7 +115,7 @@
      * @param nowNanos time now
      * @return time from now, in nanoseconds, at least 1
      */
-    public long dueInNanos(long nowNanos) {
+    public long nextCheckInNanos(long nowNanos) {
         long due = lastBytesNanos + silenceNanos + 1 - nowNanos;
         if (unanswered) {
             due = Math.min(due, unansweredSinceNanos + silenceNanos + 1 - nowNanos);
--- a/core/src/main/java/org/sardinelift/core/fleet/InstanceInfo.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/InstanceInfo.java
@@ -9,7 +9,7 @@
  * @param host IP address
  * @param port port of the process protocol
  * @param target target beside a companion, empty for an entry
- * @param leaving whether it is being taken away
+ * @param isLeaving whether it is being taken away
  */
 public record InstanceInfo(
         String name,
@@ -18,7 +18,7 @@
         String host,
         int port,
         String target,
-        boolean leaving) {
+        boolean isLeaving) {
 
     /**
      * This instance with another word on its leaving.
@@ -26,7 +26,7 @@
      * @param isLeaving whether it is being taken away
      * @return the instance
      */
-    public InstanceInfo leaving(boolean isLeaving) {
+    public InstanceInfo isLeaving(boolean isLeaving) {
         return new InstanceInfo(name, role, zone, host, port, target, isLeaving);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/fleet/Membership.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/Membership.java
@@ -93,7 +93,7 @@
      * @param instance its name, as it said in its hello
      * @param up whether one is open now
      */
-    public void onConnection(String instance, boolean up) {
+    public void onConnectionChanged(String instance, boolean up) {
         if (up) {
             connected.add(instance);
         } else {
@@ -129,13 +129,13 @@
     private List<InstanceInfo> role(String role) {
         return members.values().stream()
                 .filter(member -> member.info().role().equals(role))
-                .map(member -> member.info().leaving(isLeaving(member)))
+                .map(member -> member.info().isLeaving(isLeaving(member)))
                 .sorted(Comparator.comparing(InstanceInfo::name))
                 .toList();
     }
 
     private boolean isLeaving(Member member) {
-        return member.info().leaving()
+        return member.info().isLeaving()
                 || saidLeaving.contains(member.info().name())
                 || members.values().stream().anyMatch(other -> other.replaces(member));
     }
@@ -148,7 +148,7 @@
 
     private record Member(InstanceInfo info, long firstList, long lastSeenMs, long lastList) {
         Member seen(InstanceInfo newer, long nowMs, long list) {
-            InstanceInfo kept = newer.leaving(newer.leaving() || info.leaving());
+            InstanceInfo kept = newer.isLeaving(newer.isLeaving() || info.isLeaving());
             return new Member(kept, firstList, nowMs, list);
         }
 
--- a/core/src/main/java/org/sardinelift/core/fleet/MembershipTimings.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/MembershipTimings.java
@@ -5,11 +5,11 @@
 /**
  * Intervals and bounds of membership.
  *
- * @param poll interval of reading the platform's list
+ * @param pollInterval interval of reading the platform's list
  * @param goneAfter time for which an instance must be missing from the list, with no connection to
  *     it, before it is taken as gone
  */
-public record MembershipTimings(Duration poll, Duration goneAfter) {
+public record MembershipTimings(Duration pollInterval, Duration goneAfter) {
 
     /**
      * The defaults.
--- a/core/src/main/java/org/sardinelift/core/gate/FairQueue.java
+++ b/core/src/main/java/org/sardinelift/core/gate/FairQueue.java
@@ -40,7 +40,7 @@
     }
 
     /** The call to start next among those allowed; it is charged to its team. */
-    Optional<Charged> poll(Predicate<GateCall> allowed) {
+    Optional<ChargedCall> poll(Predicate<GateCall> allowed) {
         Team best = null;
         GateCall call = null;
         for (Team team : teams.values()) {
@@ -62,11 +62,11 @@
         best.tag += cost / call.weight();
         best.unsettled += cost / call.weight();
         best.running++;
-        return Optional.of(new Charged(call, cost));
+        return Optional.of(new ChargedCall(call, cost));
     }
 
     /** Corrects the charge of a call that has given its slot back. */
-    void settle(Charged charged, double actualMs) {
+    void correctCharge(ChargedCall charged, double actualMs) {
         Team team = teams.get(charged.call().team());
         if (team == null) {
             return;
@@ -81,7 +81,7 @@
     }
 
     /** Takes the newest call of the team that has most waiting for its weight. */
-    Optional<GateCall> dropFromLongest() {
+    Optional<GateCall> removeFromLongest() {
         return teams.values().stream()
                 .filter(team -> !team.waiting.isEmpty())
                 .max(Comparator.comparingDouble(Team::backlog))
@@ -146,7 +146,7 @@
      * @param call the call
      * @param costMs slot time that its team was charged
      */
-    record Charged(GateCall call, double costMs) {}
+    record ChargedCall(GateCall call, double costMs) {}
 
     private static final class Team {
         private final ArrayDeque<GateCall> waiting = new ArrayDeque<>();
--- a/core/src/main/java/org/sardinelift/core/gate/ForeignLoad.java
+++ b/core/src/main/java/org/sardinelift/core/gate/ForeignLoad.java
@@ -22,14 +22,14 @@
         this.keepMs = ttlMs + 2 * slackMs;
     }
 
-    void record(long nowMs, int running) {
+    void recordOwnCalls(long nowMs, int running) {
         own.addLast(new Sample(nowMs, running));
         while (own.size() > 1 && secondTime() < nowMs - keepMs) {
             own.removeFirst();
         }
     }
 
-    void report(long nowMs, EngineLoad load) {
+    void onReport(long nowMs, EngineLoad load) {
         long spokenOfMs = nowMs - load.lagMs();
         int ours = peakOwn(spokenOfMs - slackMs, spokenOfMs + slackMs);
         foreign = Math.max(0, load.running() + load.waiting() - ours);
--- a/core/src/main/java/org/sardinelift/core/gate/GateAction.java
+++ b/core/src/main/java/org/sardinelift/core/gate/GateAction.java
@@ -21,16 +21,16 @@
      * Cut the call at the target; its slot is taken already.
      *
      * @param id the call
-     * @param waits whether it waits for a slot again; if not, the gate has forgotten it
+     * @param isRequeued whether it waits for a slot again; if not, the gate has forgotten it
      */
-    record Preempt(String id, boolean waits) implements GateAction {}
+    record Preempt(String id, boolean isRequeued) implements GateAction {}
 
     /**
      * End the call; the gate has forgotten it.
      *
      * @param id the call
      * @param reason why
-     * @param begun whether it had a slot before and was cut
+     * @param hadSlot whether it had a slot before and was cut
      */
-    record Refuse(String id, GateRefusal reason, boolean begun) implements GateAction {}
+    record Refuse(String id, GateRefusal reason, boolean hadSlot) implements GateAction {}
 }
--- a/core/src/main/java/org/sardinelift/core/gate/GateCall.java
+++ b/core/src/main/java/org/sardinelift/core/gate/GateCall.java
@@ -9,22 +9,22 @@
  * @param batch whether it gives way to online calls
  * @param deadlineMs gate time at which it must not be started any more, milliseconds
  * @param resumable whether the target can go on with it after it was cut
- * @param suspect whether it may crash the target
+ * @param isSuspect whether it may crash the target
  */
 public record GateCall(
         String id,
         String team,
         int weight,
-        boolean batch,
+        boolean isBatch,
         long deadlineMs,
-        boolean resumable,
-        boolean suspect) {
+        boolean isResumable,
+        boolean isSuspect) {
 
     /**
      * The same call, not to be started from a time on, or from its deadline on if that is first.
      */
     GateCall startBefore(long timeMs) {
         return new GateCall(
-                id, team, weight, batch, Math.min(deadlineMs, timeMs), resumable, suspect);
+                id, team, weight, isBatch, Math.min(deadlineMs, timeMs), isResumable, isSuspect);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/gate/GateSettings.java
+++ b/core/src/main/java/org/sardinelift/core/gate/GateSettings.java
@@ -3,7 +3,7 @@
 /**
  * Bounds of a gate.
  *
- * @param enabled whether the gate holds calls back; if not, each starts as it comes
+ * @param isEnabled whether the gate holds calls back; if not, each starts as it comes
  * @param slots calls that the target runs at once
  * @param maxOnlineQueue online calls that may wait
  * @param maxBatchQueue batch calls that may wait
@@ -17,7 +17,7 @@
  * @param reportTtlMs age past which a load report is ignored, milliseconds
  */
 public record GateSettings(
-        boolean enabled,
+        boolean isEnabled,
         int slots,
         int maxOnlineQueue,
         int maxBatchQueue,
--- a/core/src/main/java/org/sardinelift/core/gate/OnlinePeak.java
+++ b/core/src/main/java/org/sardinelift/core/gate/OnlinePeak.java
@@ -16,7 +16,7 @@
     }
 
     /** Free slots that the peak asks for beyond the calls running now. */
-    int reserve(long nowMs, int running) {
+    int slotsToReserve(long nowMs, int running) {
         return (int) Math.round(Math.max(0, decayed(nowMs, running) - running));
     }
 
--- a/core/src/main/java/org/sardinelift/core/gate/ReportPace.java
+++ b/core/src/main/java/org/sardinelift/core/gate/ReportPacer.java
@@ -7,13 +7,13 @@
  * together than an interval, and without a change only a slow refresh. Times are nanoseconds of a
  * monotonic clock. Not safe for use by several threads.
  */
-public final class ReportPace {
+public final class ReportPacer {
     private final long intervalNanos;
     private final long refreshNanos;
     private boolean changed;
     private long lastNanos;
 
-    private ReportPace(Duration interval, Duration refresh, long nowNanos) {
+    private ReportPacer(Duration interval, Duration refresh, long nowNanos) {
         intervalNanos = interval.toNanos();
         refreshNanos = refresh.toNanos();
         lastNanos = nowNanos - intervalNanos;
@@ -27,8 +27,8 @@
      * @param nowNanos time now
      * @return the pace
      */
-    public static ReportPace of(Duration interval, Duration refresh, long nowNanos) {
-        return new ReportPace(interval, refresh, nowNanos);
+    public static ReportPacer of(Duration interval, Duration refresh, long nowNanos) {
+        return new ReportPacer(interval, refresh, nowNanos);
     }
 
     /** The load has changed since the last report. */
@@ -41,7 +41,7 @@
      *
      * @param nowNanos time now
      */
-    public void onReport(long nowNanos) {
+    public void onReportSent(long nowNanos) {
         changed = false;
         lastNanos = nowNanos;
     }
@@ -52,7 +52,7 @@
      * @param nowNanos time now
      * @return time from now, in nanoseconds; 0 where it is due
      */
-    public long dueInNanos(long nowNanos) {
+    public long nanosUntilDue(long nowNanos) {
         long pause = changed ? intervalNanos : refreshNanos;
         return Math.max(0, lastNanos + pause - nowNanos);
     }
--- a/core/src/main/java/org/sardinelift/core/gate/SlotGate.java
+++ b/core/src/main/java/org/sardinelift/core/gate/SlotGate.java
@@ -51,13 +51,13 @@
      * @param call the call
      * @return what to do
      */
-    public List<GateAction> offer(long nowMs, GateCall call) {
+    public List<GateAction> submit(long nowMs, GateCall call) {
         List<GateAction> actions = new ArrayList<>();
         if (closedFor != null) {
             actions.add(new GateAction.Refuse(call.id(), closedFor, false));
             return actions;
         }
-        if (!settings.enabled()) {
+        if (!settings.isEnabled()) {
             run(nowMs, call, 0, actions);
             return actions;
         }
@@ -109,8 +109,8 @@
      * @param load the report
      * @return what to do
      */
-    public List<GateAction> report(long nowMs, EngineLoad load) {
-        foreign.report(nowMs, load);
+    public List<GateAction> onLoadReport(long nowMs, EngineLoad load) {
+        foreign.onReport(nowMs, load);
         if (load.slots() > 0) {
             slots = load.slots();
         }
@@ -123,7 +123,7 @@
      * @param id the call
      * @param bytes bytes of its answer so far
      */
-    public void progress(String id, long bytes) {
+    public void recordProgress(String id, long bytes) {
         Running call = running.get(id);
         if (call != null) {
             call.bytes = bytes;
@@ -210,14 +210,14 @@
     }
 
     private void schedule(long nowMs, List<GateAction> actions) {
-        if (closedFor != null || !settings.enabled()) {
+        if (closedFor != null || !settings.isEnabled()) {
             return;
         }
         while (running.size() > slots && batchRunning() > 0) {
             preempt(nowMs, actions);
         }
         while (running.size() < slots || batchRunning() > 0) {
-            Optional<FairQueue.Charged> next = online.poll(call -> startable(nowMs, call));
+            Optional<FairQueue.ChargedCall> next = online.poll(call -> startable(nowMs, call));
             if (next.isEmpty()) {
                 break;
             }
@@ -227,7 +227,7 @@
             run(nowMs, next.get().call(), next.get().costMs(), actions);
         }
         while (running.size() < slots && batchRunning() < batchLimit(nowMs)) {
-            Optional<FairQueue.Charged> next = batch.poll(call -> startable(nowMs, call));
+            Optional<FairQueue.ChargedCall> next = batch.poll(call -> startable(nowMs, call));
             if (next.isEmpty()) {
                 break;
             }
@@ -236,25 +236,25 @@
     }
 
     private int batchLimit(long nowMs) {
-        int wanted = peak.reserve(nowMs, onlineRunning);
+        int wanted = peak.slotsToReserve(nowMs, onlineRunning);
         int reserve = Math.max(settings.minReserve(), Math.min(settings.maxReserve(), wanted));
         int left = slots - onlineRunning - foreign.count(nowMs);
         return left - Math.min(reserve, slots - 1);
     }
 
     private boolean startable(long nowMs, GateCall call) {
-        return nowMs < call.deadlineMs() && !(call.suspect() && suspectRuns());
+        return nowMs < call.deadlineMs() && !(call.isSuspect() && suspectRuns());
     }
 
     private boolean suspectRuns() {
-        return running.values().stream().anyMatch(other -> other.charged.call().suspect());
+        return running.values().stream().anyMatch(other -> other.charged.call().isSuspect());
     }
 
     private void run(long nowMs, GateCall waiting, double costMs, List<GateAction> actions) {
         GateCall whole = cut.remove(waiting.id());
         GateCall call = whole == null ? waiting : whole;
-        running.put(call.id(), new Running(new FairQueue.Charged(call, costMs), nowMs));
-        if (!call.batch()) {
+        running.put(call.id(), new Running(new FairQueue.ChargedCall(call, costMs), nowMs));
+        if (!call.isBatch()) {
             onlineRunning++;
         }
         recordCounts(nowMs);
@@ -264,33 +264,33 @@
     private void preempt(long nowMs, List<GateAction> actions) {
         Running victim =
                 running.values().stream()
-                        .filter(call -> call.charged.call().batch())
+                        .filter(call -> call.charged.call().isBatch())
                         .min(Running.LEAST_WORK_LOST)
                         .orElseThrow();
         giveBack(nowMs, victim);
         GateCall call = victim.charged.call();
-        if (call.resumable()) {
+        if (call.isResumable()) {
             cut.put(call.id(), call);
             batch.addFirst(call.startBefore(nowMs + settings.resumeWaitMs()));
         }
-        actions.add(new GateAction.Preempt(call.id(), call.resumable()));
+        actions.add(new GateAction.Preempt(call.id(), call.isResumable()));
     }
 
     private void giveBack(long nowMs, Running ended) {
         GateCall call = ended.charged.call();
         running.remove(call.id());
-        if (!call.batch()) {
+        if (!call.isBatch()) {
             onlineRunning--;
         }
-        if (settings.enabled()) {
-            queue(call).settle(ended.charged, nowMs - ended.sinceMs);
+        if (settings.isEnabled()) {
+            queue(call).correctCharge(ended.charged, nowMs - ended.sinceMs);
         }
         recordCounts(nowMs);
     }
 
     private void recordCounts(long nowMs) {
         peak.record(nowMs, onlineRunning);
-        foreign.record(nowMs, running.size());
+        foreign.recordOwnCalls(nowMs, running.size());
     }
 
     private void expire(long nowMs, FairQueue queue, List<GateAction> actions) {
@@ -301,7 +301,7 @@
 
     private void boundQueue(FairQueue queue, int bound, List<GateAction> actions) {
         while (queue.size() > bound) {
-            queue.dropFromLongest()
+            queue.removeFromLongest()
                     .ifPresent(call -> refuse(call, GateRefusal.QUEUE_FULL, actions));
         }
     }
@@ -317,20 +317,20 @@
     }
 
     private FairQueue queue(GateCall call) {
-        return call.batch() ? batch : online;
+        return call.isBatch() ? batch : online;
     }
 
     private static final class Running {
         static final Comparator<Running> LEAST_WORK_LOST =
-                Comparator.comparing((Running call) -> !call.charged.call().resumable())
+                Comparator.comparing((Running call) -> !call.charged.call().isResumable())
                         .thenComparingLong(call -> call.bytes)
                         .thenComparingLong(call -> -call.sinceMs);
 
-        private final FairQueue.Charged charged;
+        private final FairQueue.ChargedCall charged;
         private final long sinceMs;
         private long bytes;
 
-        Running(FairQueue.Charged charged, long sinceMs) {
+        Running(FairQueue.ChargedCall charged, long sinceMs) {
             this.charged = charged;
             this.sinceMs = sinceMs;
         }
--- a/core/src/main/java/org/sardinelift/core/joblog/CopyCount.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/CopyCount.java
@@ -9,7 +9,7 @@
 public final class CopyCount {
     private final int wanted;
     private int open;
-    private int held;
+    private int copies;
     private boolean unclear;
 
     private CopyCount(int wanted, int asked) {
@@ -34,7 +34,7 @@
      * @return false where too few disks are asked
      */
     public boolean canSuffice() {
-        return held + open >= wanted;
+        return copies + open >= wanted;
     }
 
     /** What became of a job. */
@@ -54,7 +54,7 @@
      */
     public void onAnswer(boolean holds) {
         open--;
-        held += holds ? 1 : 0;
+        copies += holds ? 1 : 0;
     }
 
     /** A disk was asked and its answer is lost. */
@@ -68,8 +68,8 @@
      *
      * @return their number
      */
-    public int held() {
-        return held;
+    public int copies() {
+        return copies;
     }
 
     /**
@@ -78,12 +78,12 @@
      * @return empty while answers are missing that can still decide it
      */
     public Optional<Outcome> outcome() {
-        if (held >= wanted) {
+        if (copies >= wanted) {
             return Optional.of(Outcome.KEPT);
         }
         if (open > 0) {
             return Optional.empty();
         }
-        return Optional.of(held == 0 && !unclear ? Outcome.NOT_KEPT : Outcome.UNCLEAR);
+        return Optional.of(copies == 0 && !unclear ? Outcome.NOT_KEPT : Outcome.UNCLEAR);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/joblog/ItemProgress.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/ItemProgress.java
@@ -8,11 +8,11 @@
 public final class ItemProgress {
     private final JobItem item;
     private final List<String> output = new ArrayList<>();
-    private OptionalLong lastEvent = OptionalLong.empty();
+    private OptionalLong lastEventId = OptionalLong.empty();
     private int failedRuns;
     private int cuts;
-    private boolean running;
-    private long notBefore = Long.MIN_VALUE;
+    private boolean setRunning;
+    private long delayUntil = Long.MIN_VALUE;
 
     ItemProgress(JobItem item) {
         this.item = item;
@@ -32,8 +32,8 @@
      *
      * @return the number, or empty before the first
      */
-    public OptionalLong lastEvent() {
-        return lastEvent;
+    public OptionalLong lastEventId() {
+        return lastEventId;
     }
 
     /**
@@ -41,7 +41,7 @@
      *
      * @return their number
      */
-    public int events() {
+    public int eventCount() {
         return output.size();
     }
 
@@ -52,14 +52,14 @@
      * @param data its data
      */
     public void onEvent(long id, String data) {
-        lastEvent = OptionalLong.of(id);
+        lastEventId = OptionalLong.of(id);
         output.add(data);
     }
 
     /** A target can't go on after the last event held: the next run begins anew. */
-    public void restart() {
+    public void discardOutput() {
         output.clear();
-        lastEvent = OptionalLong.empty();
+        lastEventId = OptionalLong.empty();
     }
 
     /**
@@ -85,7 +85,7 @@
      *
      * @return such ends in a row
      */
-    public int onCut() {
+    public int onRunInterrupted() {
         return ++cuts;
     }
 
@@ -100,7 +100,7 @@
      * @return true from its start to its end
      */
     public boolean isRunning() {
-        return running;
+        return setRunning;
     }
 
     /**
@@ -108,8 +108,8 @@
      *
      * @param isRunning true from its start to its end
      */
-    public void running(boolean isRunning) {
-        running = isRunning;
+    public void setRunning(boolean isRunning) {
+        setRunning = isRunning;
     }
 
     /**
@@ -117,8 +117,8 @@
      *
      * @param nanos time before which it isn't started
      */
-    public void notBefore(long nanos) {
-        notBefore = nanos;
+    public void delayUntil(long nanos) {
+        delayUntil = nanos;
     }
 
     /**
@@ -128,6 +128,6 @@
      * @return true where it doesn't run and its pause is over
      */
     public boolean isStartable(long now) {
-        return !running && (notBefore == Long.MIN_VALUE || now - notBefore >= 0);
+        return !setRunning && (delayUntil == Long.MIN_VALUE || now - delayUntil >= 0);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/joblog/ItemSchedule.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/ItemSchedule.java
@@ -54,7 +54,7 @@
      * @param item its progress
      * @param dueMs when its job is due, Unix milliseconds
      */
-    public record Due(JobProgress job, ItemProgress item, long dueMs) {}
+    public record ScheduledItem(JobProgress job, ItemProgress item, long dueMs) {}
 
     /**
      * An item has run to its end.
@@ -63,7 +63,7 @@
      * @param runEvents events of its last run
      * @param run time of its last run
      */
-    public void onDone(int events, int runEvents, Duration run) {
+    public void onItemCompleted(int events, int runEvents, Duration run) {
         usualEvents += WEIGHT * (events - usualEvents);
         if (runEvents > 1) {
             double sample = run.toNanos() / NANOS_PER_MILLI / runEvents;
@@ -73,11 +73,11 @@
 
     /** Time that an item still has to run, milliseconds. */
     private double leftMs(ItemProgress item) {
-        return Math.max(1, usualEvents - item.events()) * eventMs;
+        return Math.max(1, usualEvents - item.eventCount()) * eventMs;
     }
 
     /** Time to spare until an item is due, milliseconds; negative where it will be late. */
-    private double slackMs(Due due, long nowMs) {
+    private double slackMs(ScheduledItem due, long nowMs) {
         return due.dueMs() - nowMs - marginMs - leftMs(due.item());
     }
 
@@ -88,14 +88,14 @@
         LATE
     }
 
-    private Prospect prospect(Due due, long nowMs) {
+    private Prospect prospect(ScheduledItem due, long nowMs) {
         if (slackMs(due, nowMs) < 0) {
             return Prospect.LATE;
         }
-        return due.item().events() > 0 ? Prospect.BEGUN : Prospect.NOT_BEGUN;
+        return due.item().eventCount() > 0 ? Prospect.BEGUN : Prospect.NOT_BEGUN;
     }
 
-    private double rank(Due due, Prospect prospect) {
+    private double rank(ScheduledItem due, Prospect prospect) {
         return prospect == Prospect.NOT_BEGUN ? due.dueMs() : leftMs(due.item());
     }
 
@@ -107,10 +107,11 @@
      * @param nowMs Unix time, for due times
      * @return the item, or empty where none may be started
      */
-    public Optional<Due> next(Stream<Due> items, long nowNanos, long nowMs) {
+    public Optional<ScheduledItem> selectNext(
+            Stream<ScheduledItem> items, long nowNanos, long nowMs) {
         return items.filter(due -> due.item().isStartable(nowNanos))
                 .min(
-                        Comparator.<Due, Prospect>comparing(due -> prospect(due, nowMs))
+                        Comparator.<ScheduledItem, Prospect>comparing(due -> prospect(due, nowMs))
                                 .thenComparingDouble(due -> rank(due, prospect(due, nowMs))));
     }
 
@@ -121,15 +122,17 @@
      * @param nowMs Unix time
      * @return the item, or empty where none runs
      */
-    public Optional<Due> firstToYield(Collection<Due> running, long nowMs) {
+    public Optional<ScheduledItem> selectForPreemption(
+            Collection<ScheduledItem> running, long nowMs) {
         return running.stream()
                 .max(
-                        Comparator.<Due>comparingInt(due -> slackMs(due, nowMs) < 0 ? 1 : 0)
+                        Comparator.<ScheduledItem>comparingInt(
+                                        due -> slackMs(due, nowMs) < 0 ? 1 : 0)
                                 .thenComparingDouble(due -> yieldRank(due, nowMs)));
     }
 
     /** Of those that will be late the one with the most left, of others the one with most time. */
-    private double yieldRank(Due due, long nowMs) {
+    private double yieldRank(ScheduledItem due, long nowMs) {
         double slack = slackMs(due, nowMs);
         return slack < 0 ? leftMs(due.item()) : slack;
     }
--- a/core/src/main/java/org/sardinelift/core/joblog/JobAssignment.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/JobAssignment.java
@@ -43,7 +43,8 @@
      * @param now the time, nanoseconds
      * @return whether it is to run it from now on
      */
-    public boolean runsHere(String job, boolean running, Map<String, Boolean> claims, long now) {
+    public boolean isAssignedHere(
+            String job, boolean running, Map<String, Boolean> claims, long now) {
         boolean claimed = claims.containsValue(true);
         if (claimed) {
             unclaimedSince.remove(job);
--- a/core/src/main/java/org/sardinelift/core/joblog/JobProgress.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/JobProgress.java
@@ -17,7 +17,7 @@
     private final Map<String, JobItem> items = new HashMap<>();
     private final Map<String, ItemProgress> open = new LinkedHashMap<>();
     private final List<ItemResult> results = new ArrayList<>();
-    private final Map<String, ItemResult> unrecorded = new LinkedHashMap<>();
+    private final Map<String, ItemResult> unrecordedResults = new LinkedHashMap<>();
     private int nextRecord;
     private boolean ended;
 
@@ -60,11 +60,11 @@
     }
 
     /** What a record told. */
-    public enum Applied {
+    public enum ApplyResult {
         /** It was the next one. */
-        NEW,
+        APPLIED,
         /** It was known. */
-        KNOWN,
+        DUPLICATE,
         /** Records before it are missing here. */
         GAP
     }
@@ -76,21 +76,21 @@
      * @param recorded its results
      * @return what it told
      */
-    public Applied apply(int number, List<ItemResult> recorded) {
+    public ApplyResult applyRecord(int number, List<ItemResult> recorded) {
         if (number < nextRecord) {
-            return Applied.KNOWN;
+            return ApplyResult.DUPLICATE;
         }
         if (number > nextRecord) {
-            return Applied.GAP;
+            return ApplyResult.GAP;
         }
         nextRecord++;
         recorded.forEach(
                 result -> {
                     results.add(result);
                     open.remove(result.itemId());
-                    unrecorded.remove(result.itemId());
+                    unrecordedResults.remove(result.itemId());
                 });
-        return Applied.NEW;
+        return ApplyResult.APPLIED;
     }
 
     /**
@@ -98,7 +98,7 @@
      *
      * @return their number
      */
-    public int positions() {
+    public int filledPositions() {
         return results.size();
     }
 
@@ -152,7 +152,7 @@
      */
     public void onResult(ItemResult result) {
         if (open.containsKey(result.itemId())) {
-            unrecorded.putIfAbsent(result.itemId(), result);
+            unrecordedResults.putIfAbsent(result.itemId(), result);
         }
     }
 
@@ -162,10 +162,10 @@
      * @param maxChars longest output of all of them; the first is given whatever its length
      * @return the results in the order in which the items ended
      */
-    public List<ItemResult> unrecorded(int maxChars) {
+    public List<ItemResult> unrecordedResults(int maxChars) {
         List<ItemResult> batch = new ArrayList<>();
         int chars = 0;
-        for (ItemResult result : unrecorded.values()) {
+        for (ItemResult result : unrecordedResults.values()) {
             chars += result.output().length();
             if (!batch.isEmpty() && chars > maxChars) {
                 break;
@@ -183,7 +183,8 @@
     public Stream<ItemProgress> openItems() {
         return ended
                 ? Stream.empty()
-                : open.values().stream().filter(item -> !unrecorded.containsKey(item.item().id()));
+                : open.values().stream()
+                        .filter(item -> !unrecordedResults.containsKey(item.item().id()));
     }
 
     /**
--- a/core/src/main/java/org/sardinelift/core/joblog/YieldShare.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/PreemptionShare.java
@@ -8,8 +8,8 @@
  * slots. All workers reckon from the same reports in the same order, so that together they take
  * away as many as are needed and not each all of them.
  */
-public final class YieldShare {
-    private YieldShare() {}
+public final class PreemptionShare {
+    private PreemptionShare() {}
 
     /**
      * The items that one worker takes away.
@@ -20,7 +20,8 @@
      * @param excess calls beyond the slots
      * @return its part, at most its own items
      */
-    public static int of(String self, int own, Map<String, Integer> others, int excess) {
+    public static int itemsToPreempt(
+            String self, int own, Map<String, Integer> others, int excess) {
         TreeMap<String, Integer> items = new TreeMap<>(others);
         items.put(self, own);
         int left = excess;
--- a/core/src/main/java/org/sardinelift/core/limit/Absences.java
+++ b/core/src/main/java/org/sardinelift/core/limit/AbsenceTracker.java
@@ -9,7 +9,7 @@
  * Since when other entries are missing from the platform's list, and since when lives of an
  * instance are known to be replaced by a newer one. Times are nanoseconds.
  */
-final class Absences {
+final class AbsenceTracker {
     private final Map<String, Long> missingSince = new HashMap<>();
     private final Map<MemberId, Long> supersededSince = new HashMap<>();
     private final String self;
@@ -21,7 +21,7 @@
     private boolean listKnown;
     private Set<String> connected = Set.of();
 
-    Absences(String self, LimitBounds bounds) {
+    AbsenceTracker(String self, LimitBounds bounds) {
         this.self = self;
         contactBoundNanos = bounds.contactBound().toNanos();
     }
@@ -51,12 +51,12 @@
     }
 
     /** Forgets every time; called after a pause, in which nothing was seen. */
-    void forget() {
+    void clearTimes() {
         missingSince.clear();
         supersededSince.clear();
     }
 
-    void note(Shares shares, long now) {
+    void update(Shares shares, long now) {
         Set<String> present = new HashSet<>();
         for (MemberId id : shares.members().keySet()) {
             present.add(id.instance());
@@ -73,7 +73,7 @@
         supersededSince.keySet().retainAll(shares.members().keySet());
     }
 
-    boolean isGone(MemberId id, LimitBounds bounds, long now) {
+    boolean isReclaimable(MemberId id, LimitBounds bounds, long now) {
         Long missing = missingSince.get(id.instance());
         Long superseded = supersededSince.get(id);
         boolean fresh = now - listedAt <= contactBoundNanos;
@@ -82,7 +82,7 @@
     }
 
     /** Whether others that read the same list would leave this entry its units. */
-    boolean mayTake() {
+    boolean mayAcquireUnits() {
         return listKnown && !selfMissing;
     }
 
@@ -91,7 +91,7 @@
     }
 
     /** When this entry will have been missing for too long, unless the list shows it before. */
-    long selfMissingAt() {
+    long selfMissingDeadline() {
         return selfMissing ? selfMissingSince + contactBoundNanos + 1 : Long.MAX_VALUE;
     }
 
--- a/core/src/main/java/org/sardinelift/core/limit/LoansTaken.java
+++ b/core/src/main/java/org/sardinelift/core/limit/BorrowedLoans.java
@@ -11,18 +11,18 @@
  * Tokens of one team that peers have lent, oldest loan first, and the settlements to be sent for
  * loans that are over. Times are nanoseconds. Not safe for use by several threads.
  */
-final class LoansTaken {
+final class BorrowedLoans {
     private static final double ROUNDING = 1e-9;
 
     private final String team;
-    private final Deque<Borrowed> loans = new ArrayDeque<>();
+    private final Deque<BorrowedLoan> loans = new ArrayDeque<>();
     private final List<Settlement> settlements = new ArrayList<>();
 
-    LoansTaken(String team) {
+    BorrowedLoans(String team) {
         this.team = team;
     }
 
-    void add(Borrowed loan) {
+    void add(BorrowedLoan loan) {
         loans.add(loan);
     }
 
@@ -33,7 +33,7 @@
     /** Tokens on loan, expired ones included until {@link #dropExpired}. */
     double tokens() {
         double total = 0;
-        for (Borrowed loan : loans) {
+        for (BorrowedLoan loan : loans) {
             total += loan.tokens();
         }
         return total;
@@ -41,18 +41,18 @@
 
     /** When the first loan expires, {@link Long#MAX_VALUE} where none is held. */
     long firstExpiry() {
-        return loans.stream().mapToLong(Borrowed::expiresNanos).min().orElse(Long.MAX_VALUE);
+        return loans.stream().mapToLong(BorrowedLoan::expiresNanos).min().orElse(Long.MAX_VALUE);
     }
 
     /** Spends the same part of each loan and returns the tokens spent. */
     double spend(double part) {
         double total = 0;
         for (int left = loans.size(); left > 0; left--) {
-            Borrowed loan = loans.poll();
+            BorrowedLoan loan = loans.poll();
             double spent = loan.tokens() * part;
             total += spent;
             if (loan.tokens() - spent > ROUNDING) {
-                loans.add(loan.less(spent));
+                loans.add(loan.minus(spent));
             } else {
                 settle(loan, 0);
             }
@@ -61,10 +61,10 @@
     }
 
     /** Gives back tokens beyond a number, the newest loan first. */
-    void returnBeyond(double keep) {
+    void returnExcess(double keep) {
         double held = tokens();
         while (held > keep + ROUNDING) {
-            Borrowed loan = loans.pollLast();
+            BorrowedLoan loan = loans.pollLast();
             held -= loan.tokens();
             settle(loan, loan.tokens());
         }
@@ -72,7 +72,7 @@
 
     /** Gives back what is left of loans that expire before a time. */
     void returnExpiring(long beforeNanos) {
-        end(beforeNanos, Borrowed::tokens);
+        end(beforeNanos, BorrowedLoan::tokens);
     }
 
     /** Drops loans that have expired; nothing of them goes back. */
@@ -80,10 +80,10 @@
         end(nowNanos + 1, loan -> 0);
     }
 
-    private void end(long beforeNanos, ToDoubleFunction<Borrowed> unspent) {
-        Iterator<Borrowed> each = loans.iterator();
+    private void end(long beforeNanos, ToDoubleFunction<BorrowedLoan> unspent) {
+        Iterator<BorrowedLoan> each = loans.iterator();
         while (each.hasNext()) {
-            Borrowed loan = each.next();
+            BorrowedLoan loan = each.next();
             if (loan.expiresNanos() - beforeNanos < 0) {
                 each.remove();
                 settle(loan, unspent.applyAsDouble(loan));
@@ -92,8 +92,8 @@
     }
 
     /** Notes that a loan is over. */
-    void settle(Borrowed loan, double unspent) {
-        settlements.add(new Settlement(loan.peer(), loan.exchange(), team, unspent));
+    void settle(BorrowedLoan loan, double unspent) {
+        settlements.add(new Settlement(loan.peer(), loan.loanId(), team, unspent));
     }
 
     boolean hasSettlements() {
@@ -101,7 +101,7 @@
     }
 
     /** Takes the settlements since the last call. */
-    List<Settlement> takeSettlements() {
+    List<Settlement> pollSettlements() {
         if (settlements.isEmpty()) {
             return List.of();
         }
--- a/core/src/main/java/org/sardinelift/core/limit/Contact.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ContactTracker.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** When the platform and the peers were last heard. Times are nanoseconds. */
-final class Contact {
+final class ContactTracker {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final LimitBounds bounds;
@@ -12,15 +12,15 @@
     private long platformAt = NEVER;
     private long peerAt = NEVER;
 
-    Contact(LimitBounds bounds) {
+    ContactTracker(LimitBounds bounds) {
         this.bounds = bounds;
     }
 
-    void onPlatform(long sentAt) {
+    void onPlatformContact(long sentAt) {
         platformAt = Math.max(platformAt, sentAt);
     }
 
-    void onPeer(String peer, long platformAge, long now) {
+    void onPeerReport(String peer, long platformAge, long now) {
         peerAt = now;
         peers.put(peer, new Word(now - platformAge));
     }
@@ -34,12 +34,12 @@
     }
 
     /** When nobody has been heard for too long, unless somebody is heard before. */
-    long silentAt() {
+    long isolationDeadline() {
         return Math.max(platformAt, peerAt) + bounds.isolationBound().toNanos() + 1;
     }
 
     /** When the platform has not been reached for too long, unless it is reached before. */
-    long platformLostAt() {
+    long platformContactDeadline() {
         return platformAt + bounds.contactBound().toNanos() + 1;
     }
 
@@ -47,7 +47,7 @@
      * Whether others may have taken this entry's units without its knowing: it hears nobody, or it
      * can't reach the platform while a peer can.
      */
-    boolean isDoubtful(long now) {
+    boolean mayHaveLostUnits(long now) {
         boolean silent = now - Math.max(platformAt, peerAt) > bounds.isolationBound().toNanos();
         long contactBound = bounds.contactBound().toNanos();
         boolean cutOff =
--- a/core/src/main/java/org/sardinelift/core/limit/FleetLimit.java
+++ b/core/src/main/java/org/sardinelift/core/limit/FleetLimit.java
@@ -24,7 +24,7 @@
     private final MemberId self;
     private final LimitBounds bounds;
     private final ShareLedger ledger;
-    private final LoanDesk desk;
+    private final TokenBorrower desk;
     private final Map<String, TeamAccount> accounts = new ConcurrentHashMap<>();
     private final Set<String> holding = new HashSet<>();
     private final Set<String> due = ConcurrentHashMap.newKeySet();
@@ -44,11 +44,11 @@
         this.bounds = bounds;
         this.ledger = ShareLedger.create(self, bounds, random);
         this.desk =
-                new LoanDesk(
+                new TokenBorrower(
                         self.instance(),
                         bounds,
                         random,
-                        () -> fraction(ledger.reachable(connected)));
+                        () -> fraction(ledger.reachableUnits(connected)));
     }
 
     /**
@@ -76,14 +76,14 @@
             return false;
         }
         TeamAccount account = account(plan, now);
-        account.replan(plan, now);
-        boolean taken = account.tryTake(now);
+        account.updatePlan(plan, now);
+        boolean taken = account.tryAcquire(now);
         noteDue(plan.name(), account);
         return taken;
     }
 
     private void noteDue(String team, @Nullable TeamAccount account) {
-        if (account != null && account.isDue()) {
+        if (account != null && account.hasPendingMessages()) {
             due.add(team);
         }
     }
@@ -93,7 +93,7 @@
      *
      * @return true until the next {@link #tick}
      */
-    public boolean hasDue() {
+    public boolean hasPendingMessages() {
         return !due.isEmpty();
     }
 
@@ -103,18 +103,18 @@
      * @param now the time
      * @return that time, or one that has passed
      */
-    public long nextTick(long now) {
+    public long nextTickAt(long now) {
         if (!ticked) {
             return now;
         }
         long soonest = tickedAt + LEAST_STEP_NANOS;
-        if (hasDue() || !desk.gathering().isEmpty() || hasNewShare()) {
+        if (hasPendingMessages() || !desk.waitingTeams().isEmpty() || hasNewShare()) {
             return soonest;
         }
         long latest = tickedAt + bounds.pauseBound().toNanos() / STEPS_IN_PAUSE_BOUND;
         long balance = balanceAt + bounds.balanceInterval().toNanos();
         long own = Math.min(Math.min(latest, balance), returnAt);
-        return Math.max(soonest, Math.min(own, ledger.due(now)));
+        return Math.max(soonest, Math.min(own, ledger.dueAt(now)));
     }
 
     /**
@@ -128,11 +128,11 @@
     public void admit(TeamPlan plan, long ticket, long now, LimitActions out) {
         step(now);
         TeamAccount account = account(plan, now);
-        account.replan(plan, now);
-        if (account.tryTake(now)) {
+        account.updatePlan(plan, now);
+        if (account.tryAcquire(now)) {
             out.answer(ticket, new Admission.Admitted());
         } else {
-            desk.request(plan.name(), account, ticket, now, out);
+            desk.submit(plan.name(), account, ticket, now, out);
         }
         settle(plan.name(), account, out);
     }
@@ -153,9 +153,9 @@
         long ttl = bounds.loanTtl().toNanos();
         long until = now + ttl + bounds.loanMargin().toNanos();
         TeamAccount account = account(plan, now);
-        account.replan(plan, now);
+        account.updatePlan(plan, now);
         double lent =
-                desk.keepsFrom(plan.name(), peer)
+                desk.hasPriorityOver(plan.name(), peer)
                         ? 0
                         : account.lend(peer, exchange, tokens, now, until);
         out.lend(peer, exchange, plan.name(), lent, ttl / NANOS_PER_MILLI);
@@ -187,7 +187,7 @@
             return;
         }
         if (ttlMs == 0) {
-            account.returned(peer, exchange, tokens, now);
+            account.onLoanReturned(peer, exchange, tokens, now);
         } else {
             holding.add(team);
             desk.onLend(peer, exchange, account, tokens, ttlMs * NANOS_PER_MILLI, now, out);
@@ -205,7 +205,7 @@
         connected.stream().filter(peer -> !peers.contains(peer)).forEach(ledger::onPeerDown);
         connected = Set.copyOf(peers);
         ledger.onConnected(connected);
-        desk.onPeers(peers.stream().sorted().toList());
+        desk.onConnected(peers.stream().sorted().toList());
     }
 
     /**
@@ -219,9 +219,9 @@
         ticked = true;
         step(now);
         balance(now);
-        ledger.tick(now).ifPresent(out::call);
+        ledger.tick(now).ifPresent(out::callPlatform);
         applyShare(now);
-        List<String> gathering = desk.gathering();
+        List<String> gathering = desk.waitingTeams();
         desk.tick(accounts, now, out);
         gathering.forEach(team -> noteDue(team, accounts.get(team)));
         List.copyOf(due).forEach(team -> send(team, now, out));
@@ -239,7 +239,7 @@
         due.remove(team);
         TeamAccount account = accounts.get(team);
         if (account != null) {
-            desk.level(team, account, ledger::unitsOf, now, out);
+            desk.borrowOverpaid(team, account, ledger::unitsOf, now, out);
             settle(team, account, out);
         }
     }
@@ -262,7 +262,7 @@
         }
         account.returnExpiring(returnBefore, now);
         settle(team, account, out);
-        return account.holdsLoans();
+        return account.hasLoans();
     }
 
     /**
@@ -280,9 +280,9 @@
      *
      * @param teams names of the teams there are
      */
-    public void retain(Set<String> teams) {
+    public void retainTeams(Set<String> teams) {
         accounts.keySet().retainAll(teams);
-        desk.retain(teams);
+        desk.retainTeams(teams);
     }
 
     /**
@@ -301,7 +301,7 @@
     }
 
     private void step(long now) {
-        ledger.check(now);
+        ledger.checkValidity(now);
         applyShare(now);
         steppedAt = now;
         stepped = true;
@@ -311,22 +311,23 @@
         if (!hasNewShare()) {
             return;
         }
-        long fresh = ledger.takeFresh();
+        long fresh = ledger.pollFreshUnits();
         synchronized (opening) {
-            units = ledger.usable();
+            units = ledger.usableUnits();
             double fraction = fraction(units);
             double freshFraction = fraction(fresh);
             history.add(fraction, freshFraction, now);
-            accounts.values().forEach(account -> account.share(fraction, freshFraction, now));
+            accounts.values()
+                    .forEach(account -> account.updateFraction(fraction, freshFraction, now));
         }
     }
 
     private boolean hasNewShare() {
-        return ledger.usable() != units || ledger.hasFresh();
+        return ledger.usableUnits() != units || ledger.hasFreshUnits();
     }
 
     private static double fraction(long units) {
-        return units / (double) Shares.TOTAL;
+        return units / (double) Shares.TOTAL_UNITS;
     }
 
     private TeamAccount account(TeamPlan plan, long now) {
@@ -335,7 +336,7 @@
             return held;
         }
         synchronized (opening) {
-            return accounts.computeIfAbsent(plan.name(), name -> history.open(plan));
+            return accounts.computeIfAbsent(plan.name(), name -> history.openAccount(plan));
         }
     }
 
@@ -349,17 +350,17 @@
         double net = 0;
         double rates = 0;
         for (TeamAccount account : accounts.values()) {
-            net += account.takeNetLent();
+            net += account.pollNetLent();
             rates += account.isActive() ? account.ratePerSecond() : 0;
         }
         double part = rates > 0 ? net / rates / window : 0;
         boolean small = Math.abs(part) < bounds.balanceThreshold();
-        ledger.demand(small ? 0 : Math.round(-part / 2 * Shares.TOTAL), now);
+        ledger.updateDemand(small ? 0 : Math.round(-part / 2 * Shares.TOTAL_UNITS), now);
     }
 
     private void settle(String team, TeamAccount account, LimitActions out) {
-        for (Settlement done : account.takeSettlements()) {
-            out.lend(done.peer(), done.exchange(), team, done.tokens(), 0);
+        for (Settlement done : account.pollSettlements()) {
+            out.lend(done.peer(), done.loanId(), team, done.unspentTokens(), 0);
         }
         noteDue(team, account);
     }
--- a/core/src/main/java/org/sardinelift/core/limit/LimitActions.java
+++ b/core/src/main/java/org/sardinelift/core/limit/LimitActions.java
@@ -38,5 +38,5 @@
      *
      * @param call the call
      */
-    void call(ShareCall call);
+    void callPlatform(ShareCall call);
 }
--- a/core/src/main/java/org/sardinelift/core/limit/LimitBounds.java
+++ b/core/src/main/java/org/sardinelift/core/limit/LimitBounds.java
@@ -81,7 +81,7 @@
      *
      * @return the sum of the bounds after which it stops, and of a loan's life
      */
-    public Duration longestUse() {
+    public Duration longestUseAfterContactLoss() {
         Duration stop = max(max(isolationBound, contactBound), pauseBound);
         return stop.plus(callTimeout).plus(loanTtl).plus(loanMargin);
     }
@@ -92,7 +92,7 @@
      * @return true where the bounds fit
      */
     public boolean isReclaimSafe() {
-        return reclaimDelay.compareTo(longestUse()) > 0;
+        return reclaimDelay.compareTo(longestUseAfterContactLoss()) > 0;
     }
 
     private static Duration max(Duration one, Duration other) {
--- a/core/src/main/java/org/sardinelift/core/limit/Gather.java
+++ b/core/src/main/java/org/sardinelift/core/limit/LoanGathering.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /** Requests of one team that wait for loans, and the loans asked for. Times are nanoseconds. */
-final class Gather {
+final class LoanGathering {
     private static final int MAX_DOUBLINGS = 8;
 
-    private final Deque<Long> tickets = new ArrayDeque<>();
+    private final Deque<Long> waitingRequests = new ArrayDeque<>();
     private final Map<Long, String> asked = new HashMap<>();
-    private Deque<String> peersLeft = new ArrayDeque<>();
+    private Deque<String> peersToAsk = new ArrayDeque<>();
     private boolean active;
     private long startedAt;
     private long passEndedAt;
     private long roundAt;
     private int pass;
     private long notBefore;
-    private long comeBack;
+    private long retryAt;
     private int vain;
 
     boolean isActive() {
@@ -36,7 +36,7 @@
         pass++;
         passEndedAt = 0;
         asked.clear();
-        peersLeft = peers;
+        peersToAsk = peers;
     }
 
     void stop(long noGatherBefore) {
@@ -45,37 +45,37 @@
         notBefore = noGatherBefore;
     }
 
-    void served() {
+    void resetBackoff() {
         vain = 0;
     }
 
     /** The pause after one more vain round, twice that after the round before. */
-    long vainPause(long least) {
+    long nextBackoff(long least) {
         vain = Math.min(vain + 1, MAX_DOUBLINGS);
         return least << vain;
     }
 
-    void comeBack(long time) {
-        comeBack = time;
+    void retryAt(long time) {
+        retryAt = time;
     }
 
     /** When the fleet must have a token, as of the last vain round. */
-    long comeBack() {
-        return comeBack;
+    long retryAt() {
+        return retryAt;
     }
 
-    void ask(long exchange, String peer) {
+    void recordRequest(long exchange, String peer) {
         asked.put(exchange, peer);
     }
 
     /** Notes that a peer has answered; whether it was asked in this pass. */
-    boolean answered(long exchange) {
+    boolean recordAnswer(long exchange) {
         return asked.remove(exchange) != null;
     }
 
-    void peerDown(String peer) {
+    void onPeerDown(String peer) {
         asked.values().removeIf(peer::equals);
-        peersLeft.remove(peer);
+        peersToAsk.remove(peer);
     }
 
     void startRound(long now) {
@@ -83,27 +83,27 @@
     }
 
     /** Whether all peers asked in this round have answered or had the time for it. */
-    boolean isRoundHeard(long patienceNanos, long now) {
+    boolean isRoundAnsweredOrTimedOut(long patienceNanos, long now) {
         return asked.isEmpty() || now - roundAt >= patienceNanos;
     }
 
-    boolean isRoundOver() {
+    boolean isRoundAnswered() {
         return asked.isEmpty();
     }
 
     boolean isPassOver(long now) {
-        boolean over = asked.isEmpty() && peersLeft.isEmpty();
+        boolean over = asked.isEmpty() && peersToAsk.isEmpty();
         if (over && passEndedAt == 0) {
             passEndedAt = now;
         }
         return over;
     }
 
-    long sincePass(long now) {
+    long nanosSincePass(long now) {
         return now - passEndedAt;
     }
 
-    long age(long now) {
+    long ageNanos(long now) {
         return now - startedAt;
     }
 
@@ -115,11 +115,11 @@
         return notBefore;
     }
 
-    Deque<Long> tickets() {
-        return tickets;
+    Deque<Long> waitingRequests() {
+        return waitingRequests;
     }
 
-    Deque<String> peersLeft() {
-        return peersLeft;
+    Deque<String> peersToAsk() {
+        return peersToAsk;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/limit/Settlement.java
+++ b/core/src/main/java/org/sardinelift/core/limit/Settlement.java
@@ -6,6 +6,6 @@
  * @param peer the lender
  * @param exchange number of the loan
  * @param team the team
- * @param tokens tokens that go back unspent
+ * @param unspentTokens tokens that go back unspent
  */
-public record Settlement(String peer, long exchange, String team, double tokens) {}
+public record Settlement(String peer, long loanId, String team, double unspentTokens) {}
--- a/core/src/main/java/org/sardinelift/core/limit/ShareParts.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ShareBalancer.java
@@ -1,33 +1,33 @@
 package org.sardinelift.core.limit;
 
 /** How many units one entry should hold, give and take, by what the shares and the list show. */
-final class ShareParts {
+final class ShareBalancer {
     private static final int LEAST_PARTS = 4;
     private static final int STARVING_PARTS = 8;
 
     private final MemberId self;
-    private final Absences absences;
-    private long demand;
+    private final AbsenceTracker absences;
+    private long updateDemand;
 
-    ShareParts(MemberId self, Absences absences) {
+    ShareBalancer(MemberId self, AbsenceTracker absences) {
         this.self = self;
         this.absences = absences;
     }
 
     /** Sets the units that this entry lacks, negative for units to spare. */
-    void demand(long units) {
-        demand = units;
+    void updateDemand(long units) {
+        updateDemand = units;
     }
 
     /** Units that this entry can do without while it keeps a least part. */
-    long spare(Shares shares, long usable) {
-        return Math.min(-demand, usable - equal(shares) / LEAST_PARTS);
+    long surplusUnits(Shares shares, long usable) {
+        return Math.min(-updateDemand, usable - equal(shares) / LEAST_PARTS);
     }
 
     /** Units to give to entries that hold hardly any, where the pool can't give them. */
-    long toFeed(Shares shares, long usable) {
+    long unitsForStarvedMembers(Shares shares, long usable) {
         long equal = equal(shares);
-        long lacking = shares.lacking(equal / STARVING_PARTS, equal) - shares.pool();
+        long lacking = shares.shortfall(equal / STARVING_PARTS, equal) - shares.pool();
         return Math.min(usable - equal, lacking);
     }
 
@@ -35,15 +35,15 @@
      * Units to take from the pool of the next shares; a part of it also without need once units
      * have rested there.
      */
-    long wanted(Shares shares, Shares next, boolean rested) {
+    long unitsWanted(Shares shares, Shares next, boolean rested) {
         long lacking = Math.max(0, equal(shares) - next.units(self));
         long part = rested ? next.pool() / count(shares) + 1 : 0;
-        long needed = demand < 0 ? part : Math.max(Math.max(demand, lacking), part);
+        long needed = updateDemand < 0 ? part : Math.max(Math.max(updateDemand, lacking), part);
         return Math.min(next.pool(), needed);
     }
 
     private long equal(Shares shares) {
-        return Shares.TOTAL / count(shares);
+        return Shares.TOTAL_UNITS / count(shares);
     }
 
     private int count(Shares shares) {
--- a/core/src/main/java/org/sardinelift/core/limit/ShareCalls.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ShareCallScheduler.java
@@ -8,7 +8,7 @@
  * lost answer is noticed after a few times what answers take, not after the whole timeout. Times
  * are nanoseconds. Not safe for use by several threads.
  */
-final class ShareCalls {
+final class ShareCallScheduler {
     private static final double JITTER = 0.25;
     private static final int PATIENCE_FACTOR = 4;
     private static final int LEAST_PATIENCE_PARTS = 8;
@@ -22,7 +22,7 @@
     private long sentAt;
     private long nextAt;
 
-    ShareCalls(LimitBounds bounds, RandomGenerator random) {
+    ShareCallScheduler(LimitBounds bounds, RandomGenerator random) {
         this.random = random;
         this.retry = bounds.retry();
         this.longestPatience = bounds.callTimeout().toNanos();
@@ -30,7 +30,7 @@
     }
 
     /** Whether the call under way has gone without an answer for too long; the next may longer. */
-    boolean timesOut(long now) {
+    boolean hasTimedOut(long now) {
         boolean over = waiting && now - sentAt > patience;
         patience = over ? Math.min(2 * patience, longestPatience) : patience;
         return over;
@@ -40,7 +40,7 @@
         return !waiting && now >= nextAt;
     }
 
-    /** When {@link #timesOut} or {@link #isDue} is true next. */
+    /** When {@link #hasTimedOut} or {@link #isDue} is true next. */
     long dueAt() {
         return waiting ? sentAt + patience + 1 : nextAt;
     }
@@ -53,7 +53,7 @@
     }
 
     /** Whether this is the call under way. */
-    boolean isUnderWay(long call) {
+    boolean isInFlight(long call) {
         return waiting && call == number;
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Learns from an answer how long answers take. */
-    void learn(long now) {
+    void recordLatency(long now) {
         long enough = Math.max(leastPatience(), PATIENCE_FACTOR * (now - sentAt));
         patience = Math.min(longestPatience, enough);
     }
@@ -80,19 +80,19 @@
     }
 
     /** Gives the call up: a late answer to it counts no more. */
-    void fail(long now) {
+    void abandon(long now) {
         number++;
         end(retry, now);
     }
 
     /** Has the next call come no later than this. */
-    void hasten(long at) {
+    void scheduleNoLaterThan(long at) {
         nextAt = Math.min(nextAt, at);
     }
 
     /** Has the next call come no later than about a retry from now. */
-    void hastenToRetry(long now) {
-        hasten(now + jittered(retry));
+    void scheduleWithinRetryPause(long now) {
+        scheduleNoLaterThan(now + jittered(retry));
     }
 
     private long leastPatience() {
--- a/core/src/main/java/org/sardinelift/core/limit/ShareHistory.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ShareHistory.java
@@ -37,10 +37,10 @@
     }
 
     /** Opens the account of a team from which nothing was taken here so far. */
-    TeamAccount open(TeamPlan plan) {
+    TeamAccount openAccount(TeamPlan plan) {
         long since = steps.isEmpty() ? 0 : steps.peek().at();
         TeamAccount account = TeamAccount.open(plan, 0, since);
-        steps.forEach(step -> account.share(step.fraction(), step.fresh(), step.at()));
+        steps.forEach(step -> account.updateFraction(step.fraction(), step.fresh(), step.at()));
         return account;
     }
 
--- a/core/src/main/java/org/sardinelift/core/limit/ShareLedger.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ShareLedger.java
@@ -26,15 +26,15 @@
 public final class ShareLedger {
     private final MemberId self;
     private final LimitBounds bounds;
-    private final ShareCalls calls;
-    private final Absences absences;
-    private final ShareParts parts;
-    private final Contact contact;
+    private final ShareCallScheduler calls;
+    private final AbsenceTracker absences;
+    private final ShareBalancer parts;
+    private final ContactTracker contact;
     private Shares shares = Shares.initial();
     private long version;
     private boolean known;
     private boolean current;
-    private long usable;
+    private long usableUnits;
     private long fresh;
     private long giving;
     private long giveAt;
@@ -49,10 +49,10 @@
     private ShareLedger(MemberId self, LimitBounds bounds, RandomGenerator random) {
         this.self = self;
         this.bounds = bounds;
-        this.calls = new ShareCalls(bounds, random);
-        this.absences = new Absences(self.instance(), bounds);
-        this.parts = new ShareParts(self, absences);
-        this.contact = new Contact(bounds);
+        this.calls = new ShareCallScheduler(bounds, random);
+        this.absences = new AbsenceTracker(self.instance(), bounds);
+        this.parts = new ShareBalancer(self, absences);
+        this.contact = new ContactTracker(bounds);
     }
 
     /**
@@ -74,8 +74,8 @@
      * @return the call to make, empty to wait
      */
     public Optional<ShareCall> tick(long now) {
-        check(now);
-        if (calls.timesOut(now)) {
+        checkValidity(now);
+        if (calls.hasTimedOut(now)) {
             failed(now);
         }
         if (!calls.isDue(now)) {
@@ -86,9 +86,9 @@
         if (!known || !current) {
             return Optional.of(new ShareCall.Read(number));
         }
-        absences.note(shares, now);
+        absences.update(shares, now);
         Shares next = plan(now);
-        if (next == shares && next.units(self) == usable + giving) {
+        if (next == shares && next.units(self) == usableUnits + giving) {
             current = false;
             return Optional.of(new ShareCall.Read(number));
         }
@@ -103,14 +103,14 @@
      * @param now the time
      * @return that time, or one that has passed
      */
-    public long due(long now) {
+    public long dueAt(long now) {
         long call = calls.dueAt();
-        if (usable == 0 && giving == 0) {
+        if (usableUnits == 0 && giving == 0) {
             return call;
         }
-        long stop = Math.min(contact.silentAt(), absences.selfMissingAt());
-        long keep = isGivingUntouched() ? contact.platformLostAt() : Long.MAX_VALUE;
-        return contact.isDoubtful(now) ? now : Math.min(Math.min(call, keep), stop);
+        long stop = Math.min(contact.isolationDeadline(), absences.selfMissingDeadline());
+        long keep = isGivingUntouched() ? contact.platformContactDeadline() : Long.MAX_VALUE;
+        return contact.mayHaveLostUnits(now) ? now : Math.min(Math.min(call, keep), stop);
     }
 
     /** Whether units that are to be given away haven't been written yet and may still be kept. */
@@ -123,18 +123,18 @@
      *
      * @param now the time
      */
-    public void check(long now) {
+    public void checkValidity(long now) {
         boolean paused = ticked && now - lastTick > bounds.pauseBound().toNanos();
         lastTick = now;
         ticked = true;
         if (paused) {
-            absences.forget();
+            absences.clearTimes();
         }
-        if (paused || contact.isDoubtful(now) || absences.isSelfMissing(now)) {
+        if (paused || contact.mayHaveLostUnits(now) || absences.isSelfMissing(now)) {
             suspend(now);
         }
         if (isGivingUntouched() && contact.platformAge(now) > bounds.contactBound().toNanos()) {
-            usable += giving;
+            usableUnits += giving;
             giving = 0;
         }
     }
@@ -148,7 +148,7 @@
      * @param now the time
      */
     public void onRead(long call, long readVersion, Shares read, long now) {
-        if (!calls.isUnderWay(call)) {
+        if (!calls.isInFlight(call)) {
             return;
         }
         onAnswer(now);
@@ -157,9 +157,9 @@
             return;
         }
         take(readVersion, read, now);
-        absences.note(shares, now);
-        giveAway(parts.toFeed(shares, usable), now);
-        boolean settled = plan(now) == shares && shares.units(self) == usable + giving;
+        absences.update(shares, now);
+        giveAway(parts.unitsForStarvedMembers(shares, usableUnits), now);
+        boolean settled = plan(now) == shares && shares.units(self) == usableUnits + giving;
         current = !settled;
         endRead(settled, now);
     }
@@ -172,14 +172,14 @@
      * @param now the time
      */
     public void onWritten(long call, long newVersion, long now) {
-        if (!calls.isUnderWay(call)) {
+        if (!calls.isInFlight(call)) {
             return;
         }
         onAnswer(now);
         long freshTaken = shares.fresh() - writing.fresh();
         take(newVersion, writing, now);
         if (confirmable && !leaving && !absences.isSelfMissing(now)) {
-            usable = Math.max(0, shares.units(self) - giving);
+            usableUnits = Math.max(0, shares.units(self) - giving);
             fresh += freshTaken;
         }
         current = true;
@@ -193,7 +193,7 @@
      * @param now the time
      */
     public void onFailed(long call, long now) {
-        if (calls.isUnderWay(call)) {
+        if (calls.isInFlight(call)) {
             failed(now);
         }
     }
@@ -206,7 +206,7 @@
      */
     public void onListed(Set<String> entries, long now) {
         absences.onListed(entries, now);
-        contact.onPlatform(now);
+        contact.onPlatformContact(now);
     }
 
     /**
@@ -217,7 +217,7 @@
      */
     public void onConnected(Set<String> peers) {
         if (absences.onConnected(peers)) {
-            calls.hastenToRetry(lastTick);
+            calls.scheduleWithinRetryPause(lastTick);
         }
     }
 
@@ -228,8 +228,8 @@
      * @param platformAgeNanos time since then
      * @param now the time
      */
-    public void onPeer(String peer, long platformAgeNanos, long now) {
-        contact.onPeer(peer, platformAgeNanos, now);
+    public void onPeerReport(String peer, long platformAgeNanos, long now) {
+        contact.onPeerReport(peer, platformAgeNanos, now);
     }
 
     /**
@@ -247,9 +247,9 @@
      * @param units units lacking, negative for units to spare
      * @param now the time
      */
-    public void demand(long units, long now) {
-        parts.demand(units);
-        giveAway(parts.spare(shares, usable), now);
+    public void updateDemand(long units, long now) {
+        parts.updateDemand(units);
+        giveAway(parts.surplusUnits(shares, usableUnits), now);
     }
 
     private void giveAway(long units, long now) {
@@ -266,7 +266,7 @@
      */
     public void leave(long now) {
         leaving = true;
-        give(usable, now);
+        give(usableUnits, now);
     }
 
     /**
@@ -275,24 +275,24 @@
      * @return true once the platform has confirmed that all units were given back
      */
     public boolean hasLeft() {
-        return leaving && known && usable == 0 && !shares.members().containsKey(self);
+        return leaving && known && usableUnits == 0 && !shares.members().containsKey(self);
     }
 
     /**
      * Units that may be used now.
      *
-     * @return units of {@link Shares#TOTAL}
+     * @return units of {@link Shares#TOTAL_UNITS}
      */
-    public long usable() {
-        return usable;
+    public long usableUnits() {
+        return usableUnits;
     }
 
     /**
-     * Whether units came with full buckets that {@link #takeFresh} would return.
+     * Whether units came with full buckets that {@link #pollFreshUnits} would return.
      *
      * @return true where there are some
      */
-    public boolean hasFresh() {
+    public boolean hasFreshUnits() {
         return fresh > 0;
     }
 
@@ -302,7 +302,7 @@
      *
      * @return such units since the last call
      */
-    public long takeFresh() {
+    public long pollFreshUnits() {
         long taken = fresh;
         fresh = 0;
         return taken;
@@ -312,38 +312,38 @@
      * Units that this entry may use and that connected peers hold, as last read.
      *
      * @param peers names of connected peers
-     * @return units of {@link Shares#TOTAL}
+     * @return units of {@link Shares#TOTAL_UNITS}
      */
-    public long reachable(Set<String> peers) {
-        return usable + shares.unitsOf(peers);
+    public long reachableUnits(Set<String> peers) {
+        return usableUnits + shares.unitsOf(peers);
     }
 
     /**
      * Units that a peer holds, as last read.
      *
      * @param peer its name
-     * @return units of {@link Shares#TOTAL}
+     * @return units of {@link Shares#TOTAL_UNITS}
      */
     public long unitsOf(String peer) {
         return shares.unitsOf(Set.of(peer));
     }
 
     private void give(long units, long now) {
-        usable -= units;
+        usableUnits -= units;
         giving += units;
         giveTried = false;
         giveAt = now + bounds.loanTtl().plus(bounds.loanMargin()).toNanos();
-        calls.hasten(giveAt);
+        calls.scheduleNoLaterThan(giveAt);
     }
 
     private void suspend(long now) {
         confirmable = false;
         fresh = 0;
-        if (usable > 0 || giving > 0) {
-            usable = 0;
+        if (usableUnits > 0 || giving > 0) {
+            usableUnits = 0;
             giving = 0;
             current = false;
-            calls.hasten(now);
+            calls.scheduleNoLaterThan(now);
         }
     }
 
@@ -355,44 +355,47 @@
         shares = newShares;
         known = true;
         long held = shares.units(self);
-        usable = Math.min(usable, held);
-        giving = Math.max(0, Math.min(giving, held - usable));
+        usableUnits = Math.min(usableUnits, held);
+        giving = Math.max(0, Math.min(giving, held - usableUnits));
     }
 
     private void onAnswer(long now) {
-        contact.onPlatform(calls.sentAt());
-        calls.learn(now);
+        contact.onPlatformContact(calls.sentAt());
+        calls.recordLatency(now);
     }
 
     private void failed(long now) {
         current = false;
-        calls.fail(now);
+        calls.abandon(now);
     }
 
     /** The shares as they should be, the same object where nothing is to be changed. */
     private Shares plan(long now) {
-        Shares next = leaving ? shares : shares.join(self, version + 1);
+        Shares next = leaving ? shares : shares.addMember(self, version + 1);
         for (MemberId other : shares.members().keySet()) {
-            if (!other.equals(self) && absences.isGone(other, bounds, now)) {
-                next = next.remove(other);
+            if (!other.equals(self) && absences.isReclaimable(other, bounds, now)) {
+                next = next.removeMember(other);
             }
         }
         if (giving > 0 && now >= giveAt) {
-            next = next.take(self, -giving);
+            next = next.transferFromPool(self, -giving);
         }
-        if (leaving && usable == 0 && next.units(self) == 0 && next.members().containsKey(self)) {
-            return next.remove(self);
+        if (leaving
+                && usableUnits == 0
+                && next.units(self) == 0
+                && next.members().containsKey(self)) {
+            return next.removeMember(self);
         }
-        boolean taking = absences.mayTake() && !leaving && giving == 0;
+        boolean taking = absences.mayAcquireUnits() && !leaving && giving == 0;
         boolean rested = now - poolSince > bounds.balanceInterval().toNanos();
-        long wanted = taking ? parts.wanted(shares, next, rested) : 0;
-        return wanted > 0 ? next.take(self, wanted) : next;
+        long wanted = taking ? parts.unitsWanted(shares, next, rested) : 0;
+        return wanted > 0 ? next.transferFromPool(self, wanted) : next;
     }
 
     /** The next read comes after a pause, shorter for an entry that holds nothing yet. */
     private void endRead(boolean settled, long now) {
         if (settled) {
-            calls.end(usable + giving == 0 ? bounds.retry() : bounds.readInterval(), now);
+            calls.end(usableUnits + giving == 0 ? bounds.retry() : bounds.readInterval(), now);
         } else {
             calls.end(now);
         }
--- a/core/src/main/java/org/sardinelift/core/limit/Shares.java
+++ b/core/src/main/java/org/sardinelift/core/limit/Shares.java
@@ -7,8 +7,8 @@
 
 /**
  * How the limits are divided between entries; immutable. The units of all members and of the pool
- * add up to {@link #TOTAL}, whatever is moved. A member's units over {@link #TOTAL} is its fraction
- * of every team's rate and burst, so that the size does not grow with the teams.
+ * add up to {@link #TOTAL_UNITS}, whatever is moved. A member's units over {@link #TOTAL_UNITS} is
+ * its fraction of every team's rate and burst, so that the size does not grow with the teams.
  *
  * @param pool units that no member holds
  * @param fresh units of the pool that no member has ever held, so that nothing was spent from them;
@@ -17,25 +17,25 @@
  */
 public record Shares(long pool, long fresh, Map<MemberId, Member> members) {
     /** Units in all; divisible by every number up to 16. */
-    public static final long TOTAL = 720_720;
+    public static final long TOTAL_UNITS = 720_720;
 
     /**
      * What one member holds.
      *
      * @param units its units
-     * @param joined version of the object at which it joined; of two lives of one instance the one
-     *     that joined later is the newer
+     * @param joinedVersion version of the object at which it joined; of two lives of one instance
+     *     the one that joined later is the newer
      */
-    public record Member(long units, long joined) {}
+    public record Member(long units, long joinedVersion) {}
 
     /** Checks that nothing was lost or made. */
     public Shares {
         members = Collections.unmodifiableMap(new TreeMap<>(members));
         long held = members.values().stream().mapToLong(Member::units).sum();
         boolean negative = members.values().stream().anyMatch(member -> member.units() < 0);
-        if (pool < 0 || negative || held + pool != TOTAL) {
+        if (pool < 0 || negative || held + pool != TOTAL_UNITS) {
             throw new IllegalArgumentException(
-                    "units add up to " + (held + pool) + " instead of " + TOTAL);
+                    "units add up to " + (held + pool) + " instead of " + TOTAL_UNITS);
         }
         if (fresh < 0 || fresh > pool) {
             throw new IllegalArgumentException(fresh + " fresh units in a pool of " + pool);
@@ -48,7 +48,7 @@
      * @return all units in the pool, and fresh
      */
     public static Shares initial() {
-        return new Shares(TOTAL, TOTAL, Map.of());
+        return new Shares(TOTAL_UNITS, TOTAL_UNITS, Map.of());
     }
 
     /**
@@ -82,7 +82,7 @@
      * @param version version that the object will have
      * @return the shares with it, the same where it is a member already
      */
-    public Shares join(MemberId id, long version) {
+    public Shares addMember(MemberId id, long version) {
         if (members.containsKey(id)) {
             return this;
         }
@@ -98,13 +98,13 @@
      * @param units units to move
      * @return the shares after the move
      */
-    public Shares take(MemberId id, long units) {
+    public Shares transferFromPool(MemberId id, long units) {
         Member member = members.get(id);
         if (member == null) {
             throw new IllegalArgumentException(id + " is no member");
         }
         Map<MemberId, Member> next = new TreeMap<>(members);
-        next.put(id, new Member(member.units() + units, member.joined()));
+        next.put(id, new Member(member.units() + units, member.joinedVersion()));
         return new Shares(pool - units, fresh - Math.min(fresh, Math.max(0, units)), next);
     }
 
@@ -114,7 +114,7 @@
      * @param id the member
      * @return the shares without it
      */
-    public Shares remove(MemberId id) {
+    public Shares removeMember(MemberId id) {
         Map<MemberId, Member> next = new TreeMap<>(members);
         next.remove(id);
         return new Shares(pool + units(id), fresh, next);
@@ -127,7 +127,7 @@
      * @param enough number of units that each should have
      * @return units lacking in all
      */
-    public long lacking(long hardlyAny, long enough) {
+    public long shortfall(long hardlyAny, long enough) {
         return members.values().stream()
                 .filter(member -> member.units() < hardlyAny)
                 .mapToLong(member -> enough - member.units())
@@ -145,6 +145,7 @@
         return member != null
                 && members.entrySet().stream()
                         .filter(other -> other.getKey().instance().equals(id.instance()))
-                        .anyMatch(other -> other.getValue().joined() > member.joined());
+                        .anyMatch(
+                                other -> other.getValue().joinedVersion() > member.joinedVersion());
     }
 }
--- a/core/src/main/java/org/sardinelift/core/limit/TeamAccount.java
+++ b/core/src/main/java/org/sardinelift/core/limit/TeamAccount.java
@@ -24,8 +24,8 @@
     private static final int MAX_LOANS_OUT = 256;
     private static final double LEVELLING_FRACTION = 1.0 / 16;
 
-    private final LoansTaken borrowed;
-    private final Map<LoanKey, Lent> lent = new HashMap<>();
+    private final BorrowedLoans addLoan;
+    private final Map<LoanKey, LentLoan> lent = new HashMap<>();
     private double ratePerSecond;
     private double burst;
     private double fraction;
@@ -40,7 +40,7 @@
     private long filledAt;
 
     private TeamAccount(TeamPlan plan, double fraction, long sinceNanos) {
-        this.borrowed = new LoansTaken(plan.name());
+        this.addLoan = new BorrowedLoans(plan.name());
         this.ratePerSecond = plan.ratePerSecond();
         this.burst = plan.burst();
         this.fraction = fraction;
@@ -67,7 +67,8 @@
      * @param freshFraction the part of it that no entry had held before
      * @param nowNanos the time
      */
-    public synchronized void share(double newFraction, double freshFraction, long nowNanos) {
+    public synchronized void updateFraction(
+            double newFraction, double freshFraction, long nowNanos) {
         fill(nowNanos);
         fraction = newFraction;
         level = Math.min(level + burst * freshFraction, capacity());
@@ -79,7 +80,7 @@
      * @param plan the team's plan
      * @param nowNanos the time
      */
-    public synchronized void replan(TeamPlan plan, long nowNanos) {
+    public synchronized void updatePlan(TeamPlan plan, long nowNanos) {
         if (plan.ratePerSecond() != ratePerSecond || plan.burst() != burst) {
             fill(nowNanos);
             ratePerSecond = plan.ratePerSecond();
@@ -96,7 +97,7 @@
      * @param nowNanos the time
      * @return whether a token was taken
      */
-    public synchronized boolean tryTake(long nowNanos) {
+    public synchronized boolean tryAcquire(long nowNanos) {
         double there = availableAt(nowNanos);
         if (there < 1 - ROUNDING) {
             return false;
@@ -106,7 +107,7 @@
         level -= own;
         overpaid = Math.max(-burst * fraction, overpaid + own - fraction);
         due = due || overpaid >= burst * LEVELLING_FRACTION;
-        spentOfLoans += borrowed.spend(part);
+        spentOfLoans += addLoan.spend(part);
         noteSettlements();
         admitted++;
         return true;
@@ -116,9 +117,9 @@
      * Whether there is something to send to peers: a settlement, or word that the bucket paid more
      * than its part.
      *
-     * @return true until {@link #takeOverpaid} and {@link #takeSettlements} have been called
+     * @return true until {@link #pollOverpaid} and {@link #pollSettlements} have been called
      */
-    public boolean isDue() {
+    public boolean hasPendingMessages() {
         return due;
     }
 
@@ -128,7 +129,7 @@
      * @return the time, {@link Long#MAX_VALUE} where none is held
      */
     public synchronized long firstExpiryNanos() {
-        return borrowed.firstExpiry();
+        return addLoan.firstExpiry();
     }
 
     /**
@@ -136,7 +137,7 @@
      *
      * @return tokens since the last call that returned some, 0 while they aren't worth asking for
      */
-    public synchronized double takeOverpaid() {
+    public synchronized double pollOverpaid() {
         if (overpaid < burst * LEVELLING_FRACTION) {
             return 0;
         }
@@ -155,14 +156,14 @@
      * @param expiresNanos when they may no longer be used
      * @param nowNanos the time
      */
-    public synchronized void absorb(
+    public synchronized void depositLoan(
             String peer, long exchange, double tokens, long expiresNanos, long nowNanos) {
         fill(nowNanos);
         double room = expiresNanos - nowNanos > 0 ? Math.max(0, capacity() - level) : 0;
         double moved = Math.min(tokens, room);
         level += moved;
         spentOfLoans += moved;
-        borrowed.settle(new Borrowed(peer, exchange, tokens, expiresNanos), tokens - moved);
+        addLoan.settle(new BorrowedLoan(peer, exchange, tokens, expiresNanos), tokens - moved);
         noteSettlements();
     }
 
@@ -196,7 +197,7 @@
         }
         level -= part;
         reserved += part;
-        lent.put(key, new Lent(part, untilNanos));
+        lent.put(key, new LentLoan(part, untilNanos));
         return part;
     }
 
@@ -208,9 +209,10 @@
      * @param tokens tokens that come back unspent
      * @param nowNanos the time
      */
-    public synchronized void returned(String peer, long exchange, double tokens, long nowNanos) {
+    public synchronized void onLoanReturned(
+            String peer, long exchange, double tokens, long nowNanos) {
         fill(nowNanos);
-        Lent loan = lent.remove(new LoanKey(peer, exchange));
+        LentLoan loan = lent.remove(new LoanKey(peer, exchange));
         if (loan != null) {
             double back = Math.min(loan.tokens(), tokens);
             release(loan.tokens());
@@ -227,9 +229,8 @@
      * @param tokens tokens
      * @param expiresNanos when they may no longer be spent
      */
-    public synchronized void borrowed(
-            String peer, long exchange, double tokens, long expiresNanos) {
-        borrowed.add(new Borrowed(peer, exchange, tokens, expiresNanos));
+    public synchronized void addLoan(String peer, long exchange, double tokens, long expiresNanos) {
+        addLoan.add(new BorrowedLoan(peer, exchange, tokens, expiresNanos));
     }
 
     /**
@@ -238,9 +239,9 @@
      * @param keep tokens to keep
      * @param nowNanos the time
      */
-    public synchronized void returnBeyond(double keep, long nowNanos) {
-        borrowed.dropExpired(nowNanos);
-        borrowed.returnBeyond(keep);
+    public synchronized void returnExcess(double keep, long nowNanos) {
+        addLoan.dropExpired(nowNanos);
+        addLoan.returnExcess(keep);
         noteSettlements();
     }
 
@@ -251,8 +252,8 @@
      * @param nowNanos the time now
      */
     public synchronized void returnExpiring(long beforeNanos, long nowNanos) {
-        borrowed.dropExpired(nowNanos);
-        borrowed.returnExpiring(beforeNanos);
+        addLoan.dropExpired(nowNanos);
+        addLoan.returnExpiring(beforeNanos);
         noteSettlements();
     }
 
@@ -261,8 +262,8 @@
      *
      * @return true while there is something to look after
      */
-    public synchronized boolean holdsLoans() {
-        return !borrowed.isEmpty() || borrowed.hasSettlements();
+    public synchronized boolean hasLoans() {
+        return !addLoan.isEmpty() || addLoan.hasSettlements();
     }
 
     /**
@@ -270,9 +271,9 @@
      *
      * @return settlements since the last call
      */
-    public synchronized List<Settlement> takeSettlements() {
+    public synchronized List<Settlement> pollSettlements() {
         due = overpaid >= burst * LEVELLING_FRACTION;
-        return borrowed.takeSettlements();
+        return addLoan.pollSettlements();
     }
 
     /**
@@ -280,7 +281,7 @@
      *
      * @return tokens since the last call, negative for a net borrower
      */
-    public synchronized double takeNetLent() {
+    public synchronized double pollNetLent() {
         double net = lentAndSpent - spentOfLoans;
         active = admitted > 0 || lentAndSpent > 0;
         admitted = 0;
@@ -291,7 +292,7 @@
 
     /**
      * Whether the team was served from here, or from what was lent, in the time that the last call
-     * of {@link #takeNetLent} covered.
+     * of {@link #pollNetLent} covered.
      *
      * @return true where the team was active
      */
@@ -327,13 +328,13 @@
 
     private double availableAt(long nowNanos) {
         fill(nowNanos);
-        borrowed.dropExpired(nowNanos);
+        addLoan.dropExpired(nowNanos);
         noteSettlements();
-        return level + borrowed.tokens();
+        return level + addLoan.tokens();
     }
 
     private void noteSettlements() {
-        due = due || borrowed.hasSettlements();
+        due = due || addLoan.hasSettlements();
     }
 
     private void fill(long nowNanos) {
@@ -349,10 +350,10 @@
     }
 
     private void releaseExpired(long nowNanos) {
-        Iterator<Lent> loans = lent.values().iterator();
+        Iterator<LentLoan> loans = lent.values().iterator();
         while (loans.hasNext()) {
-            Lent loan = loans.next();
-            if (loan.untilNanos() - nowNanos <= 0) {
+            LentLoan loan = loans.next();
+            if (loan.expiresNanos() - nowNanos <= 0) {
                 loans.remove();
                 release(loan.tokens());
                 lentAndSpent += loan.tokens();
--- a/core/src/main/java/org/sardinelift/core/limit/LoanDesk.java
+++ b/core/src/main/java/org/sardinelift/core/limit/TokenBorrower.java
@@ -21,7 +21,7 @@
  * one of them. After a vain round the next one waits, longer after each, up to the time at which
  * the fleet must have a token. Times are nanoseconds. Not safe for use by several threads.
  */
-final class LoanDesk {
+final class TokenBorrower {
     private static final int MAX_PASSES = 2;
     private static final double LEAST_LEVELLED = 1e-3;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -31,14 +31,14 @@
     private final LimitBounds bounds;
     private final RandomGenerator random;
     private final DoubleSupplier reachableFraction;
-    private final Map<String, Gather> gathers = new HashMap<>();
-    private final Map<String, Gather> active = new LinkedHashMap<>();
+    private final Map<String, LoanGathering> gathers = new HashMap<>();
+    private final Map<String, LoanGathering> active = new LinkedHashMap<>();
     private final Map<String, Long> lastLent = new HashMap<>();
     private final Map<Long, Asked> asked = new HashMap<>();
     private List<String> peers = List.of();
     private long exchange;
 
-    LoanDesk(
+    TokenBorrower(
             String self,
             LimitBounds bounds,
             RandomGenerator random,
@@ -50,27 +50,27 @@
         this.exchange = random.nextLong(Long.MAX_VALUE / 2);
     }
 
-    void onPeers(List<String> connected) {
+    void onConnected(List<String> connected) {
         peers.stream()
                 .filter(peer -> !connected.contains(peer))
-                .forEach(peer -> active.values().forEach(gather -> gather.peerDown(peer)));
+                .forEach(peer -> active.values().forEach(gather -> gather.onPeerDown(peer)));
         peers = List.copyOf(connected);
         lastLent.keySet().retainAll(peers);
     }
 
     /** Whether this entry gathers for a team itself and keeps its tokens from this peer. */
-    boolean keepsFrom(String team, String peer) {
+    boolean hasPriorityOver(String team, String peer) {
         return active.containsKey(team) && peer.compareTo(self) > 0;
     }
 
-    void request(String team, TeamAccount account, long ticket, long now, LimitActions out) {
-        Gather gather = gathers.computeIfAbsent(team, name -> new Gather());
-        boolean full = gather.tickets().size() >= bounds.maxWaiting();
+    void submit(String team, TeamAccount account, long ticket, long now, LimitActions out) {
+        LoanGathering gather = gathers.computeIfAbsent(team, name -> new LoanGathering());
+        boolean full = gather.waitingRequests().size() >= bounds.maxWaiting();
         if (full || (!gather.isActive() && (peers.isEmpty() || now < gather.notBefore()))) {
             out.answer(ticket, refusal(account, gather, now));
             return;
         }
-        gather.tickets().add(ticket);
+        gather.waitingRequests().add(ticket);
         if (!gather.isActive()) {
             gather.start(order(), now);
             active.put(team, gather);
@@ -93,18 +93,18 @@
         if (tokens > 0) {
             long expires = loan.sentAt() + ttlNanos;
             if (loan.isLevelling()) {
-                account.absorb(peer, number, tokens, expires, now);
+                account.depositLoan(peer, number, tokens, expires, now);
             } else {
-                account.borrowed(peer, number, tokens, expires);
+                account.addLoan(peer, number, tokens, expires);
             }
             lastLent.put(peer, now);
         }
-        Gather gather = gathers.get(loan.team());
+        LoanGathering gather = gathers.get(loan.team());
         if (gather != null && gather.isActive()) {
-            gather.answered(number);
+            gather.recordAnswer(number);
             advance(loan.team(), gather, account, now, out);
         } else {
-            account.returnBeyond(0, now);
+            account.returnExcess(0, now);
         }
     }
 
@@ -112,13 +112,13 @@
      * Asks peers for their part of what this entry's bucket paid beyond its own, so that none stays
      * full while others run empty.
      */
-    void level(
+    void borrowOverpaid(
             String team,
             TeamAccount account,
             ToLongFunction<String> units,
             long now,
             LimitActions out) {
-        double overpaid = peers.isEmpty() ? 0 : account.takeOverpaid();
+        double overpaid = peers.isEmpty() ? 0 : account.pollOverpaid();
         if (overpaid <= 0) {
             return;
         }
@@ -135,8 +135,8 @@
     }
 
     void tick(Map<String, TeamAccount> accounts, long now, LimitActions out) {
-        for (String team : gathering()) {
-            Gather gather = active.get(team);
+        for (String team : waitingTeams()) {
+            LoanGathering gather = active.get(team);
             TeamAccount account = accounts.get(team);
             if (gather != null && account != null) {
                 advance(team, gather, account, now, out);
@@ -146,41 +146,41 @@
     }
 
     /** Names of the teams whose requests wait for loans. */
-    List<String> gathering() {
+    List<String> waitingTeams() {
         return List.copyOf(active.keySet());
     }
 
-    void retain(java.util.Set<String> teams) {
+    void retainTeams(java.util.Set<String> teams) {
         gathers.keySet().removeIf(team -> !teams.contains(team) && !active.containsKey(team));
     }
 
     private void advance(
-            String team, Gather gather, TeamAccount account, long now, LimitActions out) {
-        boolean heard = gather.isRoundHeard(bounds.gatherPass().toNanos(), now);
-        while (heard && !gather.tickets().isEmpty() && account.tryTake(now)) {
-            out.answer(gather.tickets().poll(), new Admission.Admitted());
+            String team, LoanGathering gather, TeamAccount account, long now, LimitActions out) {
+        boolean heard = gather.isRoundAnsweredOrTimedOut(bounds.gatherPass().toNanos(), now);
+        while (heard && !gather.waitingRequests().isEmpty() && account.tryAcquire(now)) {
+            out.answer(gather.waitingRequests().poll(), new Admission.Admitted());
         }
-        if (gather.tickets().isEmpty()) {
-            gather.served();
+        if (gather.waitingRequests().isEmpty()) {
+            gather.resetBackoff();
             finish(team, gather, now);
-            account.returnBeyond(account.ratePerSecond() * prefetchSeconds(), now);
-        } else if (gather.age(now) >= bounds.gatherBound().toNanos()) {
+            account.returnExcess(account.ratePerSecond() * prefetchSeconds(), now);
+        } else if (gather.ageNanos(now) >= bounds.gatherBound().toNanos()) {
             refuseAll(team, gather, account, now, out);
         } else if (gather.isPassOver(now)) {
             nextPass(team, gather, account, now, out);
-        } else if (gather.isRoundOver()) {
+        } else if (gather.isRoundAnswered()) {
             ask(team, gather, account, now, out);
         }
     }
 
     private void nextPass(
-            String team, Gather gather, TeamAccount account, long now, LimitActions out) {
+            String team, LoanGathering gather, TeamAccount account, long now, LimitActions out) {
         if (isLevelling(team)) {
             return;
         }
         if (gather.pass() >= MAX_PASSES) {
             refuseAll(team, gather, account, now, out);
-        } else if (gather.sincePass(now) >= bounds.gatherPass().toNanos()) {
+        } else if (gather.nanosSincePass(now) >= bounds.gatherPass().toNanos()) {
             gather.nextPass(order());
             ask(team, gather, account, now, out);
         }
@@ -191,16 +191,17 @@
         return asked.values().stream().anyMatch(it -> it.isLevelling() && it.team().equals(team));
     }
 
-    private void ask(String team, Gather gather, TeamAccount account, long now, LimitActions out) {
-        double need = gather.tickets().size() - account.available(now);
+    private void ask(
+            String team, LoanGathering gather, TeamAccount account, long now, LimitActions out) {
+        double need = gather.waitingRequests().size() - account.available(now);
         double ahead = account.ratePerSecond() * prefetchSeconds();
-        int round = Math.min(bounds.fanOut(), gather.peersLeft().size());
+        int round = Math.min(bounds.fanOut(), gather.peersToAsk().size());
         gather.startRound(now);
         double each = round == 0 ? need : need + ahead / round;
         for (int i = 0; i < round; i++) {
-            String peer = gather.peersLeft().poll();
+            String peer = gather.peersToAsk().poll();
             long number = ++exchange;
-            gather.ask(number, peer);
+            gather.recordRequest(number, peer);
             asked.put(number, new Asked(peer, team, now, false));
             out.borrow(peer, number, team, each);
         }
@@ -211,24 +212,24 @@
      * back, which takes no longer than the round took: so much longer callers are told to wait.
      */
     private void refuseAll(
-            String team, Gather gather, TeamAccount account, long now, LimitActions out) {
+            String team, LoanGathering gather, TeamAccount account, long now, LimitActions out) {
         long wait = account.nanosUntilToken(fraction(), now);
-        long pause = Math.min(gather.vainPause(bounds.minGatherPause().toNanos()), wait);
-        gather.comeBack(now + wait + gather.age(now));
-        List<Long> refused = List.copyOf(gather.tickets());
-        gather.tickets().clear();
+        long pause = Math.min(gather.nextBackoff(bounds.minGatherPause().toNanos()), wait);
+        gather.retryAt(now + wait + gather.ageNanos(now));
+        List<Long> refused = List.copyOf(gather.waitingRequests());
+        gather.waitingRequests().clear();
         finish(team, gather, now + pause);
-        account.returnBeyond(0, now);
+        account.returnExcess(0, now);
         refused.forEach(ticket -> out.answer(ticket, refusal(account, gather, now)));
     }
 
-    private void finish(String team, Gather gather, long noGatherBefore) {
+    private void finish(String team, LoanGathering gather, long noGatherBefore) {
         gather.stop(noGatherBefore);
         active.remove(team);
     }
 
-    private Admission refusal(TeamAccount account, Gather gather, long now) {
-        long told = gather.comeBack() - now;
+    private Admission refusal(TeamAccount account, LoanGathering gather, long now) {
+        long told = gather.retryAt() - now;
         long wait = told > 0 ? told : account.nanosUntilToken(fraction(), now);
         long least = bounds.minGatherPause().toNanos();
         return new Admission.Refused(Duration.ofNanos(Math.max(least, wait)));
--- a/core/src/main/java/org/sardinelift/core/load/BatchSlots.java
+++ b/core/src/main/java/org/sardinelift/core/load/BatchSlotSelector.java
@@ -19,7 +19,7 @@
  * the workers of the target's zone than for others, and one worker starts one item at a time on a
  * target. Times are nanoseconds of a monotonic clock. Not safe for use by several threads at once.
  */
-public final class BatchSlots {
+public final class BatchSlotSelector {
     private final String zone;
     private final long settleNanos;
     private final long settleFarNanos;
@@ -27,7 +27,8 @@
     private final Map<String, Long> freeSince = new HashMap<>();
     private final Map<String, Long> startedAt = new HashMap<>();
 
-    private BatchSlots(String zone, Duration settle, Duration settleFar, Duration nextStart) {
+    private BatchSlotSelector(
+            String zone, Duration settle, Duration settleFar, Duration nextStart) {
         this.zone = zone;
         this.settleNanos = settle.toNanos();
         this.settleFarNanos = settleFar.toNanos();
@@ -43,9 +44,9 @@
      * @param nextStart time between two starts on one target, for the report of the first to spread
      * @return the choice
      */
-    public static BatchSlots of(
+    public static BatchSlotSelector of(
             String zone, Duration settle, Duration settleFar, Duration nextStart) {
-        return new BatchSlots(zone, settle, settleFar, nextStart);
+        return new BatchSlotSelector(zone, settle, settleFar, nextStart);
     }
 
     /**
@@ -57,7 +58,7 @@
     public void observe(List<TargetLoad> loads, long now) {
         Set<String> free =
                 loads.stream()
-                        .filter(load -> load.free() > 0)
+                        .filter(load -> load.freeSlots() > 0)
                         .map(TargetLoad::id)
                         .collect(Collectors.toCollection(HashSet::new));
         freeSince.keySet().retainAll(free);
@@ -72,13 +73,13 @@
      * @param now the time
      * @return the target with the most free slots, near ones first; empty where none has one
      */
-    public Optional<TargetLoad> pick(List<TargetLoad> loads, long now) {
+    public Optional<TargetLoad> select(List<TargetLoad> loads, long now) {
         return loads.stream()
-                .filter(load -> load.free() > 0 && hasSettled(load, now))
+                .filter(load -> load.freeSlots() > 0 && hasSettled(load, now))
                 .filter(load -> !startedAt.containsKey(load.id()))
                 .max(
                         Comparator.comparing((TargetLoad load) -> isNear(load))
-                                .thenComparingInt(TargetLoad::free));
+                                .thenComparingInt(TargetLoad::freeSlots));
     }
 
     private boolean hasSettled(TargetLoad load, long now) {
@@ -96,7 +97,7 @@
      * @param target on this target
      * @param now the time
      */
-    public void onStart(String target, long now) {
+    public void onItemStarted(String target, long now) {
         startedAt.put(target, now);
     }
 
@@ -106,7 +107,7 @@
      * @param loads targets that may run an item
      * @return true where one has a free slot that can't be used yet
      */
-    public boolean hasUnsettled(List<TargetLoad> loads) {
-        return loads.stream().anyMatch(load -> load.free() > 0);
+    public boolean hasFreeSlot(List<TargetLoad> loads) {
+        return loads.stream().anyMatch(load -> load.freeSlots() > 0);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/load/LoadBoard.java
+++ b/core/src/main/java/org/sardinelift/core/load/LoadTracker.java
@@ -13,15 +13,15 @@
  * start or end at once, so that the others know of it within the time of one message. Times are
  * nanoseconds of a monotonic clock. Not safe for use by several threads at once.
  */
-public final class LoadBoard {
+public final class LoadTracker {
     private final long reportLifeNanos;
     private final long foreignLifeNanos;
-    private final Map<String, Use> own = new HashMap<>();
+    private final Map<String, TargetCalls> own = new HashMap<>();
     private final Map<String, Report> reports = new HashMap<>();
     private final Map<String, Foreign> foreign = new HashMap<>();
-    private final Map<String, Use> others = new HashMap<>();
+    private final Map<String, TargetCalls> others = new HashMap<>();
 
-    private LoadBoard(Duration reportLife, Duration foreignLife) {
+    private LoadTracker(Duration reportLife, Duration foreignLife) {
         this.reportLifeNanos = reportLife.toNanos();
         this.foreignLifeNanos = foreignLife.toNanos();
     }
@@ -33,8 +33,8 @@
      * @param foreignLife time for which a load counts that a target states beyond the known calls
      * @return the board
      */
-    public static LoadBoard create(Duration reportLife, Duration foreignLife) {
-        return new LoadBoard(reportLife, foreignLife);
+    public static LoadTracker create(Duration reportLife, Duration foreignLife) {
+        return new LoadTracker(reportLife, foreignLife);
     }
 
     /**
@@ -43,8 +43,8 @@
      * @param target the target
      * @param change calls added, negative where they ended
      */
-    public void onOwn(String target, Use change) {
-        Use after = ownUse(target).plus(change);
+    public void onOwnCallsChanged(String target, TargetCalls change) {
+        TargetCalls after = ownCalls(target).plus(change);
         if (after.total() == 0) {
             own.remove(target);
         } else {
@@ -57,7 +57,7 @@
      *
      * @return uses by target, none that is empty
      */
-    public Map<String, Use> ownUses() {
+    public Map<String, TargetCalls> ownCallsByTarget() {
         return own;
     }
 
@@ -67,8 +67,8 @@
      * @param target the target
      * @return its use
      */
-    public Use ownUse(String target) {
-        return own.getOrDefault(target, Use.NONE);
+    public TargetCalls ownCalls(String target) {
+        return own.getOrDefault(target, TargetCalls.NONE);
     }
 
     /**
@@ -78,7 +78,7 @@
      * @param uses its calls by target
      * @param now the time
      */
-    public void onReport(String instance, Map<String, Use> uses, long now) {
+    public void onReport(String instance, Map<String, TargetCalls> uses, long now) {
         reports.put(instance, new Report(Map.copyOf(uses), now));
         sum(now);
     }
@@ -99,7 +99,7 @@
         reports.values().stream()
                 .filter(report -> now - report.at() < reportLifeNanos)
                 .flatMap(report -> report.uses().entrySet().stream())
-                .forEach(use -> others.merge(use.getKey(), use.getValue(), Use::plus));
+                .forEach(use -> others.merge(use.getKey(), use.getValue(), TargetCalls::plus));
     }
 
     /**
@@ -109,8 +109,8 @@
      * @param calls calls that it runs or queues
      * @param now the time
      */
-    public void onStated(String target, int calls, long now) {
-        int known = ownUse(target).plus(others.getOrDefault(target, Use.NONE)).total();
+    public void onTargetLoad(String target, int calls, long now) {
+        int known = ownCalls(target).plus(others.getOrDefault(target, TargetCalls.NONE)).total();
         Foreign before = foreign.get(target);
         int unknown = Math.max(0, calls - known);
         // One statement alone may cross a report on its way; two in a row are no chance.
@@ -128,10 +128,12 @@
      * @param now the time
      * @return online calls, with those that nobody reported, and batch items
      */
-    public Use use(String target, long now) {
+    public TargetCalls knownCalls(String target, long now) {
         Foreign seen = foreign.get(target);
         int unknown = seen == null || now - seen.at() >= foreignLifeNanos ? 0 : seen.confirmed();
-        return ownUse(target).plus(others.getOrDefault(target, Use.NONE)).plus(new Use(unknown, 0));
+        return ownCalls(target)
+                .plus(others.getOrDefault(target, TargetCalls.NONE))
+                .plus(new TargetCalls(unknown, 0));
     }
 
     /**
@@ -140,7 +142,7 @@
      * @param target the target
      * @return items by instance
      */
-    public Map<String, Integer> batchByInstance(String target) {
+    public Map<String, Integer> batchItemsByInstance(String target) {
         return reports.entrySet().stream()
                 .filter(report -> report.getValue().batch(target) > 0)
                 .collect(
@@ -148,9 +150,9 @@
                                 Map.Entry::getKey, report -> report.getValue().batch(target)));
     }
 
-    private record Report(Map<String, Use> uses, long at) {
+    private record Report(Map<String, TargetCalls> uses, long at) {
         int batch(String target) {
-            return uses.getOrDefault(target, Use.NONE).batch();
+            return uses.getOrDefault(target, TargetCalls.NONE).batch();
         }
     }
 
--- a/core/src/main/java/org/sardinelift/core/load/Placement.java
+++ b/core/src/main/java/org/sardinelift/core/load/Placement.java
@@ -43,15 +43,15 @@
          *
          * @param target to this one
          */
-        record Place(TargetLoad target) implements Choice {}
+        record Placed(TargetLoad target) implements Choice {}
 
         /**
          * It is refused.
          *
          * @param retryAfter when a target is expected to meet the objective
-         * @param noTarget whether there is no target at all
+         * @param hasNoTarget whether there is no target at all
          */
-        record Refuse(Duration retryAfter, boolean noTarget) implements Choice {}
+        record Refused(Duration retryAfter, boolean hasNoTarget) implements Choice {}
     }
 
     /**
@@ -64,16 +64,16 @@
      */
     public Choice choose(List<TargetLoad> targets, Duration left, long draw) {
         if (targets.isEmpty()) {
-            return new Choice.Refuse(Duration.ZERO, true);
+            return new Choice.Refused(Duration.ZERO, true);
         }
         long budget = left.minus(margin).toNanos();
-        List<TargetLoad> able = only(targets, target -> target.firstEventNanos() <= budget);
-        return emptiest(only(able, target -> target.free() > 0 && isNear(target)), draw)
-                .or(() -> emptiest(only(able, target -> target.free() > 0), draw))
-                .or(() -> emptiest(only(able, target -> target.freeForOnline() > 0), draw))
+        List<TargetLoad> able = only(targets, target -> target.expectedFirstEventNanos() <= budget);
+        return emptiest(only(able, target -> target.freeSlots() > 0 && isNear(target)), draw)
+                .or(() -> emptiest(only(able, target -> target.freeSlots() > 0), draw))
+                .or(() -> emptiest(only(able, target -> target.freeSlotsForOnline() > 0), draw))
                 .or(() -> soonest(able, draw))
-                .<Choice>map(Choice.Place::new)
-                .orElseGet(() -> new Choice.Refuse(untilRoom(targets, budget), false));
+                .<Choice>map(Choice.Placed::new)
+                .orElseGet(() -> new Choice.Refused(untilRoom(targets, budget), false));
     }
 
     private boolean isNear(TargetLoad target) {
@@ -90,15 +90,15 @@
     }
 
     private static double fill(TargetLoad target) {
-        double calls = (target.use().online() + target.use().total()) / 2.0;
+        double calls = (target.calls().online() + target.calls().total()) / 2.0;
         return calls / Math.max(1, target.slots())
-                + (double) target.firstNanos() / Duration.ofSeconds(1).toNanos();
+                + (double) target.timeToFirstEventNanos() / Duration.ofSeconds(1).toNanos();
     }
 
     private Optional<TargetLoad> soonest(List<TargetLoad> targets, long draw) {
         return targets.stream()
                 .min(
-                        Comparator.comparingLong(TargetLoad::firstEventNanos)
+                        Comparator.comparingLong(TargetLoad::expectedFirstEventNanos)
                                 .thenComparing(target -> !isNear(target))
                                 .thenComparingLong(target -> shuffled(target, draw)));
     }
@@ -108,7 +108,11 @@
     }
 
     private static Duration untilRoom(List<TargetLoad> targets, long budget) {
-        long soonest = targets.stream().mapToLong(TargetLoad::firstEventNanos).min().orElse(budget);
+        long soonest =
+                targets.stream()
+                        .mapToLong(TargetLoad::expectedFirstEventNanos)
+                        .min()
+                        .orElse(budget);
         return Duration.ofNanos(Math.max(0, soonest - budget));
     }
 
--- a/core/src/main/java/org/sardinelift/core/load/ReturnTimes.java
+++ b/core/src/main/java/org/sardinelift/core/load/RetryAfterSchedule.java
@@ -12,7 +12,7 @@
  * return don't come as one wave. Times are nanoseconds of a monotonic clock. Not safe for use by
  * several threads at once.
  */
-public final class ReturnTimes {
+public final class RetryAfterSchedule {
     private static final double NANOS_PER_SECOND = 1e9;
 
     /** Time over which the rate of new calls is taken; a fraction of a step of the traffic. */
@@ -32,15 +32,15 @@
     private double callsPerSecond;
     private long countedAt;
 
-    private ReturnTimes() {}
+    private RetryAfterSchedule() {}
 
     /**
      * Nobody was refused yet.
      *
      * @return the times
      */
-    public static ReturnTimes create() {
-        return new ReturnTimes();
+    public static RetryAfterSchedule create() {
+        return new RetryAfterSchedule();
     }
 
     /**
@@ -68,7 +68,7 @@
      * @param now the time
      * @return when to come back, from now
      */
-    public Duration next(
+    public Duration nextRetryAfter(
             Duration untilRoom, double slotsPerSecond, Duration longest, long draw, long now) {
         double spare = slotsPerSecond - rate(now);
         if (spare <= LEAST_SPARE * slotsPerSecond) {
--- a/core/src/main/java/org/sardinelift/core/load/Use.java
+++ b/core/src/main/java/org/sardinelift/core/load/TargetCalls.java
@@ -6,9 +6,9 @@
  * @param online calls whose callers wait
  * @param batch items of batch jobs, which give way
  */
-public record Use(int online, int batch) {
+public record TargetCalls(int online, int batch) {
     /** No calls. */
-    public static final Use NONE = new Use(0, 0);
+    public static final TargetCalls NONE = new TargetCalls(0, 0);
 
     /**
      * Calls in all.
@@ -25,7 +25,7 @@
      * @param other what to add
      * @return the sum
      */
-    public Use plus(Use other) {
-        return new Use(online + other.online, batch + other.batch);
+    public TargetCalls plus(TargetCalls other) {
+        return new TargetCalls(online + other.online, batch + other.batch);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/load/TargetHealth.java
+++ b/core/src/main/java/org/sardinelift/core/load/TargetHealth.java
@@ -19,9 +19,9 @@
 
     private final long probeNanos;
     private final long pauseNanos;
-    private double firstNanos;
+    private double timeToFirstEventNanos;
     private double callNanos;
-    private double gapNanos;
+    private double eventGapNanos;
     private double failures;
     private int calls;
     private int pauses;
@@ -35,9 +35,9 @@
             Duration probe, Duration pause, Duration first, Duration call, Duration gap) {
         this.probeNanos = probe.toNanos();
         this.pauseNanos = pause.toNanos();
-        this.firstNanos = first.toNanos();
+        this.timeToFirstEventNanos = first.toNanos();
         this.callNanos = call.toNanos();
-        this.gapNanos = gap.toNanos();
+        this.eventGapNanos = gap.toNanos();
     }
 
     /**
@@ -61,7 +61,7 @@
      * @param nanos time since the send, less the wait that was expected
      */
     public void onFirstEvent(long nanos) {
-        firstNanos = mean(firstNanos, Math.max(0, nanos));
+        timeToFirstEventNanos = mean(timeToFirstEventNanos, Math.max(0, nanos));
     }
 
     /**
@@ -70,10 +70,10 @@
      * @param nanos time since its first event
      * @param gaps pauses between events in it
      */
-    public void onDone(long nanos, int gaps) {
-        callNanos = mean(callNanos, nanos + firstNanos);
+    public void onSuccess(long nanos, int gaps) {
+        callNanos = mean(callNanos, nanos + timeToFirstEventNanos);
         if (gaps > 0) {
-            gapNanos = mean(gapNanos, (double) nanos / gaps);
+            eventGapNanos = mean(eventGapNanos, (double) nanos / gaps);
         }
         note(0);
         pauses = 0;
@@ -122,7 +122,7 @@
      * @param now the time
      * @return whether it is to be probed now
      */
-    public boolean startProbe(long now) {
+    public boolean tryStartProbe(long now) {
         if (!down || probing || now - probeAt < 0) {
             return false;
         }
@@ -136,7 +136,7 @@
      * @param answered whether the target answered
      * @param now the time
      */
-    public void onProbe(boolean answered, long now) {
+    public void onProbeEnded(boolean answered, long now) {
         probing = false;
         down = down && !answered;
         probeAt = now + probeNanos;
@@ -162,8 +162,8 @@
      *
      * @return nanoseconds
      */
-    public long firstNanos() {
-        return (long) firstNanos;
+    public long timeToFirstEventNanos() {
+        return (long) timeToFirstEventNanos;
     }
 
     /**
@@ -180,8 +180,8 @@
      *
      * @return nanoseconds
      */
-    public long gapNanos() {
-        return (long) gapNanos;
+    public long eventGapNanos() {
+        return (long) eventGapNanos;
     }
 
     private static double mean(double before, double sample) {
--- a/core/src/main/java/org/sardinelift/core/load/TargetLoad.java
+++ b/core/src/main/java/org/sardinelift/core/load/TargetLoad.java
@@ -11,15 +11,20 @@
  * @param firstNanos time from the send to the first event where a slot is free
  */
 public record TargetLoad(
-        String id, String zone, int slots, Use use, long callNanos, long firstNanos) {
+        String id,
+        String zone,
+        int slots,
+        TargetCalls calls,
+        long callNanos,
+        long timeToFirstEventNanos) {
 
     /**
      * Slots that nothing holds.
      *
      * @return free slots, negative where calls are queued
      */
-    public int free() {
-        return slots - use.total();
+    public int freeSlots() {
+        return slots - calls.total();
     }
 
     /**
@@ -27,8 +32,8 @@
      *
      * @return free slots, negative where online calls are queued
      */
-    public int freeForOnline() {
-        return slots - use.online();
+    public int freeSlotsForOnline() {
+        return slots - calls.online();
     }
 
     /**
@@ -36,8 +41,8 @@
      *
      * @return time, nanoseconds
      */
-    public long waitNanos() {
-        int ahead = 1 - freeForOnline();
+    public long expectedWaitNanos() {
+        int ahead = 1 - freeSlotsForOnline();
         return ahead <= 0 ? 0 : ahead * (callNanos / Math.max(1, slots));
     }
 
@@ -46,7 +51,7 @@
      *
      * @return time from the send, nanoseconds
      */
-    public long firstEventNanos() {
-        return waitNanos() + firstNanos;
+    public long expectedFirstEventNanos() {
+        return expectedWaitNanos() + timeToFirstEventNanos;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/ControllerLease.java
+++ b/core/src/main/java/org/sardinelift/core/order/ControllerLease.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.sardinelift.core.batch.Holder;
-import org.sardinelift.core.batch.LeaseHold;
-import org.sardinelift.core.batch.LeaseWatch;
+import org.sardinelift.core.batch.LeaseMonitor;
+import org.sardinelift.core.batch.OwnLease;
 
 /**
  * Decides whether this entry is the one controller, and numbers its orders. A number is the lease's
@@ -19,8 +19,8 @@
     private static final String LEASE = "controller";
 
     private final Holder self;
-    private final LeaseHold hold;
-    private final LeaseWatch watch;
+    private final OwnLease hold;
+    private final LeaseMonitor watch;
     private boolean holding;
     private long fence;
     private long count;
@@ -28,8 +28,8 @@
 
     private ControllerLease(Holder self, OrderBounds bounds) {
         this.self = self;
-        this.hold = LeaseHold.of(bounds.leaseValid());
-        this.watch = LeaseWatch.of(bounds.leaseTimeout());
+        this.hold = OwnLease.of(bounds.leaseValid());
+        this.watch = LeaseMonitor.of(bounds.leaseTimeout());
     }
 
     /**
@@ -52,21 +52,21 @@
      * @return what to write over this version, or empty for nothing
      */
     public Optional<LeaseRecord> onRead(LeaseRecord found, long version, long nowNanos) {
-        watch.watched(nowNanos);
+        watch.onWatchAnswered(nowNanos);
         Holder holder = found.holder();
-        if (holder.present()) {
-            watch.changed(LEASE, holder.incarnation(), version, nowNanos);
+        if (holder.isPresent()) {
+            watch.onChanged(LEASE, holder.incarnation(), version, nowNanos);
         }
         if (holder.equals(self) && holding && found.fence() == fence && !exhausted()) {
             return Optional.of(new LeaseRecord(self, fence, found.renewals() + 1));
         }
         if (holding && found.fence() > fence) {
-            lose();
+            invalidate();
         }
         boolean free =
-                !holder.present()
+                !holder.isPresent()
                         || holder.equals(self)
-                        || watch.lapsed(new Holder(LEASE, holder.incarnation()), nowNanos);
+                        || watch.hasLapsed(new Holder(LEASE, holder.incarnation()), nowNanos);
         return free
                 ? Optional.of(new LeaseRecord(self, Math.max(found.fence(), leastFence) + 1, 0))
                 : Optional.empty();
@@ -74,7 +74,7 @@
 
     /** Notes that the platform gave no answer. */
     public void onUnavailable() {
-        watch.lost();
+        watch.onWatchFailed();
     }
 
     /**
@@ -89,7 +89,7 @@
         }
         holding = true;
         fence = written.fence();
-        hold.renewed(sentNanos);
+        hold.onRenewed(sentNanos);
     }
 
     /**
@@ -109,13 +109,13 @@
      */
     public void onHigherNumber(long highest) {
         leastFence = Math.max(leastFence, highest / ORDERS_PER_FENCE);
-        lose();
+        invalidate();
     }
 
     /** Gives up what it holds. */
-    public void lose() {
+    public void invalidate() {
         holding = false;
-        hold.lost();
+        hold.onLost();
     }
 
     /**
@@ -124,8 +124,8 @@
      * @param nowNanos time
      * @return true while the lease holds
      */
-    public boolean valid(long nowNanos) {
-        return holding && hold.valid(nowNanos);
+    public boolean isValid(long nowNanos) {
+        return holding && hold.isValid(nowNanos);
     }
 
     /**
@@ -144,7 +144,7 @@
      * @return the number, or empty where no order may be given
      */
     public OptionalLong nextNumber(long nowNanos) {
-        return valid(nowNanos) && !exhausted()
+        return isValid(nowNanos) && !exhausted()
                 ? OptionalLong.of(fence * ORDERS_PER_FENCE + count++)
                 : OptionalLong.empty();
     }
--- a/core/src/main/java/org/sardinelift/core/order/LoadPacer.java
+++ b/core/src/main/java/org/sardinelift/core/order/LoadPacer.java
@@ -32,7 +32,7 @@
      * @param nowNanos time
      * @return false where it is too early
      */
-    public boolean tryTake(long nowNanos) {
+    public boolean tryAcquire(long nowNanos) {
         if (nowNanos - nextNanos < 0) {
             return false;
         }
--- a/core/src/main/java/org/sardinelift/core/order/OrderBounds.java
+++ b/core/src/main/java/org/sardinelift/core/order/OrderBounds.java
@@ -13,18 +13,18 @@
  * @param loadBound longest time from the first sending of an order to its target serving again
  * @param retryPause pause before an order that a companion refused, or that did not bring a target
  *     back, is sent again
- * @param goneAfter time after which a target that is not seen any more is given up
+ * @param goneTimeout time after which a target that is not seen any more is given up
  * @param maxTargets most targets of one roll-out, which bounds its state
  */
 public record OrderBounds(
-        Duration period,
+        Duration pollInterval,
         Duration leaseValid,
         Duration leaseTimeout,
-        int loadsInFlight,
+        int maxLoadsInFlight,
         int loadsPerMinute,
-        Duration loadBound,
+        Duration loadTimeout,
         Duration retryPause,
-        Duration goneAfter,
+        Duration goneTimeout,
         int maxTargets) {
     private static final int DEFAULT_MAX_TARGETS = 2_000;
 
