--- a/core/src/main/java/org/sardinelift/core/order/Rollout.java
+++ b/core/src/main/java/org/sardinelift/core/order/Rollout.java
@@ -10,20 +10,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One roll-out under one lease. {@link #plan} decides; its state is written before {@link #due}
- * gives any order that follows from it, so whoever takes over knows what may be under way.
+ * One roll-out under one lease. {@link #plan} decides; its state is written before {@link
+ * #dueOrders} gives any order that follows from it, so whoever takes over knows what may be under
+ * way.
  */
 public final class Rollout {
     private final OrderBounds bounds;
     private final LoadPacer pacer;
-    private final Map<String, Flight> flights = new HashMap<>();
+    private final Map<String, PendingOrder> flights = new HashMap<>();
     private final Map<String, Long> absentSince = new HashMap<>();
     private RolloutState state;
-    private boolean dirty;
+    private boolean isDirty;
 
     private Rollout(RolloutState state, boolean dirty, OrderBounds bounds, LoadPacer pacer) {
         this.state = state;
-        this.dirty = dirty;
+        this.isDirty = dirty;
         this.bounds = bounds;
         this.pacer = pacer;
     }
@@ -38,7 +39,7 @@
      * @return the roll-out, to be written
      */
     static Rollout begin(RolloutSpec spec, long fence, OrderBounds bounds, LoadPacer pacer) {
-        return new Rollout(RolloutState.begun(spec, fence), true, bounds, pacer);
+        return new Rollout(RolloutState.initial(spec, fence), true, bounds, pacer);
     }
 
     /**
@@ -51,15 +52,15 @@
      * @param pacer the weight store's rate
      * @return the roll-out
      */
-    static Rollout adopt(RolloutState state, long fence, OrderBounds bounds, LoadPacer pacer) {
-        boolean open = !state.phase().terminal();
-        return new Rollout(open ? state.under(fence) : state, open, bounds, pacer);
+    static Rollout resume(RolloutState state, long fence, OrderBounds bounds, LoadPacer pacer) {
+        boolean open = !state.phase().isTerminal();
+        return new Rollout(open ? state.withFence(fence) : state, open, bounds, pacer);
     }
 
     /**
      * The newest state.
      *
-     * @return the state, to be written where {@link #dirty}
+     * @return the state, to be written where {@link #isDirty}
      */
     public RolloutState state() {
         return state;
@@ -70,13 +71,13 @@
      *
      * @return true where the platform holds another
      */
-    public boolean dirty() {
-        return dirty;
+    public boolean isDirty() {
+        return isDirty;
     }
 
     /** Notes that the platform holds the state. */
-    public void written() {
-        dirty = false;
+    public void onWritten() {
+        isDirty = false;
     }
 
     void plan(
@@ -87,16 +88,16 @@
             long nowNanos) {
         RolloutState next = state;
         Optional<RolloutSpec> newer = wanted.filter(spec -> spec.isNewerThan(state.spec()));
-        if (next.phase().terminal() && newer.isPresent()) {
-            next = RolloutState.begun(newer.get(), fence);
+        if (next.phase().isTerminal() && newer.isPresent()) {
+            next = RolloutState.initial(newer.get(), fence);
             flights.clear();
             absentSince.clear();
         }
-        if (!next.phase().terminal()) {
+        if (!next.phase().isTerminal()) {
             next = step(next, wanted, fleet, busy, nowNanos);
         }
-        flights.keySet().retainAll(next.active());
-        dirty = dirty || !next.equals(state);
+        flights.keySet().retainAll(next.activeTargets());
+        isDirty = isDirty || !next.equals(state);
         state = next;
     }
 
@@ -114,12 +115,12 @@
         Optional<String> stop =
                 next.phase() == RolloutPhase.RUNNING ? stop(next.spec(), wanted) : Optional.empty();
         if (stop.isPresent()) {
-            next = next.back(stop.get());
+            next = next.rollBack(stop.get());
         }
         // An order given up must not be taken for the one that goes back.
-        flights.keySet().retainAll(next.active());
-        RolloutMoves moves = new RolloutMoves(targets, busy, bounds);
-        return next.phase() == RolloutPhase.RUNNING ? moves.forward(next) : moves.back(next);
+        flights.keySet().retainAll(next.activeTargets());
+        RolloutStepPlanner moves = new RolloutStepPlanner(targets, busy, bounds);
+        return next.phase() == RolloutPhase.RUNNING ? moves.advance(next) : moves.rollBack(next);
     }
 
     private static Optional<String> stop(RolloutSpec running, Optional<RolloutSpec> wanted) {
@@ -127,26 +128,26 @@
             return Optional.of("another roll-out was started in its place");
         }
         return wanted.filter(spec -> spec.id().equals(running.id()))
-                .filter(RolloutSpec::stopped)
+                .filter(RolloutSpec::isStopped)
                 .map(spec -> "stopped by the operator");
     }
 
     /** Takes in what became of the orders. */
     private RolloutState settle(RolloutState from, Map<String, TargetView> targets, long nowNanos) {
         RolloutState next = from;
-        for (String name : from.active()) {
-            Flight flight = flights.get(name);
+        for (String name : from.activeTargets()) {
+            PendingOrder flight = flights.get(name);
             RolloutStep step = next.steps().get(name);
-            if (flight == null || step == null || !step.state().active()) {
+            if (flight == null || step == null || !step.state().isActive()) {
                 continue;
             }
             if (confirmed(from, step, flight, targets.get(name))) {
                 flights.remove(name);
-                next = next.step(name, step.to(reached(step)));
-            } else if (flight.state() == Flight.State.REFUSED) {
+                next = next.withStep(name, step.withState(reached(step)));
+            } else if (flight.state() == PendingOrder.State.REFUSED) {
                 next = fail(next, name, targets.get(name), flight.detail(), nowNanos);
-            } else if (nowNanos - flight.startedNanos() > bounds.loadBound().toNanos()) {
-                String bound = bounds.loadBound().toMillis() + " ms";
+            } else if (nowNanos - flight.startedNanos() > bounds.loadTimeout().toNanos()) {
+                String bound = bounds.loadTimeout().toMillis() + " ms";
                 String why = "not done and serving within " + bound + " " + flight.detail();
                 next = fail(next, name, null, why.strip(), nowNanos);
             }
@@ -159,18 +160,20 @@
     }
 
     private static boolean confirmed(
-            RolloutState from, RolloutStep step, Flight flight, TargetView target) {
-        if (flight.state() != Flight.State.ACCEPTED || target == null) {
+            RolloutState from, RolloutStep step, PendingOrder flight, TargetView target) {
+        if (flight.state() != PendingOrder.State.ACCEPTED || target == null) {
             return false;
         }
         RolloutGoal goal = from.spec().goal();
         String value = value(from, step);
-        return goal.held(target).filter(value::equals).isPresent()
-                && (value.isEmpty() || goal.serves(target));
+        return goal.currentValue(target).filter(value::equals).isPresent()
+                && (value.isEmpty() || goal.isServing(target));
     }
 
     private static String value(RolloutState from, RolloutStep step) {
-        return step.state() == StepState.ORDERED ? from.spec().goal().wanted() : step.previous();
+        return step.state() == StepState.ORDERED
+                ? from.spec().goal().wanted()
+                : step.previousValue();
     }
 
     private RolloutState fail(
@@ -181,12 +184,17 @@
             long nowNanos) {
         RolloutStep step = from.steps().get(name);
         if (step.state() == StepState.RETURNING) {
-            Flight flight = flights.get(name);
+            PendingOrder flight = flights.get(name);
             long again = nowNanos + bounds.retryPause().toNanos();
             flights.put(
                     name,
-                    new Flight(flight.number(), again, Flight.State.AGAIN, again, flight.detail()));
-            return from.trouble(name + " does not go back: " + why);
+                    new PendingOrder(
+                            flight.number(),
+                            again,
+                            PendingOrder.State.RETRY,
+                            again,
+                            flight.detail()));
+            return from.problem(name + " does not go back: " + why);
         }
         flights.remove(name);
         // A target that refused runs no order, so its report can be taken at its word.
@@ -194,11 +202,12 @@
                 target != null
                         && from.spec()
                                 .goal()
-                                .held(target)
-                                .filter(step.previous()::equals)
+                                .currentValue(target)
+                                .filter(step.previousValue()::equals)
                                 .isPresent();
-        return from.step(name, step.to(unchanged ? StepState.RETURNED : StepState.DOUBTFUL))
-                .back(name + ": " + why);
+        return from.withStep(
+                        name, step.withState(unchanged ? StepState.RETURNED : StepState.DOUBTFUL))
+                .rollBack(name + ": " + why);
     }
 
     /** Gives up targets that are not seen any more. */
@@ -213,46 +222,47 @@
                 continue;
             }
             long since = absentSince.computeIfAbsent(name, absent -> nowNanos);
-            if (nowNanos - since <= bounds.goneAfter().toNanos()) {
+            if (nowNanos - since <= bounds.goneTimeout().toNanos()) {
                 continue;
             }
             if (next.phase() == RolloutPhase.ROLLING_BACK) {
-                next = next.drop(name).trouble(name + " left before it was back");
+                next = next.withoutTarget(name).problem(name + " left before it was back");
             } else if (at == StepState.ORDERED) {
-                next = next.step(name, entry.getValue().to(StepState.DOUBTFUL));
+                next = next.withStep(name, entry.getValue().withState(StepState.DOUBTFUL));
             }
         }
         return next;
     }
 
     /**
-     * Orders to send now; for each, {@link #sent} or {@link #unsent} is called.
+     * Orders to send now; for each, {@link #onSent} or {@link #onSendFailed} is called.
      *
      * @param nowNanos time
      * @return the orders, none while the state is to be written
      */
-    public List<TargetOrder> due(long nowNanos) {
-        return dirty
+    public List<TargetOrder> dueOrders(long nowNanos) {
+        return isDirty
                 ? List.of()
-                : state.active().stream()
+                : state.activeTargets().stream()
                         .sorted()
                         .filter(name -> waits(name, nowNanos))
                         .map(name -> order(name))
                         .filter(
                                 order ->
                                         !order.action().usesWeightStore()
-                                                || pacer.tryTake(nowNanos))
+                                                || pacer.tryAcquire(nowNanos))
                         .toList();
     }
 
     private boolean waits(String name, long nowNanos) {
-        Flight flight = flights.get(name);
+        PendingOrder flight = flights.get(name);
         return flight == null
-                || flight.state() == Flight.State.AGAIN && nowNanos - flight.againNanos() >= 0;
+                || flight.state() == PendingOrder.State.RETRY
+                        && nowNanos - flight.retryAtNanos() >= 0;
     }
 
     private TargetOrder order(String name) {
-        return state.spec().goal().order(name, value(state, state.steps().get(name)));
+        return state.spec().goal().orderFor(name, value(state, state.steps().get(name)));
     }
 
     /**
@@ -262,10 +272,10 @@
      * @param number its fencing number
      * @param nowNanos time
      */
-    public void sent(String target, long number, long nowNanos) {
-        Flight before = flights.get(target);
+    public void onSent(String target, long number, long nowNanos) {
+        PendingOrder before = flights.get(target);
         long started = before == null ? nowNanos : Math.min(before.startedNanos(), nowNanos);
-        flights.put(target, new Flight(number, started, Flight.State.SENT, 0, ""));
+        flights.put(target, new PendingOrder(number, started, PendingOrder.State.SENT, 0, ""));
     }
 
     /**
@@ -274,12 +284,14 @@
      * @param target name of the companion
      * @param nowNanos time
      */
-    public void unsent(String target, long nowNanos) {
-        Flight before = flights.get(target);
+    public void onSendFailed(String target, long nowNanos) {
+        PendingOrder before = flights.get(target);
         long started = before == null ? nowNanos : before.startedNanos();
         long again = nowNanos + bounds.retryPause().toNanos();
         flights.put(
-                target, new Flight(0, started, Flight.State.AGAIN, again, "it is not connected"));
+                target,
+                new PendingOrder(
+                        0, started, PendingOrder.State.RETRY, again, "it is not connected"));
     }
 
     /**
@@ -297,15 +309,15 @@
         long again = nowNanos + bounds.retryPause().toNanos();
         flights.replaceAll(
                 (name, flight) -> {
-                    if (flight.number() != number || flight.state() != Flight.State.SENT) {
+                    if (flight.number() != number || flight.state() != PendingOrder.State.SENT) {
                         return flight;
                     }
                     if (accepted) {
-                        return flight.to(Flight.State.ACCEPTED, detail);
+                        return flight.withState(PendingOrder.State.ACCEPTED, detail);
                     }
                     return passedOn
-                            ? flight.to(Flight.State.REFUSED, detail)
-                            : flight.again(again, detail);
+                            ? flight.withState(PendingOrder.State.REFUSED, detail)
+                            : flight.retryAt(again, detail);
                 });
     }
 
@@ -315,12 +327,12 @@
      * @param target name of the companion
      * @param nowNanos time
      */
-    public void onLost(String target, long nowNanos) {
+    public void onConnectionLost(String target, long nowNanos) {
         flights.computeIfPresent(
                 target,
                 (name, flight) ->
-                        flight.state() == Flight.State.SENT
-                                ? flight.again(nowNanos, "the connection was lost")
+                        flight.state() == PendingOrder.State.SENT
+                                ? flight.retryAt(nowNanos, "the connection was lost")
                                 : flight);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/RolloutGoal.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutGoal.java
@@ -39,7 +39,7 @@
      * @return version or role, an empty text where the model is not loaded, nothing where the
      *     target does not tell
      */
-    public Optional<String> held(TargetView target) {
+    public Optional<String> currentValue(TargetView target) {
         if (action == OrderAction.ROLE) {
             return target.role().isEmpty() ? Optional.empty() : Optional.of(target.role());
         }
@@ -53,8 +53,8 @@
      * @param target the target
      * @return true where new calls may go there
      */
-    public boolean serves(TargetView target) {
-        return target.usable()
+    public boolean isServing(TargetView target) {
+        return target.isUsable()
                 && (action == OrderAction.ROLE
                         ? !target.models().isEmpty()
                         : target.models().contains(model));
@@ -67,7 +67,7 @@
      * @param value version or role; empty for no version at all
      * @return the order
      */
-    public TargetOrder order(String target, String value) {
+    public TargetOrder orderFor(String target, String value) {
         if (action == OrderAction.ROLE) {
             return new TargetOrder(target, action, value, "");
         }
--- a/core/src/main/java/org/sardinelift/core/order/RolloutPhase.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutPhase.java
@@ -11,10 +11,10 @@
     /** Every target holds what it held before. */
     ROLLED_BACK(true);
 
-    private final boolean terminal;
+    private final boolean isTerminal;
 
     RolloutPhase(boolean terminal) {
-        this.terminal = terminal;
+        this.isTerminal = terminal;
     }
 
     /**
@@ -22,7 +22,7 @@
      *
      * @return true where no order is given any more
      */
-    public boolean terminal() {
-        return terminal;
+    public boolean isTerminal() {
+        return isTerminal;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/RolloutBoard.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutPlanner.java
@@ -9,13 +9,13 @@
 import java.util.stream.Collectors;
 
 /** All roll-outs under one lease; they share the weight store's rate and no target twice. */
-public final class RolloutBoard {
+public final class RolloutPlanner {
     private final long fence;
     private final OrderBounds bounds;
     private final LoadPacer pacer;
     private final Map<String, Rollout> rollouts = new TreeMap<>();
 
-    private RolloutBoard(long fence, OrderBounds bounds, long nowNanos) {
+    private RolloutPlanner(long fence, OrderBounds bounds, long nowNanos) {
         this.fence = fence;
         this.bounds = bounds;
         this.pacer = LoadPacer.of(bounds.loadsPerMinute(), nowNanos);
@@ -30,14 +30,14 @@
      * @param nowNanos time
      * @return the board
      */
-    public static RolloutBoard of(
+    public static RolloutPlanner of(
             long fence, OrderBounds bounds, Collection<RolloutState> states, long nowNanos) {
-        RolloutBoard board = new RolloutBoard(fence, bounds, nowNanos);
+        RolloutPlanner board = new RolloutPlanner(fence, bounds, nowNanos);
         states.forEach(
                 state ->
                         board.rollouts.put(
                                 state.spec().name(),
-                                Rollout.adopt(state, fence, bounds, board.pacer)));
+                                Rollout.resume(state, fence, bounds, board.pacer)));
         return board;
     }
 
@@ -86,7 +86,7 @@
     private Set<String> busyFor(String name) {
         return rollouts.entrySet().stream()
                 .filter(other -> !other.getKey().equals(name))
-                .flatMap(other -> other.getValue().state().active().stream())
+                .flatMap(other -> other.getValue().state().activeTargets().stream())
                 .collect(Collectors.toSet());
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/RolloutSpec.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutSpec.java
@@ -9,7 +9,7 @@
  * @param service service whose targets are to change
  * @param goal what they are to hold
  * @param leastServing least fraction of the service's targets that go on serving, 0 to 1
- * @param stopped whether the operator has stopped it
+ * @param isStopped whether the operator has stopped it
  */
 public record RolloutSpec(
         String name,
@@ -17,8 +17,8 @@
         long revision,
         String service,
         RolloutGoal goal,
-        double leastServing,
-        boolean stopped) {
+        double minServingFraction,
+        boolean isStopped) {
 
     /**
      * Whether this was started after another.
@@ -36,7 +36,7 @@
      * @param targets targets of the service
      * @return their number, rounded up
      */
-    public int least(int targets) {
-        return (int) Math.ceil(leastServing * targets);
+    public int minServing(int targets) {
+        return (int) Math.ceil(minServingFraction * targets);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/RolloutState.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutState.java
@@ -14,7 +14,7 @@
  * @param spec what was wanted when it began
  * @param fence number of the lease under which this was written
  * @param phase phase
- * @param reason why it goes or went back, empty otherwise
+ * @param rollbackReason why it goes or went back, empty otherwise
  * @param trouble what keeps it from going on, empty for nothing
  * @param steps targets by the name of their companion
  */
@@ -22,16 +22,16 @@
         RolloutSpec spec,
         long fence,
         RolloutPhase phase,
-        String reason,
-        String trouble,
+        String rollbackReason,
+        String problem,
         SortedMap<String, RolloutStep> steps) {
     private static final int LONGEST_TEXT = 500;
 
     /** Copies the map and bounds the texts. */
     public RolloutState {
         steps = Collections.unmodifiableSortedMap(new TreeMap<>(steps));
-        reason = bounded(reason);
-        trouble = bounded(trouble);
+        rollbackReason = bounded(rollbackReason);
+        problem = bounded(problem);
     }
 
     /**
@@ -41,7 +41,7 @@
      * @param fence number of the lease
      * @return the first state
      */
-    public static RolloutState begun(RolloutSpec spec, long fence) {
+    public static RolloutState initial(RolloutSpec spec, long fence) {
         return new RolloutState(spec, fence, RolloutPhase.RUNNING, "", "", new TreeMap<>());
     }
 
@@ -50,9 +50,9 @@
      *
      * @return names of their companions
      */
-    public Set<String> active() {
+    public Set<String> activeTargets() {
         return steps.entrySet().stream()
-                .filter(step -> step.getValue().state().active())
+                .filter(step -> step.getValue().state().isActive())
                 .map(java.util.Map.Entry::getKey)
                 .collect(Collectors.toSet());
     }
@@ -68,37 +68,39 @@
         return step == null || step.state().mayServe();
     }
 
-    RolloutState under(long newFence) {
-        return new RolloutState(spec, newFence, phase, reason, trouble, steps);
+    RolloutState withFence(long newFence) {
+        return new RolloutState(spec, newFence, phase, rollbackReason, problem, steps);
     }
 
-    RolloutState step(String target, RolloutStep step) {
+    RolloutState withStep(String target, RolloutStep step) {
         SortedMap<String, RolloutStep> next = new TreeMap<>(steps);
         next.put(target, step);
-        return new RolloutState(spec, fence, phase, reason, trouble, next);
+        return new RolloutState(spec, fence, phase, rollbackReason, problem, next);
     }
 
-    RolloutState drop(String target) {
+    RolloutState withoutTarget(String target) {
         SortedMap<String, RolloutStep> next = new TreeMap<>(steps);
         next.remove(target);
-        return new RolloutState(spec, fence, phase, reason, trouble, next);
+        return new RolloutState(spec, fence, phase, rollbackReason, problem, next);
     }
 
-    RolloutState trouble(String text) {
-        return new RolloutState(spec, fence, phase, reason, text, steps);
+    RolloutState problem(String text) {
+        return new RolloutState(spec, fence, phase, rollbackReason, text, steps);
     }
 
-    RolloutState end(RolloutPhase last) {
-        return new RolloutState(spec, fence, last, reason, trouble, steps);
+    RolloutState withPhase(RolloutPhase last) {
+        return new RolloutState(spec, fence, last, rollbackReason, problem, steps);
     }
 
     /** Goes back from here; what was ordered and not confirmed is in doubt. */
-    RolloutState back(String why) {
+    RolloutState rollBack(String why) {
         SortedMap<String, RolloutStep> next = new TreeMap<>(steps);
         next.replaceAll(
                 (target, step) ->
-                        step.state() == StepState.ORDERED ? step.to(StepState.DOUBTFUL) : step);
-        return new RolloutState(spec, fence, RolloutPhase.ROLLING_BACK, why, trouble, next);
+                        step.state() == StepState.ORDERED
+                                ? step.withState(StepState.DOUBTFUL)
+                                : step);
+        return new RolloutState(spec, fence, RolloutPhase.ROLLING_BACK, why, problem, next);
     }
 
     private static String bounded(String text) {
--- a/core/src/main/java/org/sardinelift/core/order/RolloutStep.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutStep.java
@@ -3,10 +3,10 @@
 /**
  * One target of a roll-out.
  *
- * @param previous what it held before, empty for none
+ * @param previousValue what it held before, empty for none
  * @param state how far it is
  */
-public record RolloutStep(String previous, StepState state) {
+public record RolloutStep(String previousValue, StepState state) {
 
     /**
      * The same target in another state.
@@ -14,7 +14,7 @@
      * @param next the state
      * @return the step
      */
-    public RolloutStep to(StepState next) {
-        return new RolloutStep(previous, next);
+    public RolloutStep withState(StepState next) {
+        return new RolloutStep(previousValue, next);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/RolloutMoves.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutStepPlanner.java
@@ -7,49 +7,49 @@
 import org.jspecify.annotations.Nullable;
 
 /** Picks the targets whose turn it is, so that enough others go on serving. */
-final class RolloutMoves {
+final class RolloutStepPlanner {
     private final Map<String, TargetView> targets;
     private final Set<String> busy;
     private final OrderBounds bounds;
 
     /** Takes the service's targets and those that another roll-out has under order. */
-    RolloutMoves(Map<String, TargetView> targets, Set<String> busy, OrderBounds bounds) {
+    RolloutStepPlanner(Map<String, TargetView> targets, Set<String> busy, OrderBounds bounds) {
         this.targets = targets;
         this.busy = busy;
         this.bounds = bounds;
     }
 
-    RolloutState forward(RolloutState from) {
+    RolloutState advance(RolloutState from) {
         if (targets.isEmpty()) {
             return from;
         }
         if (targets.size() > bounds.maxTargets()) {
-            return from.back(
+            return from.rollBack(
                     "the service has %d targets, a roll-out takes at most %d; split the service"
                             .formatted(targets.size(), bounds.maxTargets()));
         }
         List<String> open = targets.keySet().stream().filter(name -> open(from, name)).toList();
         if (open.isEmpty()) {
-            return from.active().isEmpty() ? from.end(RolloutPhase.COMPLETED) : from;
+            return from.activeTargets().isEmpty() ? from.withPhase(RolloutPhase.COMPLETED) : from;
         }
         if (from.steps().isEmpty() && open.stream().allMatch(name -> pinned(from, name))) {
-            return back(
-                    from.back(
+            return rollBack(
+                    from.rollBack(
                             "leastServing %s of %d targets leaves none to move; set it lower"
-                                    .formatted(from.spec().leastServing(), targets.size())));
+                                    .formatted(from.spec().minServingFraction(), targets.size())));
         }
         RolloutState next = from;
         for (String name : inTurn(from, open)) {
             if (mayMove(next, name) && held(next, name) != null) {
                 RolloutStep known = next.steps().get(name);
-                String previous = known == null ? held(next, name) : known.previous();
-                next = next.step(name, new RolloutStep(previous, StepState.ORDERED));
+                String previous = known == null ? held(next, name) : known.previousValue();
+                next = next.withStep(name, new RolloutStep(previous, StepState.ORDERED));
             }
         }
         return next;
     }
 
-    RolloutState back(RolloutState from) {
+    RolloutState rollBack(RolloutState from) {
         if (from.phase() == RolloutPhase.RUNNING) {
             return from;
         }
@@ -59,13 +59,13 @@
                         .map(Map.Entry::getKey)
                         .toList();
         if (open.isEmpty()) {
-            return from.end(RolloutPhase.ROLLED_BACK);
+            return from.withPhase(RolloutPhase.ROLLED_BACK);
         }
         RolloutState next = from;
         for (String name : inTurn(from, open)) {
             RolloutStep step = next.steps().get(name);
-            if (!step.state().active() && targets.containsKey(name) && mayMove(next, name)) {
-                next = next.step(name, step.to(StepState.RETURNING));
+            if (!step.state().isActive() && targets.containsKey(name) && mayMove(next, name)) {
+                next = next.withStep(name, step.withState(StepState.RETURNING));
             }
         }
         return next;
@@ -74,7 +74,7 @@
     /** Whether a target is not known to hold what is wanted. */
     private boolean open(RolloutState from, String name) {
         RolloutStep step = from.steps().get(name);
-        if (step != null && step.state().active()) {
+        if (step != null && step.state().isActive()) {
             return false;
         }
         return step != null && step.state() == StepState.DOUBTFUL
@@ -82,21 +82,21 @@
     }
 
     private @Nullable String held(RolloutState from, String name) {
-        return from.spec().goal().held(targets.get(name)).orElse(null);
+        return from.spec().goal().currentValue(targets.get(name)).orElse(null);
     }
 
     /** Whether taking a serving target off would leave too few even where all serve. */
     private boolean pinned(RolloutState from, String name) {
-        return serves(from, name) && from.spec().least(targets.size()) > targets.size() - 1;
+        return serves(from, name) && from.spec().minServing(targets.size()) > targets.size() - 1;
     }
 
     private boolean mayMove(RolloutState from, String name) {
         if (busy.contains(name)
-                || !targets.get(name).usable()
-                || from.active().size() + busy.size() >= bounds.loadsInFlight()) {
+                || !targets.get(name).isUsable()
+                || from.activeTargets().size() + busy.size() >= bounds.maxLoadsInFlight()) {
             return false;
         }
-        return !serves(from, name) || serving(from) - 1 >= from.spec().least(targets.size());
+        return !serves(from, name) || serving(from) - 1 >= from.spec().minServing(targets.size());
     }
 
     private long serving(RolloutState from) {
@@ -106,7 +106,7 @@
     private boolean serves(RolloutState from, String name) {
         return from.mayServe(name)
                 && !busy.contains(name)
-                && from.spec().goal().serves(targets.get(name));
+                && from.spec().goal().isServing(targets.get(name));
     }
 
     /** Targets that serve nobody come first. */
--- a/core/src/main/java/org/sardinelift/core/order/StepState.java
+++ b/core/src/main/java/org/sardinelift/core/order/StepState.java
@@ -13,11 +13,11 @@
     /** It holds what it held before. */
     RETURNED(false, true);
 
-    private final boolean active;
+    private final boolean isActive;
     private final boolean serving;
 
     StepState(boolean active, boolean serving) {
-        this.active = active;
+        this.isActive = active;
         this.serving = serving;
     }
 
@@ -26,8 +26,8 @@
      *
      * @return true for the states in which one is given
      */
-    public boolean active() {
-        return active;
+    public boolean isActive() {
+        return isActive;
     }
 
     /**
--- a/core/src/main/java/org/sardinelift/core/order/TargetView.java
+++ b/core/src/main/java/org/sardinelift/core/order/TargetView.java
@@ -8,7 +8,7 @@
  *
  * @param name name of the companion beside it
  * @param service service that it is a replica of
- * @param usable whether it is connected, healthy and not leaving
+ * @param isUsable whether it is connected, healthy and not leaving
  * @param models models that it takes calls for now
  * @param versions version of each model that it tells of, also while an order runs
  * @param role its role, empty where it tells none
@@ -16,7 +16,7 @@
 public record TargetView(
         String name,
         String service,
-        boolean usable,
+        boolean isUsable,
         Set<String> models,
         Map<String, String> versions,
         String role) {}
--- a/core/src/main/java/org/sardinelift/core/outcome/AttemptStep.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/AttemptStep.java
@@ -7,7 +7,7 @@
 public sealed interface AttemptStep {
 
     /** Nothing; the event was late, crossed or told nothing new. */
-    record Nothing() implements AttemptStep {}
+    record NoAction() implements AttemptStep {}
 
     /**
      * The answer's status and headers are known.
@@ -15,24 +15,24 @@
      * @param status HTTP status code
      * @param headers answer headers
      */
-    record Answered(int status, Map<String, String> headers) implements AttemptStep {}
+    record ResponseHead(int status, Map<String, String> headers) implements AttemptStep {}
 
     /**
      * The next part of the body.
      *
      * @param part body bytes that were not delivered before
      */
-    record Deliver(byte[] part) implements AttemptStep {}
+    record BodyPart(byte[] part) implements AttemptStep {}
 
     /**
      * Ask the companion what became of the attempt.
      *
      * @param offset body bytes held
      */
-    record Ask(long offset) implements AttemptStep {}
+    record QueryState(long offset) implements AttemptStep {}
 
     /** The whole answer has come. */
-    record Whole() implements AttemptStep {}
+    record Completed() implements AttemptStep {}
 
     /**
      * The attempt ended without the whole answer.
--- a/core/src/main/java/org/sardinelift/core/outcome/CallAttempt.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/CallAttempt.java
@@ -9,14 +9,14 @@
  * number and body offset fit, so that late, doubled and crossed frames change nothing.
  */
 public final class CallAttempt {
-    private static final AttemptStep NOTHING = new AttemptStep.Nothing();
+    private static final AttemptStep NOTHING = new AttemptStep.NoAction();
 
     private final int number;
     private final String incarnation;
-    private long received;
+    private long receivedBytes;
     private boolean answered;
-    private boolean attached = true;
-    private boolean ended;
+    private boolean isAttached = true;
+    private boolean isEnded;
 
     private CallAttempt(int number, String incarnation) {
         this.number = number;
@@ -48,8 +48,8 @@
      *
      * @return their number
      */
-    public long received() {
-        return received;
+    public long receivedBytes() {
+        return receivedBytes;
     }
 
     /**
@@ -57,8 +57,8 @@
      *
      * @return true once a step ended it
      */
-    public boolean ended() {
-        return ended;
+    public boolean isEnded() {
+        return isEnded;
     }
 
     /**
@@ -66,8 +66,8 @@
      *
      * @return false between the loss of a connection and the next one
      */
-    public boolean attached() {
-        return attached;
+    public boolean isAttached() {
+        return isAttached;
     }
 
     /**
@@ -83,7 +83,7 @@
             return NOTHING;
         }
         answered = true;
-        return new AttemptStep.Answered(status, headers);
+        return new AttemptStep.ResponseHead(status, headers);
     }
 
     /**
@@ -95,15 +95,15 @@
      * @return what follows; a part that lies beyond a gap is dropped and asked for again
      */
     public AttemptStep onData(int attempt, long offset, byte[] part) {
-        if (stranger(attempt) || offset + part.length <= received) {
+        if (stranger(attempt) || offset + part.length <= receivedBytes) {
             return NOTHING;
         }
-        if (offset > received || !answered) {
-            return new AttemptStep.Ask(received);
+        if (offset > receivedBytes || !answered) {
+            return new AttemptStep.QueryState(receivedBytes);
         }
-        byte[] fresh = Arrays.copyOfRange(part, (int) (received - offset), part.length);
-        received += fresh.length;
-        return new AttemptStep.Deliver(fresh);
+        byte[] fresh = Arrays.copyOfRange(part, (int) (receivedBytes - offset), part.length);
+        receivedBytes += fresh.length;
+        return new AttemptStep.BodyPart(fresh);
     }
 
     /**
@@ -130,15 +130,15 @@
         if (cause != FailureCause.NONE) {
             return end(new AttemptStep.Failed(outcome, cause, detail, retryAfter));
         }
-        if (length != received || !answered) {
-            return new AttemptStep.Ask(received);
+        if (length != receivedBytes || !answered) {
+            return new AttemptStep.QueryState(receivedBytes);
         }
-        return end(new AttemptStep.Whole());
+        return end(new AttemptStep.Completed());
     }
 
     /** The connection is closed or has gone silent. */
-    public void onDown() {
-        attached = false;
+    public void onDisconnected() {
+        isAttached = false;
     }
 
     /**
@@ -147,13 +147,13 @@
      * @param peerIncarnation incarnation of the companion at the other end
      * @return what follows: a companion that started anew can't know the attempt
      */
-    public AttemptStep onUp(String peerIncarnation) {
-        if (ended || attached) {
+    public AttemptStep onConnected(String peerIncarnation) {
+        if (isEnded || isAttached) {
             return NOTHING;
         }
-        attached = true;
+        isAttached = true;
         return peerIncarnation.equals(incarnation)
-                ? new AttemptStep.Ask(received)
+                ? new AttemptStep.QueryState(receivedBytes)
                 : lost("the companion was restarted while the call was with it");
     }
 
@@ -164,7 +164,7 @@
      * @param state what became of it
      * @return what follows
      */
-    public AttemptStep onAnswer(int attempt, AttemptState state) {
+    public AttemptStep onStateAnswer(int attempt, AttemptState state) {
         if (stranger(attempt)) {
             return NOTHING;
         }
@@ -172,7 +172,7 @@
             case NOT_STARTED ->
                     end(
                             new AttemptStep.Failed(
-                                    received > 0 || answered
+                                    receivedBytes > 0 || answered
                                             ? RunOutcome.UNKNOWN
                                             : RunOutcome.NOT_RUN,
                                     FailureCause.CONNECTION_LOST,
@@ -189,7 +189,7 @@
      * @return what follows
      */
     public AttemptStep onReattachTimeout() {
-        return ended || attached ? NOTHING : lost("the connection to the companion was lost");
+        return isEnded || isAttached ? NOTHING : lost("the connection to the companion was lost");
     }
 
     /**
@@ -199,8 +199,8 @@
      * @param detail what was wrong in this case
      * @return what follows
      */
-    public AttemptStep onAbandon(FailureCause cause, String detail) {
-        return ended
+    public AttemptStep onAbandoned(FailureCause cause, String detail) {
+        return isEnded
                 ? NOTHING
                 : end(
                         new AttemptStep.Failed(
@@ -220,11 +220,11 @@
     }
 
     private AttemptStep end(AttemptStep last) {
-        ended = true;
+        isEnded = true;
         return last;
     }
 
     private boolean stranger(int attempt) {
-        return ended || attempt != number;
+        return isEnded || attempt != number;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/outcome/FailureCause.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/FailureCause.java
@@ -17,12 +17,12 @@
     MODEL_NOT_LOADED(ProblemKind.NO_TARGET, false),
     CONNECTION_LOST(ProblemKind.TARGET_FAILED, true);
 
-    private final ProblemKind kind;
-    private final boolean blamesTarget;
+    private final ProblemKind problemKind;
+    private final boolean isTargetFault;
 
     FailureCause(ProblemKind kind, boolean blamesTarget) {
-        this.kind = kind;
-        this.blamesTarget = blamesTarget;
+        this.problemKind = kind;
+        this.isTargetFault = blamesTarget;
     }
 
     /**
@@ -31,7 +31,7 @@
      * @param name name of the cause
      * @return the cause; {@link #CONNECTION_LOST} for a name that this version does not know
      */
-    public static FailureCause named(String name) {
+    public static FailureCause fromName(String name) {
         return Arrays.stream(values())
                 .filter(cause -> cause.name().equals(name))
                 .findFirst()
@@ -43,8 +43,8 @@
      *
      * @return true where it counts towards leaving the target out
      */
-    public boolean blamesTarget() {
-        return blamesTarget;
+    public boolean isTargetFault() {
+        return isTargetFault;
     }
 
     /**
@@ -53,16 +53,16 @@
      * @param outcome whether the call was run
      * @return the kind
      */
-    public ProblemKind kind(RunOutcome outcome) {
+    public ProblemKind problemKind(RunOutcome outcome) {
         if (this == PREEMPTED) {
-            return kind;
+            return problemKind;
         }
-        if (outcome == RunOutcome.NOT_RUN && kind == ProblemKind.TARGET_FAILED) {
+        if (outcome == RunOutcome.NOT_RUN && problemKind == ProblemKind.TARGET_FAILED) {
             return ProblemKind.NO_TARGET;
         }
-        if (outcome == RunOutcome.UNKNOWN && kind != ProblemKind.DEADLINE_EXCEEDED) {
-            return this == CANCELLED ? kind : ProblemKind.OUTCOME_UNKNOWN;
+        if (outcome == RunOutcome.UNKNOWN && problemKind != ProblemKind.DEADLINE_EXCEEDED) {
+            return this == CANCELLED ? problemKind : ProblemKind.OUTCOME_UNKNOWN;
         }
-        return kind;
+        return problemKind;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/outcome/IdempotencyRecord.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/IdempotencyRecord.java
@@ -11,17 +11,17 @@
  * @param status HTTP status of the answer, 0 without one
  * @param contentType content type of the answer, empty without one
  * @param body the answer, empty without one
- * @param bodyKept whether the whole answer was small enough to be kept
+ * @param isBodyKept whether the whole answer was small enough to be kept
  */
 public record IdempotencyRecord(
-        String mark,
+        String intentId,
         String fingerprint,
         State state,
-        long untilMs,
+        long giveUpAtMs,
         int status,
         String contentType,
         byte[] body,
-        boolean bodyKept) {
+        boolean isBodyKept) {
 
     /** What became of a call. */
     public enum State {
@@ -34,15 +34,15 @@
     }
 
     /** What a resent call gets. */
-    public enum Verdict {
+    public enum Resolution {
         /** The key was used for another request. */
-        REUSED,
+        KEY_REUSED,
         /** The first call is still running. */
-        WAIT,
+        STILL_RUNNING,
         /** The recorded answer. */
         REPLAY,
         /** The first call's outcome is unknown, for good. */
-        UNKNOWN,
+        OUTCOME_UNKNOWN,
         /** The first call was given up; that is to be noted before it is said. */
         GIVE_UP
     }
@@ -74,7 +74,14 @@
     public IdempotencyRecord finished(
             int answerStatus, String answerType, byte[] answer, boolean kept) {
         return new IdempotencyRecord(
-                mark, fingerprint, State.FINISHED, untilMs, answerStatus, answerType, answer, kept);
+                intentId,
+                fingerprint,
+                State.FINISHED,
+                giveUpAtMs,
+                answerStatus,
+                answerType,
+                answer,
+                kept);
     }
 
     /**
@@ -84,7 +91,7 @@
      */
     public IdempotencyRecord unclear() {
         return new IdempotencyRecord(
-                mark, fingerprint, State.UNCLEAR, untilMs, 0, "", NO_BODY, false);
+                intentId, fingerprint, State.UNCLEAR, giveUpAtMs, 0, "", NO_BODY, false);
     }
 
     /**
@@ -94,14 +101,14 @@
      * @param nowMs time since the epoch, milliseconds
      * @return the verdict
      */
-    public Verdict judge(String resent, long nowMs) {
+    public Resolution resolve(String resent, long nowMs) {
         if (!fingerprint.equals(resent)) {
-            return Verdict.REUSED;
+            return Resolution.KEY_REUSED;
         }
         return switch (state) {
-            case RUNNING -> nowMs < untilMs ? Verdict.WAIT : Verdict.GIVE_UP;
-            case FINISHED -> Verdict.REPLAY;
-            case UNCLEAR -> Verdict.UNKNOWN;
+            case RUNNING -> nowMs < giveUpAtMs ? Resolution.STILL_RUNNING : Resolution.GIVE_UP;
+            case FINISHED -> Resolution.REPLAY;
+            case UNCLEAR -> Resolution.OUTCOME_UNKNOWN;
         };
     }
 }
--- a/core/src/main/java/org/sardinelift/core/outcome/RetryBudget.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/RetryBudget.java
@@ -36,7 +36,7 @@
      *
      * @return false where the budget is spent
      */
-    public boolean tryRetry() {
+    public boolean tryAcquire() {
         if (tokens < 1) {
             return false;
         }
--- a/core/src/main/java/org/sardinelift/core/outcome/RetryPolicy.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/RetryPolicy.java
@@ -34,7 +34,7 @@
             double jitter,
             RetryBudget budget) {
         boolean allowed =
-                failed.outcome().allowsRetry(idempotent)
+                failed.outcome().mayRetry(idempotent)
                         && worthwhile(failed.cause())
                         && !delivered
                         && attempt < maxAttempts;
@@ -45,7 +45,7 @@
 
     /** Calls that were on a target when it died run again one by one, which is bound enough. */
     private static boolean afforded(AttemptStep.Failed failed, RetryBudget budget) {
-        return failed.cause() == FailureCause.TARGET_DIED || budget.tryRetry();
+        return failed.cause() == FailureCause.TARGET_DIED || budget.tryAcquire();
     }
 
     private static boolean worthwhile(FailureCause cause) {
--- a/core/src/main/java/org/sardinelift/core/outcome/RunOutcome.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/RunOutcome.java
@@ -21,7 +21,7 @@
      * @param idempotent whether running the call twice does no harm
      * @return true where a second attempt is allowed
      */
-    public boolean allowsRetry(boolean idempotent) {
+    public boolean mayRetry(boolean idempotent) {
         return repeatable || idempotent;
     }
 
@@ -31,7 +31,7 @@
      * @param other outcome of the other attempt
      * @return {@link #NOT_RUN} only where neither attempt can have run
      */
-    public RunOutcome and(RunOutcome other) {
+    public RunOutcome combine(RunOutcome other) {
         if (this == RUN || other == RUN) {
             return RUN;
         }
--- a/core/src/main/java/org/sardinelift/core/peer/Peer.java
+++ b/core/src/main/java/org/sardinelift/core/peer/Peer.java
@@ -20,7 +20,7 @@
  *     where it never did
  * @param targetsReadAt when it read the targets from the store itself, nanoseconds; empty where it
  *     never did
- * @param targetsChanged revision at which the targets that it holds had changed last
+ * @param targetsRevision revision at which the targets that it holds had changed last
  * @param heardAt when its last report came, nanoseconds
  * @param heard whether any report has come
  */
@@ -33,13 +33,13 @@
         long incarnation,
         long sequence,
         long planVersion,
-        boolean leaving,
-        Set<Long> jobs,
+        boolean isLeaving,
+        Set<Long> jobHashes,
         OptionalLong planReadAt,
         OptionalLong targetsReadAt,
-        long targetsChanged,
-        long heardAt,
-        boolean heard) {
+        long targetsRevision,
+        long lastReportAt,
+        boolean hasReported) {
 
     /**
      * An instance of which only the address is known.
@@ -50,7 +50,7 @@
      * @param now the time, nanoseconds
      * @return the peer
      */
-    public static Peer unheard(String name, String host, int port, long now) {
+    public static Peer ofAddress(String name, String host, int port, long now) {
         return new Peer(
                 name,
                 host,
@@ -79,12 +79,12 @@
                 incarnation,
                 sequence,
                 planVersion,
-                leaving,
-                jobs,
+                isLeaving,
+                jobHashes,
                 planReadAt,
                 targetsReadAt,
-                targetsChanged,
-                heardAt,
-                heard);
+                targetsRevision,
+                lastReportAt,
+                hasReported);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/peer/PeerRole.java
+++ b/core/src/main/java/org/sardinelift/core/peer/PeerRole.java
@@ -26,7 +26,7 @@
      * @param label the name in lower case
      * @return the role, or empty where there is none of that name
      */
-    public static Optional<PeerRole> labelled(String label) {
+    public static Optional<PeerRole> fromLabel(String label) {
         return Stream.of(values()).filter(role -> role.label().equals(label)).findFirst();
     }
 }
--- a/core/src/main/java/org/sardinelift/core/peer/PeerBook.java
+++ b/core/src/main/java/org/sardinelift/core/peer/PeerTable.java
@@ -18,7 +18,7 @@
  * The instances known to this one and which of them are live. Times are nanoseconds of a monotonic
  * clock. Not safe for use by several threads at once.
  */
-public final class PeerBook {
+public final class PeerTable {
     /** Workers go first: they have no callers who wait. */
     private static final Comparator<RelayRank> RELAY_ORDER =
             Comparator.comparing((RelayRank rank) -> rank.role() != PeerRole.WORKER)
@@ -31,7 +31,7 @@
     private final long forgetNanos;
     private final Map<String, Peer> peers = new HashMap<>();
 
-    private PeerBook(String self, Duration silence, Duration forget) {
+    private PeerTable(String self, Duration silence, Duration forget) {
         this.self = self;
         this.silenceNanos = silence.toNanos();
         this.forgetNanos = forget.toNanos();
@@ -45,8 +45,8 @@
      * @param forget time without a report after which a peer is forgotten
      * @return the book
      */
-    public static PeerBook create(String self, Duration silence, Duration forget) {
-        return new PeerBook(self, silence, forget);
+    public static PeerTable create(String self, Duration silence, Duration forget) {
+        return new PeerTable(self, silence, forget);
     }
 
     /**
@@ -65,7 +65,7 @@
         Peer known = peers.get(name);
         boolean lost = known != null && !isLive(known, now);
         if (known == null) {
-            peers.put(name, Peer.unheard(name, host, port, now));
+            peers.put(name, Peer.ofAddress(name, host, port, now));
         } else if (lost) {
             peers.put(name, known.at(host, port));
         }
@@ -73,7 +73,7 @@
     }
 
     /** What a report told. */
-    public enum News {
+    public enum ReportResult {
         /** It is older than one that came before. */
         STALE,
         /** A known peer goes on. */
@@ -88,21 +88,21 @@
      * @param report the peer as it shows itself
      * @return what it told
      */
-    public News onReport(Peer report) {
+    public ReportResult onReport(Peer report) {
         if (report.name().equals(self)) {
-            return News.STALE;
+            return ReportResult.STALE;
         }
         Peer known = peers.get(report.name());
-        if (known != null && known.heard() && isOlder(report, known)) {
-            return News.STALE;
+        if (known != null && known.hasReported() && isOlder(report, known)) {
+            return ReportResult.STALE;
         }
         peers.put(report.name(), report);
         boolean joined =
                 known == null
-                        || !known.heard()
+                        || !known.hasReported()
                         || known.incarnation() != report.incarnation()
-                        || report.heardAt() - known.heardAt() >= silenceNanos;
-        return joined ? News.JOINED : News.KNOWN;
+                        || report.lastReportAt() - known.lastReportAt() >= silenceNanos;
+        return joined ? ReportResult.JOINED : ReportResult.KNOWN;
     }
 
     private static boolean isOlder(Peer report, Peer known) {
@@ -117,10 +117,10 @@
      * @param now the time
      * @return names of those forgotten
      */
-    public List<String> forgetSilent(long now) {
+    public List<String> removeSilent(long now) {
         List<String> gone =
                 peers.values().stream()
-                        .filter(peer -> now - peer.heardAt() >= forgetNanos)
+                        .filter(peer -> now - peer.lastReportAt() >= forgetNanos)
                         .map(Peer::name)
                         .toList();
         gone.forEach(peers::remove);
@@ -135,7 +135,7 @@
      * @return true within the silence bound
      */
     public boolean isLive(Peer peer, long now) {
-        return peer.heard() && now - peer.heardAt() < silenceNanos;
+        return peer.hasReported() && now - peer.lastReportAt() < silenceNanos;
     }
 
     /**
@@ -154,9 +154,9 @@
      * @param now the time
      * @return the peers
      */
-    public Stream<Peer> live(PeerRole role, long now) {
+    public Stream<Peer> livePeers(PeerRole role, long now) {
         return peers.values().stream()
-                .filter(peer -> peer.role() == role && !peer.leaving() && isLive(peer, now));
+                .filter(peer -> peer.role() == role && !peer.isLeaving() && isLive(peer, now));
     }
 
     /**
@@ -169,8 +169,8 @@
      * @param now the time
      * @return the peers
      */
-    public List<Peer> inOrder(PeerRole role, String zone, long draw, long now) {
-        List<Peer> order = new ArrayList<>(live(role, now).toList());
+    public List<Peer> inPreferenceOrder(PeerRole role, String zone, long draw, long now) {
+        List<Peer> order = new ArrayList<>(livePeers(role, now).toList());
         order.sort(
                 Comparator.comparing((Peer peer) -> !peer.zone().equals(zone))
                         .thenComparingLong(peer -> (peer.name().hashCode() * 31L) ^ draw));
@@ -191,20 +191,20 @@
     public boolean isReadByOther(
             String zone, Function<Peer, OptionalLong> readAt, Duration limit, long now) {
         return peers.values().stream()
-                .filter(peer -> isLive(peer, now) && !peer.leaving())
+                .filter(peer -> isLive(peer, now) && !peer.isLeaving())
                 .filter(peer -> peer.zone().equals(zone) && peer.name().compareTo(self) < 0)
                 .map(readAt)
                 .anyMatch(at -> at.isPresent() && now - at.getAsLong() < limit.toNanos());
     }
 
     /** Whether the work of an instance that is to go for good has somebody to go to. */
-    public enum Succession {
+    public enum SuccessorState {
         /** Another instance of the role stays. */
-        SECURED,
+        PRESENT,
         /** All others are about to go as well, and one whose name comes first decides to stay. */
-        AWAITED,
+        PENDING,
         /** Nobody else will stay, so that this instance must. */
-        ALONE
+        NONE
     }
 
     /**
@@ -215,17 +215,17 @@
      * @param now the time
      * @return what is known of the others
      */
-    public Succession succession(PeerRole role, long now) {
+    public SuccessorState successorState(PeerRole role, long now) {
         List<Peer> others =
                 peers.values().stream()
                         .filter(peer -> peer.role() == role && isLive(peer, now))
                         .toList();
-        if (others.stream().anyMatch(peer -> !peer.leaving())) {
-            return Succession.SECURED;
+        if (others.stream().anyMatch(peer -> !peer.isLeaving())) {
+            return SuccessorState.PRESENT;
         }
         return others.stream().anyMatch(peer -> peer.name().compareTo(self) < 0)
-                ? Succession.AWAITED
-                : Succession.ALONE;
+                ? SuccessorState.PENDING
+                : SuccessorState.NONE;
     }
 
     /**
@@ -235,7 +235,7 @@
      * @param now the time
      * @return false where one is silent and not yet forgotten
      */
-    public boolean hearsAll(PeerRole role, long now) {
+    public boolean isEveryPeerLive(PeerRole role, long now) {
         return peers.values().stream()
                 .filter(peer -> peer.role() == role)
                 .allMatch(peer -> isLive(peer, now));
@@ -273,12 +273,12 @@
                                 Peer::zone,
                                 Function.identity(),
                                 BinaryOperator.minBy(
-                                        Comparator.comparing(PeerBook::relayRank, RELAY_ORDER))))
+                                        Comparator.comparing(PeerTable::relayRank, RELAY_ORDER))))
                 .values();
     }
 
     private Stream<Peer> relayCandidates(long now) {
-        return peers.values().stream().filter(peer -> isLive(peer, now) && !peer.leaving());
+        return peers.values().stream().filter(peer -> isLive(peer, now) && !peer.isLeaving());
     }
 
     private static RelayRank relayRank(Peer peer) {
--- a/core/src/main/java/org/sardinelift/core/plan/TargetEntry.java
+++ b/core/src/main/java/org/sardinelift/core/plan/RegisteredTarget.java
@@ -10,14 +10,14 @@
  * @param zone availability zone
  * @param slots calls that it runs at once
  * @param leaving whether it takes no new work
- * @param bornMs when this life started, Unix milliseconds; 0 where it is not known
+ * @param startedAtMs when this life started, Unix milliseconds; 0 where it is not known
  */
-public record TargetEntry(
+public record RegisteredTarget(
         String id,
         String service,
         String host,
         int port,
         String zone,
         int slots,
-        boolean leaving,
-        long bornMs) {}
+        boolean isLeaving,
+        long startedAtMs) {}
--- a/core/src/main/java/org/sardinelift/core/plan/CallerBounds.java
+++ b/core/src/main/java/org/sardinelift/core/plan/RequestLimits.java
@@ -10,5 +10,5 @@
  * @param headerTimeout longest time until a request is whole
  * @param idleTimeout longest time without a request on a connection
  */
-public record CallerBounds(
+public record RequestLimits(
         int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {}
--- a/core/src/main/java/org/sardinelift/core/plan/RoutePlan.java
+++ b/core/src/main/java/org/sardinelift/core/plan/RoutePlan.java
@@ -27,15 +27,15 @@
         String host,
         String pathPrefix,
         CallKind kind,
-        boolean resumable,
-        boolean open,
+        boolean isResumable,
+        boolean isPublic,
         List<WeightedService> services,
         Duration timeout,
-        Duration objective,
-        Duration gapObjective,
+        Duration latencyObjective,
+        Duration eventGapObjective,
         int maxAttempts,
         int priority,
-        Duration completionTarget,
+        Duration completionObjective,
         Duration retention) {
 
     /**
@@ -52,7 +52,7 @@
      * @return true where a second run does no harm
      */
     public boolean mayRepeat() {
-        return kind.mayRepeat(resumable);
+        return kind.mayRepeat(isResumable);
     }
 
     /**
@@ -61,7 +61,7 @@
      * @param draw number that is spread evenly over the calls
      * @return the service, empty where the route has none
      */
-    public Optional<String> service(long draw) {
+    public Optional<String> selectService(long draw) {
         int total = services.stream().mapToInt(WeightedService::weight).sum();
         if (total <= 0) {
             return services.stream().findFirst().map(WeightedService::service);
--- a/core/src/main/java/org/sardinelift/core/plan/ServingPlan.java
+++ b/core/src/main/java/org/sardinelift/core/plan/ServingPlan.java
@@ -12,21 +12,21 @@
 public final class ServingPlan {
     private final long version;
     private final Map<String, List<RoutePlan>> routesByHost;
-    private final Map<String, TeamAllowance> teams;
+    private final Map<String, TeamRateLimit> rateLimits;
     private final Map<String, String> teamByKey;
-    private final CallerBounds bounds;
+    private final RequestLimits requestLimits;
 
     private ServingPlan(
             long version,
             Map<String, List<RoutePlan>> routesByHost,
-            Map<String, TeamAllowance> teams,
+            Map<String, TeamRateLimit> teams,
             Map<String, String> teamByKey,
-            CallerBounds bounds) {
+            RequestLimits bounds) {
         this.version = version;
         this.routesByHost = routesByHost;
-        this.teams = teams;
+        this.rateLimits = teams;
         this.teamByKey = teamByKey;
-        this.bounds = bounds;
+        this.requestLimits = bounds;
     }
 
     /**
@@ -42,16 +42,16 @@
     public static ServingPlan of(
             long version,
             List<RoutePlan> routes,
-            List<TeamAllowance> teams,
+            List<TeamRateLimit> teams,
             Map<String, String> teamByKey,
-            CallerBounds bounds) {
+            RequestLimits bounds) {
         Map<String, List<RoutePlan>> byHost =
                 routes.stream()
                         .sorted(
                                 Comparator.comparingInt(
                                         (RoutePlan route) -> -route.pathPrefix().length()))
                         .collect(Collectors.groupingBy(RoutePlan::host));
-        Map<String, TeamAllowance> byName = new HashMap<>();
+        Map<String, TeamRateLimit> byName = new HashMap<>();
         teams.forEach(team -> byName.put(team.name(), team));
         return new ServingPlan(version, byHost, byName, Map.copyOf(teamByKey), bounds);
     }
@@ -109,8 +109,8 @@
      * @param name name of the team
      * @return its allowance, or empty where there is no such team
      */
-    public Optional<TeamAllowance> team(String name) {
-        return Optional.ofNullable(teams.get(name));
+    public Optional<TeamRateLimit> rateLimit(String name) {
+        return Optional.ofNullable(rateLimits.get(name));
     }
 
     /**
@@ -118,8 +118,8 @@
      *
      * @return teams by name
      */
-    public Map<String, TeamAllowance> teams() {
-        return teams;
+    public Map<String, TeamRateLimit> rateLimits() {
+        return rateLimits;
     }
 
     /**
@@ -127,7 +127,7 @@
      *
      * @return the bounds
      */
-    public CallerBounds bounds() {
-        return bounds;
+    public RequestLimits requestLimits() {
+        return requestLimits;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/plan/TargetRoll.java
+++ b/core/src/main/java/org/sardinelift/core/plan/TargetRegistry.java
@@ -11,19 +11,19 @@
  * The targets that calls may be sent to, from lists that may be old or have gaps. Not safe for use
  * by several threads at once.
  */
-public final class TargetRoll {
-    private Map<String, TargetEntry> entries = Map.of();
+public final class TargetRegistry {
+    private Map<String, RegisteredTarget> targets = Map.of();
     private long revision;
 
-    private TargetRoll() {}
+    private TargetRegistry() {}
 
     /**
      * A roll without targets.
      *
      * @return the roll
      */
-    public static TargetRoll empty() {
-        return new TargetRoll();
+    public static TargetRegistry empty() {
+        return new TargetRegistry();
     }
 
     /**
@@ -38,7 +38,7 @@
      * @return false where the list is older than the roll and was not taken
      */
     public boolean apply(
-            List<TargetEntry> listed,
+            List<RegisteredTarget> listed,
             Set<String> unreadable,
             long listRevision,
             boolean keepMissing) {
@@ -46,19 +46,19 @@
             return false;
         }
         revision = listRevision;
-        Map<String, TargetEntry> next = new HashMap<>();
+        Map<String, RegisteredTarget> next = new HashMap<>();
         if (keepMissing) {
-            next.putAll(entries);
+            next.putAll(targets);
         }
         next.putAll(
                 listed.stream()
                         .collect(
                                 Collectors.toMap(
-                                        TargetEntry::id,
+                                        RegisteredTarget::id,
                                         Function.identity(),
                                         (first, second) -> second)));
         next.keySet().removeAll(unreadable);
-        entries = Map.copyOf(next);
+        targets = Map.copyOf(next);
         return true;
     }
 
@@ -67,8 +67,8 @@
      *
      * @return entries by name
      */
-    public Map<String, TargetEntry> entries() {
-        return entries;
+    public Map<String, RegisteredTarget> targets() {
+        return targets;
     }
 
     /**
--- a/core/src/main/java/org/sardinelift/core/plan/TeamAllowance.java
+++ b/core/src/main/java/org/sardinelift/core/plan/TeamRateLimit.java
@@ -7,7 +7,7 @@
  * @param ratePerSecond calls a second over all instances, 0 for no limit
  * @param burst calls at once over all instances
  */
-public record TeamAllowance(String name, double ratePerSecond, double burst) {
+public record TeamRateLimit(String name, double ratePerSecond, double burst) {
 
     /**
      * Whether the team's calls are counted.
--- a/core/src/main/java/org/sardinelift/core/poison/CrashBounds.java
+++ b/core/src/main/java/org/sardinelift/core/poison/CrashBounds.java
@@ -5,9 +5,9 @@
  *
  * @param suspectMs time after which a suspect is clear again, milliseconds; also the time for which
  *     a request is refused that was the only one on two targets that died
- * @param refuseMs time for which a request is refused that killed a target as the only suspect,
+ * @param refuseForMs time for which a request is refused that killed a target as the only suspect,
  *     milliseconds
  * @param settleMs time for evidence of a death to come from every entry, milliseconds
  * @param maxEntries requests, and deaths, that are remembered; past that the oldest are forgotten
  */
-public record CrashBounds(long suspectMs, long refuseMs, long settleMs, int maxEntries) {}
+public record CrashBounds(long suspectForMs, long refuseForMs, long settleMs, int maxEntries) {}
--- a/core/src/main/java/org/sardinelift/core/poison/CrashLedger.java
+++ b/core/src/main/java/org/sardinelift/core/poison/CrashLedger.java
@@ -47,26 +47,28 @@
      * @param nowMs time, milliseconds
      * @return its standing
      */
-    public Standing standing(String fingerprint, long nowMs) {
+    public CrashVerdict verdict(String fingerprint, long nowMs) {
         Long until = refusedUntilMs.get(fingerprint);
         if (until != null && until > nowMs) {
-            return Standing.REFUSED;
+            return CrashVerdict.REFUSED;
         }
         refusedUntilMs.remove(fingerprint);
         Suspect suspect = suspects.get(fingerprint);
-        if (suspect == null || suspect.lastMs + bounds.suspectMs() <= nowMs) {
+        if (suspect == null || suspect.lastMs + bounds.suspectForMs() <= nowMs) {
             suspects.remove(fingerprint);
-            return Standing.CLEAR;
+            return CrashVerdict.CLEAR;
         }
         if (!settled(suspect, nowMs)) {
-            return Standing.SUSPECT;
+            return CrashVerdict.SUSPECT;
         }
         if (killedAlone(fingerprint, suspect)) {
-            refuse(fingerprint, nowMs + bounds.refuseMs());
+            refuse(fingerprint, nowMs + bounds.refuseForMs());
         } else if (isOnlyCommon(fingerprint, suspect)) {
-            refuse(fingerprint, nowMs + bounds.suspectMs());
+            refuse(fingerprint, nowMs + bounds.suspectForMs());
         }
-        return refusedUntilMs.containsKey(fingerprint) ? Standing.REFUSED : Standing.SUSPECT;
+        return refusedUntilMs.containsKey(fingerprint)
+                ? CrashVerdict.REFUSED
+                : CrashVerdict.SUSPECT;
     }
 
     /**
@@ -77,7 +79,8 @@
      * @param alone whether the request was run there as the single suspect
      * @param nowMs time, milliseconds
      */
-    public void onDeath(String fingerprint, String targetIncarnation, boolean alone, long nowMs) {
+    public void onTargetDeath(
+            String fingerprint, String targetIncarnation, boolean alone, long nowMs) {
         Death death = deaths.computeIfAbsent(targetIncarnation, key -> new Death());
         Suspect suspect = suspects.computeIfAbsent(fingerprint, key -> new Suspect());
         if (suspect.deaths.add(targetIncarnation)) {
@@ -130,8 +133,8 @@
      * @return false where another suspect is there, another copy of this one is on trial, the
      *     evidence has not settled, or it has settled against the request
      */
-    public boolean tryTrial(String fingerprint, String target, long waitMs, long nowMs) {
-        if (standing(fingerprint, nowMs) == Standing.REFUSED) {
+    public boolean tryStartTrial(String fingerprint, String target, long waitMs, long nowMs) {
+        if (verdict(fingerprint, nowMs) == CrashVerdict.REFUSED) {
             return false;
         }
         Suspect suspect = suspects.get(fingerprint);
--- a/core/src/main/java/org/sardinelift/core/poison/Standing.java
+++ b/core/src/main/java/org/sardinelift/core/poison/CrashVerdict.java
@@ -1,7 +1,7 @@
 package org.sardinelift.core.poison;
 
 /** What is known of a request that was in flight when a target died. */
-public enum Standing {
+public enum CrashVerdict {
     /** Nothing speaks against it. */
     CLEAR,
     /** A target died with it in flight: it is run alone until that is settled. */
--- a/core/src/main/java/org/sardinelift/core/poison/DeathTally.java
+++ b/core/src/main/java/org/sardinelift/core/poison/TargetDeathCounter.java
@@ -12,13 +12,13 @@
  * at several deaths is refused. Times are nanoseconds of a monotonic clock. Not safe for use by
  * several threads at once.
  */
-public final class DeathTally {
+public final class TargetDeathCounter {
     private final int deathsToRefuse;
     private final long memoryNanos;
     private final int maxRequests;
     private final Map<Long, Map<String, Long>> deaths = new LinkedHashMap<>();
 
-    private DeathTally(int deathsToRefuse, Duration memory, int maxRequests) {
+    private TargetDeathCounter(int deathsToRefuse, Duration memory, int maxRequests) {
         this.deathsToRefuse = deathsToRefuse;
         this.memoryNanos = memory.toNanos();
         this.maxRequests = maxRequests;
@@ -32,8 +32,8 @@
      * @param maxRequests requests remembered; past that the oldest are forgotten
      * @return the tally
      */
-    public static DeathTally create(int deathsToRefuse, Duration memory, int maxRequests) {
-        return new DeathTally(deathsToRefuse, memory, maxRequests);
+    public static TargetDeathCounter create(int deathsToRefuse, Duration memory, int maxRequests) {
+        return new TargetDeathCounter(deathsToRefuse, memory, maxRequests);
     }
 
     /**
@@ -44,7 +44,7 @@
      * @param now the time
      * @return whether this was not known
      */
-    public boolean onDeath(long request, String target, long now) {
+    public boolean onTargetDeath(long request, String target, long now) {
         boolean isNew =
                 deaths.computeIfAbsent(request, key -> new HashMap<>()).put(target, now) == null;
         Iterator<Long> oldest = deaths.keySet().iterator();
--- a/core/src/main/java/org/sardinelift/core/quota/FleetQuota.java
+++ b/core/src/main/java/org/sardinelift/core/quota/FleetQuota.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.sardinelift.core.plan.TeamAllowance;
+import org.sardinelift.core.plan.TeamRateLimit;
 
 /**
  * Token buckets of all teams over all gateways together. Each gateway keeps its own copy of each
@@ -34,7 +34,7 @@
     private final QuotaBounds bounds;
     private final Map<String, Bucket> buckets = new HashMap<>();
     private final Map<String, Peer> peers = new HashMap<>();
-    private final Map<String, Long> admitted = new HashMap<>();
+    private final Map<String, Long> admittedCounts = new HashMap<>();
 
     private final long startedAt;
     private double heardPart = 1;
@@ -62,11 +62,11 @@
      * @param teams teams by name
      * @param now the time
      */
-    public void plan(Map<String, TeamAllowance> teams, long now) {
-        noticeSilence(now);
+    public void updateTeams(Map<String, TeamRateLimit> teams, long now) {
+        detectSilentPeers(now);
         buckets.keySet().retainAll(teams.keySet());
         teams.values().stream()
-                .filter(TeamAllowance::isLimited)
+                .filter(TeamRateLimit::isLimited)
                 .forEach(team -> bucket(team).refill(team, heardPart, now));
     }
 
@@ -75,7 +75,7 @@
      *
      * @param now the time
      */
-    public void noticeSilence(long now) {
+    public void detectSilentPeers(long now) {
         double part = part(now);
         if (part < heardPart) {
             double left = part / heardPart;
@@ -83,7 +83,7 @@
                     .forEach(
                             bucket -> {
                                 bucket.refill(bucket.team, heardPart, now);
-                                bucket.divide(left, now, bounds.silence().toNanos());
+                                bucket.divide(left, now, bounds.silenceTimeout().toNanos());
                             });
         } else if (part > heardPart) {
             buckets.values().forEach(bucket -> bucket.refill(bucket.team, heardPart, now));
@@ -98,16 +98,16 @@
      * @param now the time
      * @return 0 where the call was admitted, otherwise the time until one may be, nanoseconds
      */
-    public long tryAdmit(TeamAllowance team, long now) {
+    public long tryAdmit(TeamRateLimit team, long now) {
         if (!team.isLimited()) {
             return 0;
         }
-        noticeSilence(now);
+        detectSilentPeers(now);
         Bucket bucket = bucket(team);
         bucket.refill(team, heardPart, now);
         if (bucket.tokens >= 1) {
             bucket.spend(1, now);
-            admitted.merge(team.name(), 1L, Long::sum);
+            admittedCounts.merge(team.name(), 1L, Long::sum);
             return 0;
         }
         double missing = 1 - bucket.tokens;
@@ -120,8 +120,8 @@
      *
      * @return their number by team
      */
-    public Map<String, Long> admitted() {
-        return admitted;
+    public Map<String, Long> admittedCounts() {
+        return admittedCounts;
     }
 
     /**
@@ -130,8 +130,8 @@
      * @param name name of the peer
      * @param now the time
      */
-    public void onMember(String name, long now) {
-        peers.computeIfAbsent(name, key -> new Peer(now - bounds.silence().toNanos()));
+    public void onPeerAdded(String name, long now) {
+        peers.computeIfAbsent(name, key -> new Peer(now - bounds.silenceTimeout().toNanos()));
     }
 
     /**
@@ -139,7 +139,7 @@
      *
      * @param name name of the peer
      */
-    public void onGone(String name) {
+    public void onPeerRemoved(String name) {
         peers.remove(name);
     }
 
@@ -161,17 +161,17 @@
         if (peer.incarnation != incarnation) {
             peer.incarnation = incarnation;
             peer.counts.clear();
-            peer.countsFromStart = ageNanos <= bounds.youngAge().toNanos();
+            peer.countsFromStart = ageNanos <= bounds.newPeerAge().toNanos();
         }
-        noticeSilence(now);
-        if (now - peer.heardAt >= bounds.silence().toNanos()) {
+        detectSilentPeers(now);
+        if (now - peer.heardAt >= bounds.silenceTimeout().toNanos()) {
             peer.silentNanos = now - peer.heardAt;
             peer.returnedAt = now;
             peer.settled.clear();
         }
         peer.heardAt = now;
         counts.forEach((team, count) -> take(peer, team, count, now));
-        noticeSilence(now);
+        detectSilentPeers(now);
     }
 
     private void take(Peer peer, String team, long count, long now) {
@@ -197,7 +197,7 @@
      * What was left to a peer while it was silent, and is not to be counted twice; once for each
      * team after each return, since a report does not name all teams.
      */
-    private double leftTo(Peer peer, TeamAllowance team, long now) {
+    private double leftTo(Peer peer, TeamRateLimit team, long now) {
         boolean returned = now - peer.returnedAt < RETURN_SETTLED_NANOS && peer.silentNanos > 0;
         if (!returned || !peer.settled.add(team.name())) {
             return 0;
@@ -222,7 +222,7 @@
 
     /** The part of each rate that this gateway may count on: that of the gateways it hears. */
     private double part(long now) {
-        long silence = bounds.silence().toNanos();
+        long silence = bounds.silenceTimeout().toNanos();
         long silent = peers.values().stream().filter(peer -> now - peer.heardAt >= silence).count();
         return 1 - silent / (peers.size() + 1.0);
     }
@@ -240,25 +240,25 @@
                 .formatted(tokens, heardPart, peers.size() + 1);
     }
 
-    private Bucket bucket(TeamAllowance team) {
+    private Bucket bucket(TeamRateLimit team) {
         return buckets.computeIfAbsent(team.name(), name -> new Bucket(team, startedAt));
     }
 
     private static final class Bucket {
         private final Deque<Spent> lately = new ArrayDeque<>();
-        private TeamAllowance team;
+        private TeamRateLimit team;
         private double tokens;
         private long filledAt;
 
         /** Tokens taken out at a time. */
         private record Spent(double tokens, long at) {}
 
-        Bucket(TeamAllowance team, long now) {
+        Bucket(TeamRateLimit team, long now) {
             this.team = team;
             this.filledAt = now;
         }
 
-        void refill(TeamAllowance current, double part, long now) {
+        void refill(TeamRateLimit current, double part, long now) {
             double seconds = Math.max(0, now - filledAt) / NANOS_PER_SECOND;
             double most = Math.max(1, current.burst() * part);
             tokens = Math.min(most, tokens + seconds * team.ratePerSecond() * part);
--- a/core/src/main/java/org/sardinelift/core/quota/QuotaBounds.java
+++ b/core/src/main/java/org/sardinelift/core/quota/QuotaBounds.java
@@ -6,7 +6,7 @@
  * Times of the {@link FleetQuota}.
  *
  * @param silence time without a report after which a peer is taken to spend its part unseen
- * @param youngAge age up to which a peer's first report seen here counts in full: nothing of it can
- *     have been counted before
+ * @param newPeerAge age up to which a peer's first report seen here counts in full: nothing of it
+ *     can have been counted before
  */
-public record QuotaBounds(Duration silence, Duration youngAge) {}
+public record QuotaBounds(Duration silenceTimeout, Duration newPeerAge) {}
--- a/core/src/main/java/org/sardinelift/core/route/Candidate.java
+++ b/core/src/main/java/org/sardinelift/core/route/Candidate.java
@@ -22,8 +22,8 @@
         Set<String> models,
         int slots,
         int inFlight,
-        int reported,
-        boolean usable,
+        int reportedCalls,
+        boolean isUsable,
         Ejection.Admission admission) {
 
     /**
@@ -32,7 +32,7 @@
      * @return the larger of the reported and this entry's own calls
      */
     public int load() {
-        return Math.max(inFlight, reported);
+        return Math.max(inFlight, reportedCalls);
     }
 
     /**
@@ -40,7 +40,7 @@
      *
      * @return 1.0 where every slot is taken
      */
-    public double pressure() {
+    public double slotUtilization() {
         return (double) load() / Math.max(1, slots);
     }
 
@@ -50,7 +50,7 @@
      * @param model model or adapter, empty for any
      * @return true where it is loaded
      */
-    public boolean serves(String model) {
+    public boolean canServe(String model) {
         return model.isEmpty() || models.contains(model);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/route/Ejection.java
+++ b/core/src/main/java/org/sardinelift/core/route/Ejection.java
@@ -61,7 +61,7 @@
      * @param nowNanos time, nanoseconds
      * @return false where another call is the probe or the pause has not passed
      */
-    public boolean startProbe(long nowNanos) {
+    public boolean tryStartProbe(long nowNanos) {
         if (admission(nowNanos) != Admission.PROBE) {
             return false;
         }
@@ -106,7 +106,7 @@
     }
 
     /** The probe ended without telling anything about the target; another call may be the probe. */
-    public void onProbeVoid() {
+    public void onProbeInconclusive() {
         probing = false;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/route/Router.java
+++ b/core/src/main/java/org/sardinelift/core/route/Router.java
@@ -53,20 +53,21 @@
     public Optional<Candidate> choose(List<Candidate> candidates, RouteRequest request) {
         List<Candidate> able =
                 candidates.stream()
-                        .filter(Candidate::usable)
+                        .filter(Candidate::isUsable)
                         .filter(target -> target.service().equals(request.service()))
-                        .filter(target -> target.serves(request.model()))
+                        .filter(target -> target.canServe(request.model()))
                         .filter(target -> target.admission() != Ejection.Admission.OUT)
                         .toList();
-        List<Candidate> fresh = only(able, target -> !request.tried().contains(target.name()));
+        List<Candidate> fresh =
+                only(able, target -> !request.failedTargets().contains(target.name()));
         List<Candidate> pool = fresh.isEmpty() ? able : fresh;
-        if (request.pinned()) {
+        if (request.isPinned()) {
             return order(pool, request).stream().findFirst();
         }
         Optional<Candidate> probe =
                 order(pool, request).stream()
                         .filter(target -> target.admission() == Ejection.Admission.PROBE)
-                        .filter(target -> request.tried().isEmpty())
+                        .filter(target -> request.failedTargets().isEmpty())
                         .findFirst();
         if (probe.isPresent()) {
             return probe;
@@ -106,7 +107,7 @@
     }
 
     private static List<Candidate> order(List<Candidate> pool, RouteRequest request) {
-        return sorted(pool, request.affinity());
+        return sorted(pool, request.affinityKey());
     }
 
     private static List<Candidate> sorted(List<Candidate> pool, String key) {
@@ -120,7 +121,10 @@
     }
 
     private static double meanPressure(List<Candidate> pool) {
-        return pool.stream().mapToDouble(Candidate::pressure).average().orElse(Double.MAX_VALUE);
+        return pool.stream()
+                .mapToDouble(Candidate::slotUtilization)
+                .average()
+                .orElse(Double.MAX_VALUE);
     }
 
     private static List<Candidate> only(List<Candidate> pool, Predicate<Candidate> test) {
--- a/core/src/main/java/org/sardinelift/core/stream/EventReader.java
+++ b/core/src/main/java/org/sardinelift/core/stream/EventStreamParser.java
@@ -14,7 +14,7 @@
  * Cuts the bytes of a server-sent event stream into whole events and checks their order. An event
  * of which only a part has come is held back. Not safe for use by several threads at once.
  */
-public final class EventReader {
+public final class EventStreamParser {
     private static final String ID = "id:";
     private static final String DATA = "data:";
 
@@ -25,7 +25,7 @@
     private OptionalLong lastId;
     private Optional<String> fault = Optional.empty();
 
-    private EventReader(OptionalLong lastId) {
+    private EventStreamParser(OptionalLong lastId) {
         this.lastId = lastId;
     }
 
@@ -34,8 +34,8 @@
      *
      * @return the reader
      */
-    public static EventReader fromStart() {
-        return new EventReader(OptionalLong.empty());
+    public static EventStreamParser fromStart() {
+        return new EventStreamParser(OptionalLong.empty());
     }
 
     /**
@@ -44,8 +44,8 @@
      * @param lastId number of that event
      * @return the reader
      */
-    public static EventReader after(long lastId) {
-        return new EventReader(OptionalLong.of(lastId));
+    public static EventStreamParser resumingAfter(long lastId) {
+        return new EventStreamParser(OptionalLong.of(lastId));
     }
 
     /**
@@ -54,7 +54,7 @@
      * @param bytes what was received
      * @return the events that are whole now; none once the stream is faulty
      */
-    public List<StreamEvent> read(byte[] bytes) {
+    public List<StreamEvent> parse(byte[] bytes) {
         pending = joined(pending, bytes);
         List<StreamEvent> events = new ArrayList<>();
         int end = endOfEvent(pending);
@@ -92,7 +92,7 @@
      *
      * @return true within an event
      */
-    public boolean isWithinEvent() {
+    public boolean hasPartialEvent() {
         return pending.length > 0;
     }
 
--- a/core/src/main/java/org/sardinelift/core/stream/StreamEvent.java
+++ b/core/src/main/java/org/sardinelift/core/stream/StreamEvent.java
@@ -5,6 +5,6 @@
  *
  * @param id its number
  * @param data its data lines, joined by line feeds
- * @param raw its bytes as received, with the empty line that ends it
+ * @param rawBytes its bytes as received, with the empty line that ends it
  */
-public record StreamEvent(long id, String data, byte[] raw) {}
+public record StreamEvent(long id, String data, byte[] rawBytes) {}
--- a/core/src/test/java/org/sardinelift/core/batch/BatchSchedulerTest.java
+++ b/core/src/test/java/org/sardinelift/core/batch/BatchSchedulerTest.java
@@ -23,7 +23,7 @@
 
     private List<String> take(int count) {
         return IntStream.range(0, count)
-                .mapToObj(i -> scheduler.next(item -> true).orElseThrow())
+                .mapToObj(i -> scheduler.dequeue(item -> true).orElseThrow())
                 .toList();
     }
 
@@ -42,7 +42,7 @@
         int taken = rounds * (first + second);
         long ofFirst =
                 IntStream.range(0, taken)
-                        .mapToObj(i -> fair.next(item -> true).orElseThrow())
+                        .mapToObj(i -> fair.dequeue(item -> true).orElseThrow())
                         .filter("a"::equals)
                         .count();
         assertTrue(Math.abs(ofFirst - rounds * first) <= 1, () -> ofFirst + " of " + taken);
@@ -68,17 +68,17 @@
         add("a", 1, "j", 0, "blocked", "");
         add("a", 1, "j", 0, "free", "");
         add("b", 1, "k", 0, "blocked", "");
-        assertEquals(Optional.of("a/j/free/"), scheduler.next(item -> item.contains("free")));
-        assertEquals(Optional.empty(), scheduler.next(item -> item.contains("free")));
-        assertEquals(2, scheduler.waiting());
+        assertEquals(Optional.of("a/j/free/"), scheduler.dequeue(item -> item.contains("free")));
+        assertEquals(Optional.empty(), scheduler.dequeue(item -> item.contains("free")));
+        assertEquals(2, scheduler.waitingCount());
     }
 
     @Test
     void aDroppedJobWaitsNoMore() {
         add("a", 1, "j", 0, "l", "");
         add("a", 1, "k", 0, "l", "");
-        scheduler.drop("a", "j");
-        assertEquals(1, scheduler.waiting());
+        scheduler.removeJob("a", "j");
+        assertEquals(1, scheduler.waitingCount());
         assertEquals(List.of("a/k/l/"), take(1));
     }
 }
--- a/core/src/test/java/org/sardinelift/core/batch/ItemRetryTest.java
+++ b/core/src/test/java/org/sardinelift/core/batch/ItemRetryTest.java
@@ -16,8 +16,8 @@
 import org.sardinelift.core.outcome.RunOutcome;
 
 class ItemRetryTest {
-    private final ItemRetry retry =
-            new ItemRetry(3, 5, Duration.ofMillis(100), Duration.ofSeconds(1));
+    private final ItemRetryPolicy retry =
+            new ItemRetryPolicy(3, 5, Duration.ofMillis(100), Duration.ofSeconds(1));
 
     @Property(tries = 500, seed = "5")
     void everyItemEndsAndAnUnrepeatableCallRunsOnce(
@@ -27,9 +27,9 @@
         int postponements = 0;
         int calls = 1;
         while (retry.decide(problem, idempotent, attempts + 1, postponements + 1)
-                instanceof ItemRetry.Verdict.Again again) {
-            attempts += again.counted() ? 1 : 0;
-            postponements += again.counted() ? 0 : 1;
+                instanceof ItemRetryPolicy.Decision.Retry again) {
+            attempts += again.countsAsAttempt() ? 1 : 0;
+            postponements += again.countsAsAttempt() ? 0 : 1;
             assertTrue(again.pause().compareTo(Duration.ofSeconds(1)) <= 0);
             calls++;
         }
@@ -43,7 +43,9 @@
     void anUnclearUnrepeatableCallEndsAsUnknownNotRepeated() {
         Problem problem =
                 Problem.failed(ProblemKind.TARGET_FAILED, RunOutcome.UNKNOWN, "the target died");
-        var end = assertInstanceOf(ItemRetry.Verdict.End.class, retry.decide(problem, false, 1, 1));
+        var end =
+                assertInstanceOf(
+                        ItemRetryPolicy.Decision.Fail.class, retry.decide(problem, false, 1, 1));
         assertEquals(ProblemKind.OUTCOME_UNKNOWN, end.problem().kind());
         assertTrue(end.problem().detail().contains("not repeated"));
     }
--- a/core/src/test/java/org/sardinelift/core/batch/JobStateTest.java
+++ b/core/src/test/java/org/sardinelift/core/batch/JobStateTest.java
@@ -33,7 +33,7 @@
             case 0 -> state.claim(FIRST);
             case 1 -> state.claim(SECOND);
             case 2, 3 -> state.commit(fence, Map.of(chunk, result(fence + "-" + step)));
-            case 4 -> state.intend(fence, chunk);
+            case 4 -> state.recordIntent(fence, chunk);
             case 5 -> step % 3 == 0 ? state.requestCancel() : state;
             case 6 -> state.finishCancel(fence);
             default -> state.release(fence);
@@ -53,10 +53,10 @@
             assertTrue(counts.open() >= 0);
             assertTrue(next.fence() >= state.fence());
             assertTrue(next.chunks().entrySet().containsAll(state.chunks().entrySet()));
-            if (state.phase().terminal()) {
+            if (state.phase().isTerminal()) {
                 assertEquals(state, next);
             }
-            if (next.phase().terminal()) {
+            if (next.phase().isTerminal()) {
                 assertEquals(0, counts.open());
             }
             state = next;
@@ -67,7 +67,7 @@
     void aVoidFenceChangesNothing() {
         JobState second = accepted().claim(FIRST).claim(SECOND);
         assertEquals(second, second.commit(1, Map.of(0, result("late"))));
-        assertEquals(second, second.intend(1, 0));
+        assertEquals(second, second.recordIntent(1, 0));
         assertEquals(second, second.release(1));
         JobState cancelling = second.requestCancel();
         assertEquals(cancelling, cancelling.finishCancel(1));
@@ -75,12 +75,12 @@
 
     @Test
     void anIntentOfAFormerHolderSaysThatCallsMayHaveRun() {
-        JobState first = accepted().claim(FIRST).intend(1, 2);
+        JobState first = accepted().claim(FIRST).recordIntent(1, 2);
         assertFalse(first.mayHaveRun(2));
         JobState second = first.claim(SECOND);
         assertTrue(second.mayHaveRun(2));
         assertFalse(second.mayHaveRun(1));
-        assertTrue(second.intend(2, 2).mayHaveRun(2));
+        assertTrue(second.recordIntent(2, 2).mayHaveRun(2));
         assertFalse(second.commit(2, Map.of(2, result("x"))).intents().containsKey(2));
     }
 
--- a/core/src/test/java/org/sardinelift/core/catalog/CatalogLogTest.java
+++ b/core/src/test/java/org/sardinelift/core/catalog/CatalogLogTest.java
@@ -24,13 +24,13 @@
             @ForAll @Size(min = 1, max = 30) List<@IntRange(min = 0, max = 4) Integer> writes,
             @ForAll Random random) {
         List<ConfigState> history = history(writes);
-        CatalogLog inOrder = CatalogLog.create();
+        CatalogMerger inOrder = CatalogMerger.create();
         history.forEach(inOrder::apply);
 
         List<ConfigState> shuffled = new ArrayList<>(history);
         shuffled.addAll(history.subList(0, history.size() / 2));
         Collections.shuffle(shuffled, random);
-        CatalogLog outOfOrder = CatalogLog.create();
+        CatalogMerger outOfOrder = CatalogMerger.create();
         shuffled.forEach(outOfOrder::apply);
 
         assertEquals(inOrder.catalog(), outOfOrder.catalog());
@@ -41,12 +41,12 @@
             @ForAll @Size(min = 2, max = 30) List<@IntRange(min = 0, max = 4) Integer> writes,
             @ForAll Random random) {
         List<ConfigState> history = history(writes);
-        CatalogLog log = CatalogLog.create();
+        CatalogMerger log = CatalogMerger.create();
         history.forEach(log::apply);
         Catalog newest = log.catalog();
 
         int until = random.nextInt(history.size());
-        CatalogLog then = CatalogLog.create();
+        CatalogMerger then = CatalogMerger.create();
         history.subList(0, until).forEach(then::apply);
         List<ConfigState> staleList =
                 history.subList(0, until).stream()
@@ -60,7 +60,7 @@
 
     @Test
     void aListWithoutAnObjectDeletesItUnlessTheObjectIsNewer() {
-        CatalogLog log = CatalogLog.create();
+        CatalogMerger log = CatalogMerger.create();
         log.apply(key(5, false));
         log.applyList(ConfigKind.KEY, 4, List.of());
         assertTrue(log.catalog().keys().containsKey("k1"));
@@ -72,7 +72,7 @@
 
     @Test
     void aChangedTemplateReachesItsTeamsAndKeepsTheirOwnValues() {
-        CatalogLog log = CatalogLog.create();
+        CatalogMerger log = CatalogMerger.create();
         ConfigRef template = new ConfigRef(ConfigKind.TEMPLATE, "standard");
         log.apply(new ConfigState(template, 1, template(10, 20)));
         TeamSpec own =
@@ -95,7 +95,7 @@
 
     @Test
     void aTeamWithoutItsTemplateIsNotInForceAndIsNamed() {
-        CatalogLog log = CatalogLog.create();
+        CatalogMerger log = CatalogMerger.create();
         TeamSpec team =
                 new TeamSpec(
                         "north",
--- a/core/src/test/java/org/sardinelift/core/catalog/ConfigFleetTest.java
+++ b/core/src/test/java/org/sardinelift/core/catalog/ConfigFleetTest.java
@@ -136,7 +136,7 @@
             if (of != life) {
                 return;
             }
-            sync.tick(now).ifPresent(this::call);
+            sync.nextCall(now).ifPresent(this::call);
             show();
             check();
             at(now + 20, () -> tick(of));
@@ -146,20 +146,20 @@
             if (of != life) {
                 return;
             }
-            long newest = sync.log().newest();
+            long newest = sync.merger().newestRevision();
             at(
                     now + HOP_MS,
                     () ->
                             nodes.stream()
                                     .filter(other -> other != this)
-                                    .forEach(other -> other.sync.onPeer(newest, now)));
+                                    .forEach(other -> other.sync.onPeerRevision(newest, now)));
             at(now + 500, () -> gossip(of));
         }
 
         private void show() {
             if (sync.isReady()) {
-                shown = sync.log().catalog().keys();
-                long revision = sync.log().completeTo();
+                shown = sync.merger().catalog().keys();
+                long revision = sync.merger().completeRevision();
                 assertTrue(revision >= shownRevision, "went back");
                 assertTrue(revision >= startedAtRevision, "older than at its start");
                 shownRevision = revision;
@@ -188,10 +188,10 @@
             int of = life;
             int lag = random.nextInt(LAG_MS);
             if (cutOff) {
-                answer(of, now + HOP_MS, () -> sync.onFailed(call.number(), now));
+                answer(of, now + HOP_MS, () -> sync.onCallFailed(call.number(), now));
             } else if (call instanceof ConfigCall.Barrier) {
                 long revision = history.size();
-                answer(of, now + HOP_MS, () -> sync.onBarrier(call.number(), revision, now));
+                answer(of, now + HOP_MS, () -> sync.onBarrierWritten(call.number(), revision, now));
             } else if (call instanceof ConfigCall.ListAll) {
                 list(of, call, revisionAt(now - lag));
             } else if (silentWatches > 0) {
--- a/core/src/test/java/org/sardinelift/core/fleet/MembershipTest.java
+++ b/core/src/test/java/org/sardinelift/core/fleet/MembershipTest.java
@@ -19,7 +19,7 @@
         membership.onList(List.of(companion("c1", 7001)), 0);
         membership.onLeaving("c1");
         membership.onList(List.of(companion("c1", 7001)), 1_000);
-        assertTrue(only().leaving());
+        assertTrue(only().isLeaving());
     }
 
     @Test
@@ -27,17 +27,17 @@
         membership.onList(List.of(companion("c1", 7001)), 0);
         membership.onList(List.of(companion("c1", 7001), companion("c2", 7001)), 1_000);
         List<InstanceInfo> seen = membership.view().companions();
-        assertTrue(seen.get(0).leaving());
-        assertFalse(seen.get(1).leaving());
+        assertTrue(seen.get(0).isLeaving());
+        assertFalse(seen.get(1).isLeaving());
     }
 
     @Test
     void anInstanceMissingFromTheListIsKeptWhileItsConnectionIsOpen() {
         membership.onList(List.of(companion("c1", 7001)), 0);
-        membership.onConnection("c1", true);
+        membership.onConnectionChanged("c1", true);
         membership.onList(List.of(), 60_000);
         assertEquals("c1", only().name());
-        membership.onConnection("c1", false);
+        membership.onConnectionChanged("c1", false);
         membership.onList(List.of(), 61_000);
         assertTrue(membership.view().companions().isEmpty());
     }
--- a/core/src/test/java/org/sardinelift/core/fleet/PathWatchTest.java
+++ b/core/src/test/java/org/sardinelift/core/fleet/PathWatchTest.java
@@ -20,8 +20,8 @@
     private static final long CUT_MS = 10_000;
     private static final long BOUND_MS = CUT_MS + 2 * DELAY_MS + 2_000 + 750 + 1;
 
-    private final PathWatch opener = PathWatch.ofOpener(HEARTBEAT, SILENCE, 0);
-    private final PathWatch acceptor = PathWatch.ofAcceptor(SILENCE, 0);
+    private final HeartbeatMonitor opener = HeartbeatMonitor.ofOpener(HEARTBEAT, SILENCE, 0);
+    private final HeartbeatMonitor acceptor = HeartbeatMonitor.ofAcceptor(SILENCE, 0);
     private final List<long[]> toAcceptor = new ArrayList<>();
     private final List<long[]> toOpener = new ArrayList<>();
     private boolean toAcceptorCut;
@@ -51,7 +51,7 @@
     @Test
     void anOpenerThatIsSentReportsButNoAnswersNoticesByItself() {
         for (long ms = 0; ms < BOUND_MS - CUT_MS && open; ms++) {
-            opener.onBytes(ms * MILLI);
+            opener.onBytesReceived(ms * MILLI);
             check(opener, ms * MILLI);
         }
         assertFalse(open);
@@ -67,15 +67,15 @@
 
     @Test
     void bytesThatComeAfterASilenceAreNotTaken() {
-        assertTrue(acceptor.onBytes(SILENCE.toNanos()));
-        assertFalse(acceptor.onBytes(2 * SILENCE.toNanos() + 1));
+        assertTrue(acceptor.onBytesReceived(SILENCE.toNanos()));
+        assertFalse(acceptor.onBytesReceived(2 * SILENCE.toNanos() + 1));
     }
 
     @Test
     void anAcceptorWakesOnlyWhenSilenceCouldBeDue() {
-        acceptor.onBytes(500 * MILLI);
-        assertEquals(SILENCE.toNanos() + 1, acceptor.dueInNanos(500 * MILLI));
-        assertEquals(HEARTBEAT.toNanos(), opener.dueInNanos(0));
+        acceptor.onBytesReceived(500 * MILLI);
+        assertEquals(SILENCE.toNanos() + 1, acceptor.nextCheckInNanos(500 * MILLI));
+        assertEquals(HEARTBEAT.toNanos(), opener.nextCheckInNanos(0));
     }
 
     /** Each end wakes only when it is due, as a driver does. */
@@ -85,28 +85,28 @@
             deliver(toAcceptor, now)
                     .forEach(
                             sequence -> {
-                                open &= acceptor.onBytes(now);
+                                open &= acceptor.onBytesReceived(now);
                                 send(toOpener, toOpenerCut, sequence, now);
                             });
             deliver(toOpener, now)
                     .forEach(
                             sequence -> {
-                                open &= opener.onBytes(now);
-                                opener.onAnswer(sequence, now);
+                                open &= opener.onBytesReceived(now);
+                                opener.onHeartbeatAnswered(sequence, now);
                             });
             check(opener, now);
             check(acceptor, now);
         }
     }
 
-    private void check(PathWatch end, long now) {
-        if (end.dueInNanos(now) > 1) {
+    private void check(HeartbeatMonitor end, long now) {
+        if (end.nextCheckInNanos(now) > 1) {
             return;
         }
-        PathStep step = end.check(now);
-        if (step instanceof PathStep.Silent) {
+        HeartbeatAction step = end.check(now);
+        if (step instanceof HeartbeatAction.Close) {
             open = false;
-        } else if (step instanceof PathStep.Heartbeat heartbeat) {
+        } else if (step instanceof HeartbeatAction.SendHeartbeat heartbeat) {
             send(toAcceptor, toAcceptorCut, heartbeat.sequence(), now);
             opener.onHeartbeatWritten(now);
         }
--- a/core/src/test/java/org/sardinelift/core/gate/GateModel.java
+++ b/core/src/test/java/org/sardinelift/core/gate/GateModel.java
@@ -21,7 +21,7 @@
     private final Map<String, GateCall> all = new LinkedHashMap<>();
     private final int slots;
     long nowMs;
-    int offered;
+    int submitted;
     int ended;
 
     GateModel(GateSettings settings) {
@@ -29,11 +29,11 @@
         slots = settings.slots();
     }
 
-    void offer(GateCall call) {
-        offered++;
+    void submit(GateCall call) {
+        submitted++;
         all.put(call.id(), call);
         waiting.put(call.id(), call);
-        apply(gate.offer(nowMs, call));
+        apply(gate.submit(nowMs, call));
     }
 
     void release(String id) {
@@ -43,16 +43,16 @@
         apply(gate.release(nowMs, id));
     }
 
-    void passTime(long millis) {
+    void advanceTime(long millis) {
         nowMs += millis;
         apply(gate.tick(nowMs));
     }
 
     void report(EngineLoad load) {
-        apply(gate.report(nowMs, load));
+        apply(gate.onLoadReport(nowMs, load));
     }
 
-    Optional<String> pick(Map<String, GateCall> from, Random random) {
+    Optional<String> pickRandom(Map<String, GateCall> from, Random random) {
         return from.isEmpty()
                 ? Optional.empty()
                 : from.keySet().stream().skip(random.nextInt(from.size())).findFirst();
@@ -69,8 +69,8 @@
             } else if (action instanceof GateAction.Preempt preempt) {
                 GateCall call = running.remove(preempt.id());
                 assertNotNull(call, preempt.id() + " is cut but did not run");
-                assertTrue(call.batch(), "an online call is cut");
-                if (preempt.waits()) {
+                assertTrue(call.isBatch(), "an online call is cut");
+                if (preempt.isRequeued()) {
                     waiting.put(call.id(), call);
                 } else {
                     ended++;
@@ -84,21 +84,21 @@
     }
 
     private void check() {
-        long batches = running.values().stream().filter(GateCall::batch).count();
+        long batches = running.values().stream().filter(GateCall::isBatch).count();
         assertTrue(running.size() <= slots, "more calls run than there are slots");
         assertEquals(batches, gate.batchRunning());
         assertEquals(running.size() - batches, gate.onlineRunning());
         assertEquals(waiting.size(), gate.onlineQueued() + gate.batchQueued());
-        assertEquals(offered, ended + running.size() + waiting.size(), "a call was lost");
-        long suspects = running.values().stream().filter(GateCall::suspect).count();
+        assertEquals(submitted, ended + running.size() + waiting.size(), "a call was lost");
+        long suspects = running.values().stream().filter(GateCall::isSuspect).count();
         assertTrue(suspects <= 1, "two suspects run at once");
         boolean onlineHeldBack =
                 waiting.values().stream()
                         .anyMatch(
                                 call ->
-                                        !call.batch()
+                                        !call.isBatch()
                                                 && nowMs < call.deadlineMs()
-                                                && (!call.suspect() || suspects == 0));
+                                                && (!call.isSuspect() || suspects == 0));
         assertFalse(onlineHeldBack && batches > 0, "an online call waits behind batch");
         assertFalse(onlineHeldBack && running.size() < slots, "a slot stays free");
     }
--- a/core/src/test/java/org/sardinelift/core/gate/SlotGatePropertiesTest.java
+++ b/core/src/test/java/org/sardinelift/core/gate/SlotGatePropertiesTest.java
@@ -25,15 +25,16 @@
                                 true, slots, queue, queue, 0, 0, slots / 2, 500, 300, 50, 1_000));
         for (int step = 0; step < 300; step++) {
             switch (random.nextInt(6)) {
-                case 0, 1 -> model.offer(call(random, "c" + step, model.nowMs));
-                case 2 -> model.pick(model.running, random).ifPresent(model::release);
+                case 0, 1 -> model.submit(call(random, "c" + step, model.nowMs));
+                case 2 -> model.pickRandom(model.running, random).ifPresent(model::release);
                 case 3 ->
-                        model.pick(model.running, random)
-                                .ifPresent(id -> model.gate.progress(id, random.nextInt(1_000)));
-                case 4 -> model.passTime(random.nextInt(40));
+                        model.pickRandom(model.running, random)
+                                .ifPresent(
+                                        id -> model.gate.recordProgress(id, random.nextInt(1_000)));
+                case 4 -> model.advanceTime(random.nextInt(40));
                 default -> {
                     if (random.nextInt(4) == 0) {
-                        model.pick(model.waiting, random).ifPresent(model::release);
+                        model.pickRandom(model.waiting, random).ifPresent(model::release);
                     } else {
                         int lag = random.nextInt(100);
                         model.report(new EngineLoad(random.nextInt(slots + 3), 0, slots, lag));
@@ -42,10 +43,10 @@
             }
         }
         while (!model.running.isEmpty() || !model.waiting.isEmpty()) {
-            model.pick(model.running, random).ifPresent(model::release);
-            model.passTime(50);
+            model.pickRandom(model.running, random).ifPresent(model::release);
+            model.advanceTime(50);
         }
-        assertEquals(model.offered, model.ended);
+        assertEquals(model.submitted, model.ended);
     }
 
     private static GateCall call(Random random, String id, long nowMs) {
@@ -78,7 +79,7 @@
                 while (model.waiting.values().stream().filter(c -> c.team().equals(team)).count()
                         < 10) {
                     String id = team + next++;
-                    model.offer(
+                    model.submit(
                             new GateCall(
                                     id, team, weights.get(team), batch, 1_000_000, false, false));
                 }
@@ -90,7 +91,7 @@
                         endsAt.computeIfAbsent(
                                 id, key -> model.nowMs + mean / 2 + random.nextLong(mean));
                     });
-            model.passTime(10);
+            model.advanceTime(10);
             endsAt.keySet().stream()
                     .filter(id -> endsAt.get(id) <= model.nowMs && model.running.containsKey(id))
                     .toList()
@@ -105,8 +106,8 @@
     void aTeamThatFloodsCostsOnlyItsOwnCalls(@ForAll @IntRange(min = 2, max = 40) int flood) {
         GateModel model =
                 new GateModel(new GateSettings(true, 1, 10, 10, 0, 0, 0, 500, 500, 50, 1_000));
-        IntStream.range(0, flood).forEach(i -> model.offer(online("flood" + i, "noisy")));
-        IntStream.range(0, 4).forEach(i -> model.offer(online("calm" + i, "calm")));
+        IntStream.range(0, flood).forEach(i -> model.submit(online("flood" + i, "noisy")));
+        IntStream.range(0, 4).forEach(i -> model.submit(online("calm" + i, "calm")));
         model.log.stream()
                 .filter(GateAction.Refuse.class::isInstance)
                 .forEach(refusal -> assertTrue(refusal.id().startsWith("flood"), refusal.id()));
--- a/core/src/test/java/org/sardinelift/core/gate/SlotGateTest.java
+++ b/core/src/test/java/org/sardinelift/core/gate/SlotGateTest.java
@@ -21,15 +21,15 @@
     }
 
     private void fillWithBatch(boolean resumable) {
-        IntStream.range(0, 4).forEach(i -> model.offer(batch("b" + i, resumable)));
+        IntStream.range(0, 4).forEach(i -> model.submit(batch("b" + i, resumable)));
         model.log.clear();
     }
 
     @Test
     void anOnlineCallTakesTheSlotOfTheBatchCallThatHasDoneLeast() {
         fillWithBatch(false);
-        IntStream.range(0, 4).forEach(i -> model.gate.progress("b" + i, i == 2 ? 5 : 100));
-        model.offer(online("o"));
+        IntStream.range(0, 4).forEach(i -> model.gate.recordProgress("b" + i, i == 2 ? 5 : 100));
+        model.submit(online("o"));
         assertEquals(
                 List.of(new GateAction.Preempt("b2", false), new GateAction.Run("o")), model.log);
     }
@@ -39,10 +39,10 @@
         fillWithBatch(false);
         model.release("b3");
         model.log.clear();
-        model.offer(batch("r", true));
-        model.gate.progress("r", 1_000);
+        model.submit(batch("r", true));
+        model.gate.recordProgress("r", 1_000);
         model.log.clear();
-        model.offer(online("o"));
+        model.submit(online("o"));
         assertEquals(
                 List.of(new GateAction.Preempt("r", true), new GateAction.Run("o")), model.log);
         model.release("o");
@@ -53,35 +53,35 @@
     @Test
     void aCutCallThatFindsNoSlotInTimeIsRefusedAsPreempted() {
         fillWithBatch(true);
-        IntStream.range(0, 4).forEach(i -> model.offer(online("o" + i)));
-        model.passTime(SETTINGS.resumeWaitMs());
+        IntStream.range(0, 4).forEach(i -> model.submit(online("o" + i)));
+        model.advanceTime(SETTINGS.resumeWaitMs());
         assertEquals(4, model.log.stream().filter(SlotGateTest::preempted).count());
     }
 
     private static boolean preempted(GateAction action) {
         return action instanceof GateAction.Refuse refuse
                 && refuse.reason() == GateRefusal.PREEMPTED
-                && refuse.begun();
+                && refuse.hadSlot();
     }
 
     @Test
     void batchLeavesAReserveAfterAnOnlinePeakUntilItHasDecayed() {
-        IntStream.range(0, 3).forEach(i -> model.offer(online("o" + i)));
+        IntStream.range(0, 3).forEach(i -> model.submit(online("o" + i)));
         IntStream.range(0, 3).forEach(i -> model.release("o" + i));
-        IntStream.range(0, 4).forEach(i -> model.offer(batch("b" + i, false)));
+        IntStream.range(0, 4).forEach(i -> model.submit(batch("b" + i, false)));
         assertEquals(1, model.gate.batchRunning());
-        model.passTime(20_000);
+        model.advanceTime(20_000);
         assertEquals(4, model.gate.batchRunning());
     }
 
     @Test
     void aLateReportOfOurOwnCallsTakesNoSlotFromBatch() {
-        model.offer(online("o0"));
-        model.offer(online("o1"));
-        model.passTime(500);
+        model.submit(online("o0"));
+        model.submit(online("o1"));
+        model.advanceTime(500);
         model.release("o0");
         model.release("o1");
-        model.passTime(200);
+        model.advanceTime(200);
         int free = model.gate.batchFree(model.nowMs);
         model.report(new EngineLoad(2, 0, 4, 300));
         assertEquals(free, model.gate.batchFree(model.nowMs));
@@ -91,7 +91,7 @@
     void loadThatIsNotOursTakesSlotsFromBatchUntilTheReportIsOld() {
         model.report(new EngineLoad(3, 0, 4, 0));
         assertEquals(1, model.gate.batchFree(model.nowMs));
-        model.passTime(SETTINGS.reportTtlMs() + 1);
+        model.advanceTime(SETTINGS.reportTtlMs() + 1);
         assertEquals(4, model.gate.batchFree(model.nowMs));
     }
 
@@ -100,21 +100,21 @@
         GateSettings ahead = new GateSettings(true, 4, 10, 10, 2, 0, 3, 1_000, 500, 50, 1_000);
         GateModel asking = new GateModel(ahead);
         assertEquals(6, asking.gate.batchFree(0));
-        IntStream.range(0, 5).forEach(i -> asking.offer(batch("b" + i, false)));
+        IntStream.range(0, 5).forEach(i -> asking.submit(batch("b" + i, false)));
         assertEquals(1, asking.gate.batchFree(0));
-        IntStream.range(0, 4).forEach(i -> asking.offer(online("o" + i)));
+        IntStream.range(0, 4).forEach(i -> asking.submit(online("o" + i)));
         assertEquals(0, asking.gate.batchFree(0));
     }
 
     @Test
     void aClosedGateRefusesWhatWaitsAndWhatComes() {
-        IntStream.range(0, 5).forEach(i -> model.offer(online("o" + i)));
+        IntStream.range(0, 5).forEach(i -> model.submit(online("o" + i)));
         List<GateAction> actions = model.gate.close(GateRefusal.TARGET_LEAVING);
         GateAction refusal = new GateAction.Refuse("o4", GateRefusal.TARGET_LEAVING, false);
         assertEquals(List.of(refusal), actions);
         assertEquals(
                 List.of(new GateAction.Refuse("o5", GateRefusal.TARGET_LEAVING, false)),
-                model.gate.offer(model.nowMs, online("o5")));
+                model.gate.submit(model.nowMs, online("o5")));
         assertEquals(4, model.gate.onlineRunning());
     }
 
@@ -127,6 +127,6 @@
                         i ->
                                 assertEquals(
                                         List.of(new GateAction.Run("b" + i)),
-                                        gate.offer(0, batch("b" + i, false))));
+                                        gate.submit(0, batch("b" + i, false))));
     }
 }
--- a/core/src/test/java/org/sardinelift/core/joblog/ItemScheduleTest.java
+++ b/core/src/test/java/org/sardinelift/core/joblog/ItemScheduleTest.java
@@ -15,17 +15,17 @@
     private final ItemSchedule schedule =
             ItemSchedule.of(200, Duration.ofMillis(25), Duration.ZERO);
 
-    private static ItemSchedule.Due due(String id, long dueMs, int events) {
+    private static ItemSchedule.ScheduledItem due(String id, long dueMs, int events) {
         JobItem item = new JobItem(id, "/p", Map.of(), new byte[0]);
         JobProgress job =
                 JobProgress.of(new JobSpec("j", "team", "route", "host", 0, List.of(item)));
         ItemProgress progress = job.openItem(id).orElseThrow();
         IntStream.rangeClosed(1, events).forEach(i -> progress.onEvent(i, "x"));
-        return new ItemSchedule.Due(job, progress, dueMs);
+        return new ItemSchedule.ScheduledItem(job, progress, dueMs);
     }
 
-    private String next(ItemSchedule.Due... items) {
-        return schedule.next(Stream.of(items), 0, 0).orElseThrow().item().item().id();
+    private String next(ItemSchedule.ScheduledItem... items) {
+        return schedule.selectNext(Stream.of(items), 0, 0).orElseThrow().item().item().id();
     }
 
     @Test
@@ -53,7 +53,7 @@
     @Test
     void estimatesFollowTheRuns() {
         for (int i = 0; i < 60; i++) {
-            schedule.onDone(400, 400, Duration.ofSeconds(20));
+            schedule.onItemCompleted(400, 400, Duration.ofSeconds(20));
         }
 
         assertEquals("a", next(due("a", 30_000, 0), due("b", 15_000, 0)));
@@ -61,26 +61,30 @@
 
     @Test
     void runningAndPausedItemsAreNotStarted() {
-        ItemSchedule.Due running = due("a", 1, 0);
-        running.item().running(true);
-        ItemSchedule.Due paused = due("b", 1, 0);
-        paused.item().notBefore(100);
+        ItemSchedule.ScheduledItem running = due("a", 1, 0);
+        running.item().setRunning(true);
+        ItemSchedule.ScheduledItem paused = due("b", 1, 0);
+        paused.item().delayUntil(100);
 
-        assertTrue(schedule.next(Stream.of(running, paused), 99, 0).isEmpty());
+        assertTrue(schedule.selectNext(Stream.of(running, paused), 99, 0).isEmpty());
         assertEquals(
                 "b",
-                schedule.next(Stream.of(running, paused), 100, 0).orElseThrow().item().item().id());
+                schedule.selectNext(Stream.of(running, paused), 100, 0)
+                        .orElseThrow()
+                        .item()
+                        .item()
+                        .id());
     }
 
-    private ItemSchedule.Due yielding(ItemSchedule.Due... running) {
-        return schedule.firstToYield(List.of(running), 0).orElseThrow();
+    private ItemSchedule.ScheduledItem yielding(ItemSchedule.ScheduledItem... running) {
+        return schedule.selectForPreemption(List.of(running), 0).orElseThrow();
     }
 
     @Test
     void theItemWithMostTimeToSpareYieldsFirst() {
-        ItemSchedule.Due early = due("a", 12_000, 10);
-        ItemSchedule.Due late = due("b", 18_000, 10);
-        ItemSchedule.Due nearlyDone = due("c", 12_000, 190);
+        ItemSchedule.ScheduledItem early = due("a", 12_000, 10);
+        ItemSchedule.ScheduledItem late = due("b", 18_000, 10);
+        ItemSchedule.ScheduledItem nearlyDone = due("c", 12_000, 190);
 
         assertEquals(late, yielding(early, late));
         assertEquals(nearlyDone, yielding(early, nearlyDone));
@@ -88,9 +92,9 @@
 
     @Test
     void whatWillBeLateAnywayYieldsFirst() {
-        ItemSchedule.Due late = due("a", 1_000, 10);
-        ItemSchedule.Due later = due("b", 1_000, 100);
-        ItemSchedule.Due inTime = due("c", 60_000, 10);
+        ItemSchedule.ScheduledItem late = due("a", 1_000, 10);
+        ItemSchedule.ScheduledItem later = due("b", 1_000, 100);
+        ItemSchedule.ScheduledItem inTime = due("c", 60_000, 10);
 
         assertEquals(late, yielding(late, later, inTime));
     }
@@ -101,9 +105,11 @@
         for (int excess = -1; excess <= 8; excess++) {
             int expected = Math.max(0, Math.min(6, excess));
             int sum =
-                    YieldShare.of("w1", 2, Map.of("w2", 1, "w3", 3), excess)
-                            + YieldShare.of("w2", 1, Map.of("w1", 2, "w3", 3), excess)
-                            + YieldShare.of("w3", 3, Map.of("w1", 2, "w2", 1), excess);
+                    PreemptionShare.itemsToPreempt("w1", 2, Map.of("w2", 1, "w3", 3), excess)
+                            + PreemptionShare.itemsToPreempt(
+                                    "w2", 1, Map.of("w1", 2, "w3", 3), excess)
+                            + PreemptionShare.itemsToPreempt(
+                                    "w3", 3, Map.of("w1", 2, "w2", 1), excess);
             assertEquals(expected, sum, "excess " + excess + " of " + items);
         }
     }
--- a/core/src/test/java/org/sardinelift/core/joblog/JobAssignmentTest.java
+++ b/core/src/test/java/org/sardinelift/core/joblog/JobAssignmentTest.java
@@ -20,8 +20,8 @@
     void aJobThatSomebodyRunsIsLeftToIt() {
         JobAssignment assignment = JobAssignment.of("w1", GRACE);
 
-        assertFalse(assignment.runsHere("j", false, Map.of("w2", true), 0));
-        assertFalse(assignment.runsHere("j", false, Map.of("w2", true), 10_000 * MILLI));
+        assertFalse(assignment.isAssignedHere("j", false, Map.of("w2", true), 0));
+        assertFalse(assignment.isAssignedHere("j", false, Map.of("w2", true), 10_000 * MILLI));
     }
 
     @Test
@@ -37,8 +37,8 @@
     private static boolean takes(String self, List<String> names, String job) {
         JobAssignment assignment = JobAssignment.of(self, GRACE);
         Map<String, Boolean> claims = others(self, names, false);
-        assertFalse(assignment.runsHere(job, false, claims, 0));
-        return assignment.runsHere(job, false, claims, 300 * MILLI);
+        assertFalse(assignment.isAssignedHere(job, false, claims, 0));
+        return assignment.isAssignedHere(job, false, claims, 300 * MILLI);
     }
 
     private static Map<String, Boolean> others(String self, List<String> names, boolean claim) {
@@ -56,10 +56,12 @@
                                     String id = "j" + i;
                                     boolean first =
                                             JobAssignment.of("w1", GRACE)
-                                                    .runsHere(id, true, Map.of("w2", true), 0);
+                                                    .isAssignedHere(
+                                                            id, true, Map.of("w2", true), 0);
                                     boolean second =
                                             JobAssignment.of("w2", GRACE)
-                                                    .runsHere(id, true, Map.of("w1", true), 0);
+                                                    .isAssignedHere(
+                                                            id, true, Map.of("w1", true), 0);
                                     assertTrue(first != second, id);
                                     return first;
                                 })
@@ -72,14 +74,14 @@
     void aWorkerGoesOnWithItsJobWhenOthersJoin() {
         JobAssignment assignment = JobAssignment.of("w1", GRACE);
 
-        assertTrue(assignment.runsHere("j", true, Map.of("w2", false, "w3", false), 0));
+        assertTrue(assignment.isAssignedHere("j", true, Map.of("w2", false, "w3", false), 0));
     }
 
     @Test
     void theOnlyWorkerTakesEveryJob() {
         JobAssignment assignment = JobAssignment.of("w1", GRACE);
 
-        assertFalse(assignment.runsHere("j", false, Map.of(), 0));
-        assertTrue(assignment.runsHere("j", false, Map.of(), 300 * MILLI));
+        assertFalse(assignment.isAssignedHere("j", false, Map.of(), 0));
+        assertTrue(assignment.isAssignedHere("j", false, Map.of(), 300 * MILLI));
     }
 }
--- a/core/src/test/java/org/sardinelift/core/joblog/JobProgressTest.java
+++ b/core/src/test/java/org/sardinelift/core/joblog/JobProgressTest.java
@@ -28,10 +28,12 @@
         JobProgress job = job(3);
 
         assertEquals(
-                JobProgress.Applied.NEW, job.apply(0, List.of(ItemResult.completed("i2", "c"))));
+                JobProgress.ApplyResult.APPLIED,
+                job.applyRecord(0, List.of(ItemResult.completed("i2", "c"))));
         assertEquals(
-                JobProgress.Applied.NEW,
-                job.apply(1, List.of(ItemResult.completed("i0", "a"), ItemResult.givenUp("i1"))));
+                JobProgress.ApplyResult.APPLIED,
+                job.applyRecord(
+                        1, List.of(ItemResult.completed("i0", "a"), ItemResult.givenUp("i1"))));
 
         assertEquals(
                 List.of("i2", "i0", "i1"),
@@ -44,29 +46,31 @@
     @Test
     void aKnownRecordChangesNothingAndALaterOneWaits() {
         JobProgress job = job(3);
-        job.apply(0, List.of(ItemResult.completed("i2", "c")));
+        job.applyRecord(0, List.of(ItemResult.completed("i2", "c")));
 
         assertEquals(
-                JobProgress.Applied.KNOWN, job.apply(0, List.of(ItemResult.completed("i0", "a"))));
+                JobProgress.ApplyResult.DUPLICATE,
+                job.applyRecord(0, List.of(ItemResult.completed("i0", "a"))));
         assertEquals(
-                JobProgress.Applied.GAP, job.apply(2, List.of(ItemResult.completed("i0", "a"))));
-        assertEquals(1, job.positions());
+                JobProgress.ApplyResult.GAP,
+                job.applyRecord(2, List.of(ItemResult.completed("i0", "a"))));
+        assertEquals(1, job.filledPositions());
     }
 
     @Test
     void aResultThatAnotherWorkerRecordedIsNotRecordedAgain() {
         JobProgress job = job(2);
         job.onResult(ItemResult.completed("i0", "mine"));
-        job.apply(0, List.of(ItemResult.completed("i0", "theirs")));
+        job.applyRecord(0, List.of(ItemResult.completed("i0", "theirs")));
 
-        assertEquals(List.of(), job.unrecorded(1_000));
+        assertEquals(List.of(), job.unrecordedResults(1_000));
         assertEquals("theirs", job.results(0, 1_000).get(0).output());
     }
 
     @Test
     void onePageHoldsAtLeastOneResult() {
         JobProgress job = job(2);
-        job.apply(
+        job.applyRecord(
                 0,
                 List.of(
                         ItemResult.completed("i0", "x".repeat(100)),
--- a/core/src/test/java/org/sardinelift/core/joblog/JobRecordsPropertyTest.java
+++ b/core/src/test/java/org/sardinelift/core/joblog/JobRecordsPropertyTest.java
@@ -58,7 +58,7 @@
         store.late.forEach(Runnable::run);
 
         JobProgress fresh = job();
-        store.records.forEach(fresh::apply);
+        store.records.forEach(fresh::applyRecord);
         List<String> positions =
                 fresh.results(0, Integer.MAX_VALUE).stream().map(ItemResult::itemId).toList();
         assertEquals(ITEMS, positions.size());
@@ -80,7 +80,7 @@
                 // A watch brings the next record.
                 int next = worker.nextRecord();
                 if (store.records.containsKey(next)) {
-                    worker.apply(next, store.records.get(next));
+                    worker.applyRecord(next, store.records.get(next));
                 }
             }
             case 4 -> {
@@ -98,7 +98,7 @@
     }
 
     private static void record(Random random, Store store, JobProgress worker) {
-        List<ItemResult> batch = worker.unrecorded(1 + random.nextInt(40));
+        List<ItemResult> batch = worker.unrecordedResults(1 + random.nextInt(40));
         if (batch.isEmpty()) {
             return;
         }
@@ -108,7 +108,7 @@
             case 1 -> store.create(number, batch);
             default -> {
                 store.create(number, batch);
-                worker.apply(number, store.records.get(number));
+                worker.applyRecord(number, store.records.get(number));
             }
         }
     }
--- a/core/src/test/java/org/sardinelift/core/limit/FleetLimitTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/FleetLimitTest.java
@@ -27,19 +27,19 @@
 
     @Test
     void aTeamSeenForTheFirstTimeAfterUnitsWereGivenAwayHasItsPartOfTheBurst() {
-        shares = held(Shares.TOTAL / 2);
+        shares = held(Shares.TOTAL_UNITS / 2);
         version = 1;
         run(2 * SECOND);
-        assertEquals(Shares.TOTAL / 2, limit.ledger().usable());
+        assertEquals(Shares.TOTAL_UNITS / 2, limit.ledger().usableUnits());
         run(300 * SECOND);
-        limit.ledger().demand(-Shares.TOTAL / 10, now);
+        limit.ledger().updateDemand(-Shares.TOTAL_UNITS / 10, now);
         limit.tick(now, platform);
         assertEquals(40, admitted());
     }
 
     @Test
     void unitsThatWereHeldBeforeComeEmpty() {
-        shares = held(Shares.TOTAL / 2);
+        shares = held(Shares.TOTAL_UNITS / 2);
         version = 1;
         run(2 * SECOND);
         assertEquals(0, admitted());
@@ -50,7 +50,7 @@
         listed = Set.of("e1");
         platform.lostAnswers = 1;
         run(10 * SECOND);
-        assertEquals(Shares.TOTAL, limit.ledger().usable());
+        assertEquals(Shares.TOTAL_UNITS, limit.ledger().usableUnits());
         assertEquals(9, admitted(), 1);
     }
 
@@ -63,7 +63,10 @@
 
     private static Shares held(long units) {
         MemberId other = new MemberId(OTHER, "i1");
-        return Shares.initial().join(other, 1).take(other, Shares.TOTAL).take(other, -units);
+        return Shares.initial()
+                .addMember(other, 1)
+                .transferFromPool(other, Shares.TOTAL_UNITS)
+                .transferFromPool(other, -units);
     }
 
     private int admitted() {
@@ -118,7 +121,7 @@
         private final List<Double> lent = new ArrayList<>();
 
         @Override
-        public void call(ShareCall call) {
+        public void callPlatform(ShareCall call) {
             calls.add(call);
         }
 
--- a/core/src/test/java/org/sardinelift/core/limit/LimitBurstTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/LimitBurstTest.java
@@ -45,58 +45,63 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 6})
     void aFreshFleetAdmitsAWholeBurst(int entries) {
-        World world = new World(new SplittableRandom(entries));
+        Simulation world = new Simulation(new SplittableRandom(entries));
         TeamPlan team = new TeamPlan("t1", HARDLY_ANY_RATE, 60, Set.of(), Set.of(), 1, 1);
         ShareFleet fleet = new ShareFleet(world, LimitBounds.defaults(), Map.of(team.name(), team));
         start(world, fleet, entries);
-        world.run(10 * World.SECOND);
+        world.runUntil(10 * Simulation.SECOND);
         Score score = new Score();
         for (int i = 1; i <= entries; i++) {
             send(world, fleet, team, "e" + i, 60 / entries, score);
         }
-        world.run(world.now() + World.SECOND);
+        world.runUntil(world.now() + Simulation.SECOND);
         assertEquals(60, score.admissions());
     }
 
     private static void assertBurstsAreAdmitted(int burst, int entries, long seed) {
-        World world = new World(new SplittableRandom(seed));
+        Simulation world = new Simulation(new SplittableRandom(seed));
         TeamPlan team = new TeamPlan("t1", burst / 4.0, burst, Set.of(), Set.of(), 1, 1);
         ShareFleet fleet = new ShareFleet(world, LimitBounds.defaults(), Map.of(team.name(), team));
         start(world, fleet, entries);
-        world.run(40 * World.SECOND);
+        world.runUntil(40 * Simulation.SECOND);
         for (int round = 0; round < ROUNDS; round++) {
             assertEquals(burst, admitted(world, fleet, team, burst), "round " + round);
-            world.run(world.now() + 20 * World.SECOND);
+            world.runUntil(world.now() + 20 * Simulation.SECOND);
         }
     }
 
-    private static void start(World world, ShareFleet fleet, int entries) {
+    private static void start(Simulation world, ShareFleet fleet, int entries) {
         for (int i = 1; i <= entries; i++) {
             world.startListed("e" + i);
             fleet.start("e" + i);
         }
     }
 
-    private static int admitted(World world, ShareFleet fleet, TeamPlan team, int requests) {
+    private static int admitted(Simulation world, ShareFleet fleet, TeamPlan team, int requests) {
         Score score = new Score();
         send(world, fleet, team, "e1", requests, score);
-        world.run(world.now() + World.SECOND);
+        world.runUntil(world.now() + Simulation.SECOND);
         return score.admissions();
     }
 
     private static void send(
-            World world, ShareFleet fleet, TeamPlan team, String node, int requests, Score score) {
+            Simulation world,
+            ShareFleet fleet,
+            TeamPlan team,
+            String node,
+            int requests,
+            Score score) {
         for (int i = 0; i < requests; i++) {
-            world.atNode(
+            world.scheduleAtNode(
                     world.now(),
                     node,
                     () -> fleet.request(node, team, it -> note(world, team, score, it)));
         }
     }
 
-    private static void note(World world, TeamPlan team, Score score, Admission admission) {
+    private static void note(Simulation world, TeamPlan team, Score score, Admission admission) {
         if (admission instanceof Admission.Admitted) {
-            score.admitted(team, world.now());
+            score.recordAdmitted(team, world.now());
         }
     }
 }
--- a/core/src/test/java/org/sardinelift/core/limit/LimitComparisonTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/LimitComparisonTest.java
@@ -24,7 +24,7 @@
     private static final double LEAST_SERVED = 0.95;
     private static final int SEEDS = 12;
     private static final String SHARES = "shares and loans";
-    private static final Map<String, BiFunction<World, Trace, FleetUnderTest>> WAYS = ways();
+    private static final Map<String, BiFunction<Simulation, Trace, SimulatedFleet>> WAYS = ways();
 
     @ParameterizedTest
     @ValueSource(strings = {"coralbank", "strukla"})
@@ -47,13 +47,15 @@
                                 score.admissions(),
                                 score.refusals(),
                                 score.overrun(),
-                                score.wrongful(),
-                                score.worstServed()));
-                wrongful.merge(way.getKey(), score.wrongful(), Integer::sum);
+                                score.wronglyRefused(),
+                                score.lowestServedFraction()));
+                wrongful.merge(way.getKey(), score.wronglyRefused(), Integer::sum);
                 if (way.getKey().equals(SHARES)) {
                     assertEquals(0, score.overrun(), scenario.label());
                     boolean steady = STEADY.contains(scenario);
-                    assertTrue(!steady || score.worstServed() >= LEAST_SERVED, scenario.label());
+                    assertTrue(
+                            !steady || score.lowestServedFraction() >= LEAST_SERVED,
+                            scenario.label());
                 }
             }
         }
@@ -74,8 +76,13 @@
             for (Scenario scenario : STEADY) {
                 Score score = replay(scenario, trace, seed);
                 assertTrue(
-                        score.worstServed() >= LEAST_SERVED,
-                        () -> trace.name() + " " + scenario.label() + " " + score.worstServed());
+                        score.lowestServedFraction() >= LEAST_SERVED,
+                        () ->
+                                trace.name()
+                                        + " "
+                                        + scenario.label()
+                                        + " "
+                                        + score.lowestServedFraction());
             }
         }
     }
@@ -88,7 +95,7 @@
                 LongStream.rangeClosed(1, SEEDS)
                         .mapToObj(seed -> replay(Scenario.LOST_ANSWERS, trace, seed))
                         .peek(score -> assertEquals(0, score.overrun()))
-                        .mapToDouble(Score::worstServed)
+                        .mapToDouble(Score::lowestServedFraction)
                         .average()
                         .orElseThrow();
         assertTrue(mean >= LEAST_SERVED, () -> "mean of the worst served " + mean);
@@ -107,8 +114,8 @@
         }
     }
 
-    private static Map<String, BiFunction<World, Trace, FleetUnderTest>> ways() {
-        Map<String, BiFunction<World, Trace, FleetUnderTest>> ways = new LinkedHashMap<>();
+    private static Map<String, BiFunction<Simulation, Trace, SimulatedFleet>> ways() {
+        Map<String, BiFunction<Simulation, Trace, SimulatedFleet>> ways = new LinkedHashMap<>();
         ways.put("static split", (world, trace) -> new StaticSplitFleet(world));
         ways.put("owner with lease", (world, trace) -> new OwnerLeaseFleet(world, trace.plans()));
         ways.put(
--- a/core/src/test/java/org/sardinelift/core/limit/LimitFaultsTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/LimitFaultsTest.java
@@ -22,13 +22,13 @@
     private static final int FAULTS = 12;
     private static final double FLOOD = 6;
     private static final double TRICKLE = 0.1;
-    private static final long PERIOD = 10 * World.SECOND;
+    private static final long PERIOD = 10 * Simulation.SECOND;
     private static final List<String> NODES = List.of("e1", "e2", "e3", "e4");
 
     @Property(seed = "71", tries = 40)
     void noFaultLetsATeamOverItsRateAndBurst(@ForAll long seed) {
         Map<String, TeamPlan> plans = plans(30, 4, 0.5);
-        World world = new World(new SplittableRandom(seed).split());
+        Simulation world = new Simulation(new SplittableRandom(seed).split());
         Score score = runWithFaults(seed, world, plans, fleet(world, plans));
         assertEquals(0, score.overrun());
         assertTrue(score.admissions() > 0);
@@ -37,7 +37,7 @@
     @Property(seed = "74", tries = 20)
     void noStepIsNeededBeforeItIsDue(@ForAll long seed) {
         Map<String, TeamPlan> plans = plans(30, 4, 0.5);
-        World world = new World(new SplittableRandom(seed).split());
+        Simulation world = new Simulation(new SplittableRandom(seed).split());
         ShareFleet fleet = new ShareFleet(world, LimitBounds.defaults(), plans).probing();
         start(world, fleet);
         Score score = runWithFaults(seed, world, plans, fleet);
@@ -46,7 +46,7 @@
     }
 
     private static Score runWithFaults(
-            long seed, World world, Map<String, TeamPlan> plans, ShareFleet fleet) {
+            long seed, Simulation world, Map<String, TeamPlan> plans, ShareFleet fleet) {
         SplittableRandom random = new SplittableRandom(seed);
         random.split();
         Score score = new Score();
@@ -54,91 +54,95 @@
         for (int i = 0; i < FAULTS; i++) {
             fault(world, fleet, random);
         }
-        world.run(SECONDS * World.SECOND);
+        world.runUntil(SECONDS * Simulation.SECOND);
         return score;
     }
 
     @Property(seed = "72", tries = 20)
     void aCallerThatComesBackAtRetryAfterIsAdmitted(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        World world = new World(random.split());
+        Simulation world = new Simulation(random.split());
         double rate = 0.5 + random.nextDouble() * 20;
         Map<String, TeamPlan> plans = plans(rate);
         ShareFleet fleet = fleet(world, plans);
         TeamPlan team = plans.get("t1");
-        world.run(30 * World.SECOND);
+        world.runUntil(30 * Simulation.SECOND);
         for (int round = 0; round < 20; round++) {
             Admission.Refused refused = null;
             while (refused == null) {
                 Admission admission = ask(world, fleet, team, random);
                 refused = admission instanceof Admission.Refused r ? r : null;
             }
-            world.run(world.now() + refused.retryAfter().toNanos());
+            world.runUntil(world.now() + refused.retryAfter().toNanos());
             assertInstanceOf(Admission.Admitted.class, ask(world, fleet, team, random));
         }
     }
 
     @Property(seed = "73", tries = 10)
     void aCrashedEntrysUnitsAreInUseAgainAndNoneAreLeftInThePool(@ForAll long seed) {
-        World world = new World(new SplittableRandom(seed));
+        Simulation world = new Simulation(new SplittableRandom(seed));
         Map<String, TeamPlan> plans = plans(8);
         ShareFleet fleet = fleet(world, plans);
-        world.run(30 * World.SECOND);
+        world.runUntil(30 * Simulation.SECOND);
         world.crash("e2");
-        world.run(80 * World.SECOND);
+        world.runUntil(80 * Simulation.SECOND);
         assertEquals(0, fleet.poolUnits());
         TeamPlan team = plans.get("t1");
         Score score = new Score();
         offer(world, fleet, score, team, new SplittableRandom(seed));
-        world.run(140 * World.SECOND);
-        assertTrue(score.worstServed() > 0.9, () -> "served " + score.worstServed());
+        world.runUntil(140 * Simulation.SECOND);
+        assertTrue(
+                score.lowestServedFraction() > 0.9, () -> "served " + score.lowestServedFraction());
     }
 
     @Test
     void aFirstEntrySharesWithThoseThatStartLater() {
-        World world = new World(new SplittableRandom(5));
+        Simulation world = new Simulation(new SplittableRandom(5));
         ShareFleet fleet = new ShareFleet(world, LimitBounds.defaults(), plans(8));
         for (int i = 0; i < NODES.size(); i++) {
             String node = NODES.get(i);
-            world.at(
-                    i * 10 * World.SECOND,
+            world.schedule(
+                    i * 10 * Simulation.SECOND,
                     () -> {
                         world.start(node);
                         fleet.start(node);
                     });
         }
-        world.run(100 * World.SECOND);
+        world.runUntil(100 * Simulation.SECOND);
         NODES.forEach(
-                node -> assertTrue(fleet.units(node) >= Shares.TOTAL / 8, () -> node + " starves"));
+                node ->
+                        assertTrue(
+                                fleet.units(node) >= Shares.TOTAL_UNITS / 8,
+                                () -> node + " starves"));
     }
 
     private static Admission ask(
-            World world, ShareFleet fleet, TeamPlan team, RandomGenerator random) {
+            Simulation world, ShareFleet fleet, TeamPlan team, RandomGenerator random) {
         List<Admission> answers = new ArrayList<>();
         fleet.request(NODES.get(random.nextInt(NODES.size())), team, answers::add);
         while (answers.isEmpty()) {
-            world.run(world.now() + World.MS);
+            world.runUntil(world.now() + Simulation.MS);
         }
         return answers.get(0);
     }
 
-    private static void fault(World world, ShareFleet fleet, RandomGenerator random) {
+    private static void fault(Simulation world, ShareFleet fleet, RandomGenerator random) {
         String node = NODES.get(random.nextInt(NODES.size()));
-        long start = (10 + random.nextInt(SECONDS - 40)) * World.SECOND;
-        long end = start + (long) ((0.5 + random.nextDouble() * 60) * World.SECOND);
+        long start = (10 + random.nextInt(SECONDS - 40)) * Simulation.SECOND;
+        long end = start + (long) ((0.5 + random.nextDouble() * 60) * Simulation.SECOND);
         switch (random.nextInt(6)) {
             case 0 -> {
-                world.at(start, () -> world.freeze(node));
-                world.at(end, () -> world.wake(node));
+                world.schedule(start, () -> world.freeze(node));
+                world.schedule(end, () -> world.unfreeze(node));
             }
             case 1 -> {
-                world.at(start, () -> world.freeze(node));
-                world.at(start + 5 * World.SECOND, () -> world.delist(node));
-                world.at(end, () -> world.wake(node));
+                world.schedule(start, () -> world.freeze(node));
+                world.schedule(start + 5 * Simulation.SECOND, () -> world.delist(node));
+                world.schedule(end, () -> world.unfreeze(node));
             }
             case 2 -> {
-                world.at(start, () -> world.crash(node));
-                world.at(
+                world.schedule(start, () -> world.crash(node));
+                world.schedule(
                         end,
                         () -> {
                             world.start(node);
@@ -146,14 +150,14 @@
                         });
             }
             case 3 -> {
-                world.at(start, () -> world.cutOff(node, true));
-                world.at(start + 8 * World.SECOND, () -> world.delist(node));
-                world.at(end, () -> world.cutOff(node, false));
-                world.at(end + World.SECOND, () -> world.relist(node));
+                world.schedule(start, () -> world.cutOff(node, true));
+                world.schedule(start + 8 * Simulation.SECOND, () -> world.delist(node));
+                world.schedule(end, () -> world.cutOff(node, false));
+                world.schedule(end + Simulation.SECOND, () -> world.relist(node));
             }
             case 4 -> {
-                world.at(start, () -> world.platformDown = true);
-                world.at(end, () -> world.platformDown = false);
+                world.schedule(start, () -> world.platformDown = true);
+                world.schedule(end, () -> world.platformDown = false);
             }
             default -> {
                 world.lostAnswers = 0.3;
@@ -163,18 +167,22 @@
     }
 
     private static void offer(
-            World world, ShareFleet fleet, Score score, TeamPlan team, RandomGenerator random) {
+            Simulation world,
+            ShareFleet fleet,
+            Score score,
+            TeamPlan team,
+            RandomGenerator random) {
         boolean flood = world.now() % PERIOD > PERIOD * 7 / 10;
         double rate = team.ratePerSecond() * (flood ? FLOOD : TRICKLE);
         double wait = Math.min(1, -Math.log(1 - random.nextDouble()) / rate);
-        world.at(
-                world.now() + (long) (wait * World.SECOND),
+        world.schedule(
+                world.now() + (long) (wait * Simulation.SECOND),
                 () -> {
-                    List<String> taking = world.takingTraffic(World.SECOND);
+                    List<String> taking = world.trafficReceivers(Simulation.SECOND);
                     if (!taking.isEmpty()) {
                         String node = taking.get(random.nextInt(taking.size()));
-                        score.offered(team, world.now());
-                        world.atNode(
+                        score.recordOffered(team, world.now());
+                        world.scheduleAtNode(
                                 world.now(),
                                 node,
                                 () ->
@@ -185,21 +193,21 @@
                 });
     }
 
-    private static void note(World world, Score score, TeamPlan team, Admission admission) {
+    private static void note(Simulation world, Score score, TeamPlan team, Admission admission) {
         if (admission instanceof Admission.Admitted) {
-            score.admitted(team, world.now());
+            score.recordAdmitted(team, world.now());
         } else {
             score.refused();
         }
     }
 
-    private static ShareFleet fleet(World world, Map<String, TeamPlan> plans) {
+    private static ShareFleet fleet(Simulation world, Map<String, TeamPlan> plans) {
         ShareFleet fleet = new ShareFleet(world, LimitBounds.defaults(), plans);
         start(world, fleet);
         return fleet;
     }
 
-    private static void start(World world, ShareFleet fleet) {
+    private static void start(Simulation world, ShareFleet fleet) {
         NODES.forEach(
                 node -> {
                     world.startListed(node);
--- a/core/src/test/java/org/sardinelift/core/limit/NewEntryTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/NewEntryTest.java
@@ -11,26 +11,26 @@
 
 /** An entry that joins others comes to hold a share of its own within seconds. */
 class NewEntryTest {
-    private static final long FIRST_SHARE = 4 * World.SECOND;
+    private static final long FIRST_SHARE = 4 * Simulation.SECOND;
 
     @Property(seed = "91", tries = 60)
     void aNewEntryHoldsAShareWithinSeconds(
             @ForAll @IntRange(min = 1, max = 6) int running, @ForAll long seed) {
-        World world = new World(new SplittableRandom(seed));
+        Simulation world = new Simulation(new SplittableRandom(seed));
         ShareFleet fleet = new ShareFleet(world, LimitBounds.defaults(), Map.of());
         for (int i = 1; i <= running; i++) {
             world.startListed("e" + i);
             fleet.start("e" + i);
         }
-        world.run(40 * World.SECOND + world.random.nextLong(10 * World.SECOND));
+        world.runUntil(40 * Simulation.SECOND + world.random.nextLong(10 * Simulation.SECOND));
 
         world.startListed("new");
         fleet.start("new");
-        world.run(world.now() + FIRST_SHARE);
+        world.runUntil(world.now() + FIRST_SHARE);
 
-        long least = Shares.TOTAL / (running + 1) / 8;
+        long least = Shares.TOTAL_UNITS / (running + 1) / 8;
         assertTrue(fleet.units("new") >= least, () -> "holds " + fleet.units("new"));
-        world.run(world.now() + 30 * World.SECOND);
+        world.runUntil(world.now() + 30 * Simulation.SECOND);
         List.of("e1", "new")
                 .forEach(
                         node ->
--- a/core/src/test/java/org/sardinelift/core/limit/OwnerLeaseFleet.java
+++ b/core/src/test/java/org/sardinelift/core/limit/OwnerLeaseFleet.java
@@ -8,18 +8,18 @@
 import org.sardinelift.core.catalog.TeamPlan;
 
 /** One owner for each team, chosen by hash, under a lease in the platform; others ask it. */
-final class OwnerLeaseFleet implements FleetUnderTest {
-    private static final long LEASE = 10 * World.SECOND;
-    private static final long MARGIN = 2 * World.SECOND;
-    private static final long ASK_BOUND = 20 * World.MS;
+final class OwnerLeaseFleet implements SimulatedFleet {
+    private static final long LEASE = 10 * Simulation.SECOND;
+    private static final long MARGIN = 2 * Simulation.SECOND;
+    private static final long ASK_BOUND = 20 * Simulation.MS;
     private static final Admission REFUSED = new Admission.Refused(Duration.ofSeconds(1));
 
-    private final World world;
+    private final Simulation world;
     private final Map<String, TeamPlan> plans;
     private final Map<String, Node> nodes = new HashMap<>();
     private final Map<String, Lease> leases = new HashMap<>();
 
-    OwnerLeaseFleet(World world, Map<String, TeamPlan> plans) {
+    OwnerLeaseFleet(Simulation world, Map<String, TeamPlan> plans) {
         this.world = world;
         this.plans = plans;
     }
@@ -28,8 +28,8 @@
     public void start(String name) {
         Node node = new Node(name);
         nodes.put(name, node);
-        world.every(name, 3 * World.SECOND, () -> node.renew(nodes.get(name) == node));
-        world.atNode(world.now(), name, () -> node.renew(nodes.get(name) == node));
+        world.scheduleEvery(name, 3 * Simulation.SECOND, () -> node.renew(nodes.get(name) == node));
+        world.scheduleAtNode(world.now(), name, () -> node.renew(nodes.get(name) == node));
     }
 
     @Override
@@ -48,13 +48,13 @@
                         answer.accept(admission);
                     }
                 };
-        world.at(world.now() + ASK_BOUND, () -> once.accept(REFUSED));
+        world.schedule(world.now() + ASK_BOUND, () -> once.accept(REFUSED));
         if (owner != null) {
-            world.message(
+            world.sendMessage(
                     owner,
                     () -> {
                         Admission admission = nodes.get(owner).decide(team);
-                        world.message(name, () -> once.accept(admission));
+                        world.sendMessage(name, () -> once.accept(admission));
                     });
         }
     }
@@ -65,7 +65,7 @@
         private final String name;
         private final Map<String, String> owners = new HashMap<>();
         private final Map<String, Long> heldUntil = new HashMap<>();
-        private final Map<String, Meter> buckets = new HashMap<>();
+        private final Map<String, TokenBucket> buckets = new HashMap<>();
 
         Node(String name) {
             this.name = name;
@@ -76,7 +76,7 @@
                 return;
             }
             long sent = world.now();
-            world.platformCall(name, () -> claim(sent), this::learn, () -> {});
+            world.callPlatform(name, () -> claim(sent), this::learn, () -> {});
         }
 
         /** Runs at the platform: takes free leases of the teams that hash here. */
@@ -104,7 +104,7 @@
                         if (lease.holder() == this) {
                             Long held = heldUntil.put(team, lease.until());
                             if (held == null || held < world.now()) {
-                                Meter meter = new Meter();
+                                TokenBucket meter = new TokenBucket();
                                 meter.empty(world.now());
                                 buckets.put(team, meter);
                             }
@@ -117,9 +117,9 @@
             if (until == null || world.now() >= until) {
                 return REFUSED;
             }
-            Meter bucket = buckets.get(team.name());
-            bucket.fill(team.ratePerSecond(), team.burst(), world.now());
-            return bucket.take() ? new Admission.Admitted() : REFUSED;
+            TokenBucket bucket = buckets.get(team.name());
+            bucket.refill(team.ratePerSecond(), team.burst(), world.now());
+            return bucket.tryAcquire() ? new Admission.Admitted() : REFUSED;
         }
     }
 }
--- a/core/src/test/java/org/sardinelift/core/limit/Scenario.java
+++ b/core/src/test/java/org/sardinelift/core/limit/Scenario.java
@@ -26,7 +26,7 @@
             (world, fleet) -> {
                 after(world, 30, () -> world.freeze("e1"));
                 after(world, 35, () -> world.delist("e1"));
-                after(world, 70, () -> world.wake("e1"));
+                after(world, 70, () -> world.unfreeze("e1"));
                 after(world, 75, () -> world.relist("e1"));
             }),
     OUTAGE("an hour without the platform", 3_720, 1, (world, fleet) -> outage(world)),
@@ -69,22 +69,22 @@
             950),
     FIVE_TIMES("one team at 5 x its rate through one entry", 120, 5, (world, fleet) -> {});
 
-    private static final long WARM_UP = 40 * World.SECOND;
+    private static final long WARM_UP = 40 * Simulation.SECOND;
     private static final long SEED = 7;
-    private static final long BALANCER_LAG = 2 * World.SECOND;
+    private static final long BALANCER_LAG = 2 * Simulation.SECOND;
     private static final String GREEDY = "t1";
 
     private final String label;
     private final int seconds;
     private final int times;
-    private final BiConsumer<World, FleetUnderTest> faults;
+    private final BiConsumer<Simulation, SimulatedFleet> faults;
     private final int[] cuts;
 
     Scenario(
             String label,
             int seconds,
             int times,
-            BiConsumer<World, FleetUnderTest> faults,
+            BiConsumer<Simulation, SimulatedFleet> faults,
             int... cuts) {
         this.label = label;
         this.seconds = seconds;
@@ -97,31 +97,33 @@
         return label;
     }
 
-    Score replay(Trace trace, BiFunction<World, Trace, FleetUnderTest> way) {
+    Score replay(Trace trace, BiFunction<Simulation, Trace, SimulatedFleet> way) {
         return replay(trace, way, SEED);
     }
 
-    Score replay(Trace trace, BiFunction<World, Trace, FleetUnderTest> way, long seed) {
-        World world = new World(new SplittableRandom(seed));
-        FleetUnderTest fleet = way.apply(world, trace);
+    Score replay(Trace trace, BiFunction<Simulation, Trace, SimulatedFleet> way, long seed) {
+        Simulation world = new Simulation(new SplittableRandom(seed));
+        SimulatedFleet fleet = way.apply(world, trace);
         Score score = new Score();
         for (String node : List.of("e1", "e2", "e3", "e4")) {
             world.startListed(node);
             fleet.start(node);
         }
         faults.accept(world, fleet);
-        for (long from = WARM_UP; from < WARM_UP + seconds * World.SECOND; ) {
+        for (long from = WARM_UP; from < WARM_UP + seconds * Simulation.SECOND; ) {
             long start = from;
             for (Trace.Arrival arrival : trace.arrivals()) {
                 long at = start + arrival.micros() * 1_000;
                 for (int i = 0; i < copies(arrival); i++) {
-                    world.at(at + i * World.MS, () -> send(world, fleet, score, trace, arrival));
+                    world.schedule(
+                            at + i * Simulation.MS,
+                            () -> send(world, fleet, score, trace, arrival));
                 }
             }
             from += Trace.LENGTH_MICROS * 1_000;
-            world.run(from);
+            world.runUntil(from);
         }
-        world.run(world.now() + World.SECOND);
+        world.runUntil(world.now() + Simulation.SECOND);
         return score;
     }
 
@@ -130,14 +132,18 @@
     }
 
     private void send(
-            World world, FleetUnderTest fleet, Score score, Trace trace, Trace.Arrival arrival) {
+            Simulation world,
+            SimulatedFleet fleet,
+            Score score,
+            Trace trace,
+            Trace.Arrival arrival) {
         TeamPlan team = trace.plans().get(arrival.team());
-        if (world.takingTraffic(BALANCER_LAG).isEmpty()) {
+        if (world.trafficReceivers(BALANCER_LAG).isEmpty()) {
             return;
         }
         String node = balance(world, arrival);
-        score.offered(team, world.now());
-        world.atNode(
+        score.recordOffered(team, world.now());
+        world.scheduleAtNode(
                 world.now(),
                 node,
                 () ->
@@ -146,15 +152,15 @@
                                 team,
                                 admission -> {
                                     if (admission instanceof Admission.Admitted) {
-                                        score.admitted(team, world.now());
+                                        score.recordAdmitted(team, world.now());
                                     } else {
                                         score.refused();
                                     }
                                 }));
     }
 
-    private String balance(World world, Trace.Arrival arrival) {
-        List<String> taking = new ArrayList<>(world.takingTraffic(BALANCER_LAG));
+    private String balance(Simulation world, Trace.Arrival arrival) {
+        List<String> taking = new ArrayList<>(world.trafficReceivers(BALANCER_LAG));
         if (times > 1 && !arrival.team().equals(GREEDY)) {
             taking.remove("e1");
         } else if (times > 1) {
@@ -170,17 +176,17 @@
         return taking.get(Math.min(index, taking.size() - 1));
     }
 
-    private static void outage(World world) {
+    private static void outage(Simulation world) {
         after(world, 30, () -> world.platformDown = true);
         after(world, 3_630, () -> world.platformDown = false);
     }
 
-    private static void begin(World world, FleetUnderTest fleet, String node) {
+    private static void begin(Simulation world, SimulatedFleet fleet, String node) {
         world.start(node);
         fleet.start(node);
     }
 
-    private static void after(World world, int seconds, Runnable action) {
-        world.at(WARM_UP + seconds * World.SECOND, action);
+    private static void after(Simulation world, int seconds, Runnable action) {
+        world.schedule(WARM_UP + seconds * Simulation.SECOND, action);
     }
 }
--- a/core/src/test/java/org/sardinelift/core/limit/Score.java
+++ b/core/src/test/java/org/sardinelift/core/limit/Score.java
@@ -9,22 +9,22 @@
  * admitted, which shows overrun, and an ideal one fed with what was offered.
  */
 final class Score {
-    private final Map<String, Meter> actual = new HashMap<>();
-    private final Map<String, Meter> ideal = new HashMap<>();
+    private final Map<String, TokenBucket> actual = new HashMap<>();
+    private final Map<String, TokenBucket> ideal = new HashMap<>();
     private final Map<String, Integer> due = new HashMap<>();
     private final Map<String, Integer> got = new HashMap<>();
     private int overrun;
     private int refused;
 
-    void offered(TeamPlan team, long now) {
-        if (meter(ideal, team, now).take()) {
+    void recordOffered(TeamPlan team, long now) {
+        if (meter(ideal, team, now).tryAcquire()) {
             due.merge(team.name(), 1, Integer::sum);
         }
     }
 
-    void admitted(TeamPlan team, long now) {
+    void recordAdmitted(TeamPlan team, long now) {
         got.merge(team.name(), 1, Integer::sum);
-        if (!meter(actual, team, now).take()) {
+        if (!meter(actual, team, now).tryAcquire()) {
             overrun++;
         }
     }
@@ -46,25 +46,25 @@
     }
 
     /** Requests that the ideal bucket admits and that this way did not, over all teams. */
-    int wrongful() {
-        return due.keySet().stream().mapToInt(this::wrongful).sum();
+    int wronglyRefused() {
+        return due.keySet().stream().mapToInt(this::wronglyRefused).sum();
     }
 
-    int wrongful(String team) {
+    int wronglyRefused(String team) {
         return Math.max(0, due.getOrDefault(team, 0) - got.getOrDefault(team, 0));
     }
 
     /** Part of its due that the worst-served team got. */
-    double worstServed() {
+    double lowestServedFraction() {
         return due.entrySet().stream()
                 .mapToDouble(team -> got.getOrDefault(team.getKey(), 0) / (double) team.getValue())
                 .min()
                 .orElse(1);
     }
 
-    private static Meter meter(Map<String, Meter> meters, TeamPlan team, long now) {
-        Meter meter = meters.computeIfAbsent(team.name(), it -> new Meter());
-        meter.fill(team.ratePerSecond(), team.burst(), now);
+    private static TokenBucket meter(Map<String, TokenBucket> meters, TeamPlan team, long now) {
+        TokenBucket meter = meters.computeIfAbsent(team.name(), it -> new TokenBucket());
+        meter.refill(team.ratePerSecond(), team.burst(), now);
         return meter;
     }
 }
--- a/core/src/test/java/org/sardinelift/core/limit/ShareFleet.java
+++ b/core/src/test/java/org/sardinelift/core/limit/ShareFleet.java
@@ -14,10 +14,10 @@
  * The shipped decision classes: shares and loans. Steps are made when they are due, or every {@link
  * #TICK} where {@link #probing}, which fails where one did something before it was due.
  */
-final class ShareFleet implements FleetUnderTest {
-    private static final long TICK = 10 * World.MS;
+final class ShareFleet implements SimulatedFleet {
+    private static final long TICK = 10 * Simulation.MS;
 
-    private final World world;
+    private final Simulation world;
     private final LimitBounds bounds;
     private final Map<String, TeamPlan> plans;
     private final Map<String, Node> nodes = new HashMap<>();
@@ -28,7 +28,7 @@
     private int lives;
     private boolean probing;
 
-    ShareFleet(World world, LimitBounds bounds, Map<String, TeamPlan> plans) {
+    ShareFleet(Simulation world, LimitBounds bounds, Map<String, TeamPlan> plans) {
         this.world = world;
         this.bounds = bounds;
         this.plans = plans;
@@ -44,9 +44,9 @@
     public void start(String name) {
         Node node = new Node(name, lives++);
         nodes.put(name, node);
-        world.every(name, TICK, node::look);
-        world.every(name, World.SECOND, node::readList);
-        world.every(name, World.SECOND / 2, node::gossip);
+        world.scheduleEvery(name, TICK, node::look);
+        world.scheduleEvery(name, Simulation.SECOND, node::readList);
+        world.scheduleEvery(name, Simulation.SECOND / 2, node::gossip);
     }
 
     @Override
@@ -62,7 +62,7 @@
     }
 
     long units(String node) {
-        return nodes.get(node).limit.ledger().usable();
+        return nodes.get(node).limit.ledger().usableUnits();
     }
 
     long poolUnits() {
@@ -111,19 +111,19 @@
         }
 
         private void probe() {
-            boolean due = limit.nextTick(world.now()) <= world.now();
+            boolean due = limit.nextTickAt(world.now()) <= world.now();
             int sentBefore = sent;
-            long unitsBefore = limit.ledger().usable();
+            long unitsBefore = limit.ledger().usableUnits();
             limit.tick(world.now(), this);
-            boolean idle = sent == sentBefore && limit.ledger().usable() == unitsBefore;
+            boolean idle = sent == sentBefore && limit.ledger().usableUnits() == unitsBefore;
             assertTrue(due || idle, () -> name + " had to do something that was not due");
         }
 
         private void arrange() {
-            long due = Math.max(world.now(), limit.nextTick(world.now()));
+            long due = Math.max(world.now(), limit.nextTickAt(world.now()));
             if (due < timerAt && !probing) {
                 timerAt = due;
-                world.atNode(due, name, () -> onTimer(due));
+                world.scheduleAtNode(due, name, () -> onTimer(due));
             }
         }
 
@@ -137,7 +137,7 @@
 
         void readList() {
             if (isCurrent()) {
-                world.platformCall(name, world::listed, this::onList, () -> {});
+                world.callPlatform(name, world::listed, this::onList, () -> {});
             }
         }
 
@@ -153,7 +153,13 @@
             }
             long age = world.now() - platformAt;
             connected.forEach(
-                    peer -> to(peer, other -> other.limit.ledger().onPeer(name, age, world.now())));
+                    peer ->
+                            to(
+                                    peer,
+                                    other ->
+                                            other.limit
+                                                    .ledger()
+                                                    .onPeerReport(name, age, world.now())));
         }
 
         void request(TeamPlan team, Consumer<Admission> answer) {
@@ -195,12 +201,12 @@
         }
 
         @Override
-        public void call(ShareCall call) {
+        public void callPlatform(ShareCall call) {
             sent++;
             ShareLedger ledger = limit.ledger();
             long number = call.number();
             if (call instanceof ShareCall.Write write) {
-                world.platformCall(
+                world.callPlatform(
                         name,
                         () -> apply(write),
                         written -> {
@@ -214,7 +220,7 @@
                         () -> onFailed(number));
             } else {
                 boolean stale = world.random.nextDouble() < world.staleReads;
-                world.platformCall(
+                world.callPlatform(
                         name,
                         () ->
                                 stale
@@ -234,7 +240,7 @@
         }
 
         private void to(String peer, Consumer<Node> action) {
-            world.message(
+            world.sendMessage(
                     peer,
                     () -> {
                         action.accept(nodes.get(peer));
--- a/core/src/test/java/org/sardinelift/core/limit/ShareLedgerTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/ShareLedgerTest.java
@@ -25,30 +25,30 @@
         assertTrue(lost.shares().units(SELF) > 0);
         ledger.onFailed(lost.number(), now);
         ledger.onRead(next(ShareCall.Read.class).number(), 1, lost.shares(), now);
-        assertEquals(0, ledger.usable());
+        assertEquals(0, ledger.usableUnits());
         ledger.onWritten(next(ShareCall.Write.class).number(), 2, now);
-        assertEquals(lost.shares().units(SELF), ledger.usable());
+        assertEquals(lost.shares().units(SELF), ledger.usableUnits());
     }
 
     @Test
     void afterAPauseAReadThatMayBeStaleDoesNotConfirmTheShare() {
         Shares held = hold();
         now += BOUNDS.pauseBound().toNanos() + SECOND;
-        ledger.check(now);
-        assertEquals(0, ledger.usable());
+        ledger.checkValidity(now);
+        assertEquals(0, ledger.usableUnits());
         ledger.onRead(next(ShareCall.Read.class).number(), 1, held, now);
-        assertEquals(0, ledger.usable());
+        assertEquals(0, ledger.usableUnits());
         ShareCall.Write confirm = next(ShareCall.Write.class);
         assertEquals(held, confirm.shares());
         ledger.onFailed(confirm.number(), now);
-        assertEquals(0, ledger.usable());
+        assertEquals(0, ledger.usableUnits());
     }
 
     @Test
     void unitsToSpareAreNoLongerUsedBeforeTheWriteThatGivesThem() {
         Shares held = hold();
-        ledger.demand(-1_000, now);
-        assertEquals(held.units(SELF) - 1_000, ledger.usable());
+        ledger.updateDemand(-1_000, now);
+        assertEquals(held.units(SELF) - 1_000, ledger.usableUnits());
         ShareCall.Write write = null;
         while (write == null) {
             ShareCall call = next(ShareCall.class);
@@ -107,17 +107,20 @@
                 ledger.onRead(call.number(), 0, Shares.initial(), now);
             }
         }
-        assertTrue(ledger.usable() > 0);
+        assertTrue(ledger.usableUnits() > 0);
     }
 
     /** Joins beside another entry and takes half of the units. */
     private Shares hold() {
         list("e1", "e2");
-        Shares before = Shares.initial().join(OTHER, 1).take(OTHER, Shares.TOTAL / 2);
+        Shares before =
+                Shares.initial()
+                        .addMember(OTHER, 1)
+                        .transferFromPool(OTHER, Shares.TOTAL_UNITS / 2);
         ledger.onRead(next(ShareCall.Read.class).number(), 0, before, now);
         ShareCall.Write join = next(ShareCall.Write.class);
         ledger.onWritten(join.number(), 1, now);
-        assertEquals(Shares.TOTAL / 2, ledger.usable());
+        assertEquals(Shares.TOTAL_UNITS / 2, ledger.usableUnits());
         return join.shares();
     }
 
--- a/core/src/test/java/org/sardinelift/core/limit/FleetUnderTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/SimulatedFleet.java
@@ -4,7 +4,7 @@
 import org.sardinelift.core.catalog.TeamPlan;
 
 /** One way of limiting teams over a fleet, driven in virtual time. */
-interface FleetUnderTest {
+interface SimulatedFleet {
 
     /** A new life of an instance starts. */
     void start(String node);
--- a/core/src/test/java/org/sardinelift/core/limit/World.java
+++ b/core/src/test/java/org/sardinelift/core/limit/Simulation.java
@@ -13,7 +13,7 @@
 import java.util.random.RandomGenerator;
 
 /** Virtual time, instances that may crash or freeze, messages with a delay, and the platform. */
-final class World {
+final class Simulation {
     static final long MS = 1_000_000;
     static final long SECOND = 1_000 * MS;
     private static final long HOP = 1_500_000;
@@ -32,7 +32,7 @@
     double lostAnswers;
     double staleReads;
 
-    World(RandomGenerator random) {
+    Simulation(RandomGenerator random) {
         this.random = random;
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Instances that a balancer sends to, which notices a frozen one after a time. */
-    List<String> takingTraffic(long lag) {
+    List<String> trafficReceivers(long lag) {
         List<String> taking = new ArrayList<>(up);
         taking.removeIf(node -> isFrozen(node) && now - frozenAt.get(node) > lag);
         return taking;
@@ -59,13 +59,13 @@
         return frozen.containsKey(node);
     }
 
-    boolean reachesPlatform(String node) {
+    boolean canReachPlatform(String node) {
         return !platformDown && !cutOff.contains(node);
     }
 
     void start(String node) {
         up.add(node);
-        at(now + LIST_LAG, () -> listed.add(node));
+        schedule(now + LIST_LAG, () -> listed.add(node));
     }
 
     void startListed(String node) {
@@ -76,7 +76,7 @@
     void crash(String node) {
         up.remove(node);
         frozen.remove(node);
-        at(now + LIST_LAG, () -> listed.remove(node));
+        schedule(now + LIST_LAG, () -> listed.remove(node));
     }
 
     void restart(String node) {
@@ -101,7 +101,7 @@
         listed.add(node);
     }
 
-    void wake(String node) {
+    void unfreeze(String node) {
         Deque<Runnable> waiting = frozen.remove(node);
         if (waiting != null && up.contains(node)) {
             waiting.forEach(Runnable::run);
@@ -116,47 +116,47 @@
         }
     }
 
-    void at(long time, Runnable action) {
+    void schedule(long time, Runnable action) {
         events.add(new Event(Math.max(now, time), sequence++, action));
     }
 
     /** Runs an action at an instance, later if it is frozen, never if it is down. */
-    void atNode(long time, String node, Runnable action) {
-        at(time, () -> runAt(node, action));
+    void scheduleAtNode(long time, String node, Runnable action) {
+        schedule(time, () -> runAt(node, action));
     }
 
-    void message(String to, Runnable action) {
-        atNode(now + HOP + random.nextLong(HOP / 4), to, action);
+    void sendMessage(String to, Runnable action) {
+        scheduleAtNode(now + HOP + random.nextLong(HOP / 4), to, action);
     }
 
     /** A call of the platform: takes effect there, and its answer comes back unless it is lost. */
-    <T> void platformCall(
+    <T> void callPlatform(
             String from, java.util.function.Supplier<T> effect, Consumer<T> ok, Runnable failed) {
-        if (!reachesPlatform(from)) {
-            message(from, failed);
+        if (!canReachPlatform(from)) {
+            sendMessage(from, failed);
             return;
         }
-        at(
+        schedule(
                 now + HOP,
                 () -> {
                     T result = effect.get();
                     if (random.nextDouble() >= lostAnswers) {
-                        message(from, () -> ok.accept(result));
+                        sendMessage(from, () -> ok.accept(result));
                     }
                 });
     }
 
-    void every(String node, long period, Runnable action) {
-        atNode(
+    void scheduleEvery(String node, long period, Runnable action) {
+        scheduleAtNode(
                 now + period,
                 node,
                 () -> {
                     action.run();
-                    every(node, period, action);
+                    scheduleEvery(node, period, action);
                 });
     }
 
-    void run(long until) {
+    void runUntil(long until) {
         while (!events.isEmpty() && events.peek().time() <= until) {
             Event event = events.poll();
             now = event.time();
--- a/core/src/test/java/org/sardinelift/core/limit/TeamAccountTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/TeamAccountTest.java
@@ -30,7 +30,7 @@
             accounts.add(TeamAccount.open(PLAN, part, 0));
         }
         List<Loan> underWay = new ArrayList<>();
-        Meter meter = new Meter();
+        TokenBucket meter = new TokenBucket();
         long now = 0;
         long quietUntil = 0;
         for (int step = 0; step < 400; step++) {
@@ -38,9 +38,9 @@
             TeamAccount account = accounts.get(random.nextInt(3));
             switch (random.nextInt(5)) {
                 case 0 -> {
-                    while (account.tryTake(now)) {
-                        meter.fill(PLAN.ratePerSecond(), PLAN.burst(), now);
-                        assertTrue(meter.take(), "over the rate and burst");
+                    while (account.tryAcquire(now)) {
+                        meter.refill(PLAN.ratePerSecond(), PLAN.burst(), now);
+                        assertTrue(meter.tryAcquire(), "over the rate and burst");
                     }
                 }
                 case 1 -> {
@@ -52,7 +52,7 @@
                 }
                 case 2 -> deliver(accounts, underWay, now, random.nextBoolean());
                 case 3 -> {
-                    account.returnBeyond(random.nextDouble() * 3, now);
+                    account.returnExcess(random.nextDouble() * 3, now);
                     settle(accounts, now);
                 }
                 default -> {
@@ -68,49 +68,49 @@
     @Test
     void aBorrowedTokenMayNotBeSpentPastItsTime() {
         TeamAccount account = TeamAccount.open(PLAN, 0, 0);
-        account.borrowed("e2", 1, 1, TTL);
-        assertEquals(false, account.tryTake(TTL));
-        assertEquals(List.of(new Settlement("e2", 1, "t", 0)), account.takeSettlements());
+        account.addLoan("e2", 1, 1, TTL);
+        assertEquals(false, account.tryAcquire(TTL));
+        assertEquals(List.of(new Settlement("e2", 1, "t", 0)), account.pollSettlements());
     }
 
     @Test
     void aTokenIsTakenFromTheBucketAndTheLoansInProportion() {
         TeamAccount account = TeamAccount.open(PLAN, 0.1, -100 * SECOND);
-        account.borrowed("e2", 1, 2, TTL);
-        assertTrue(account.tryTake(0));
-        account.returnBeyond(0, 0);
-        assertEquals(List.of(new Settlement("e2", 1, "t", 1.5)), account.takeSettlements());
+        account.addLoan("e2", 1, 2, TTL);
+        assertTrue(account.tryAcquire(0));
+        account.returnExcess(0, 0);
+        assertEquals(List.of(new Settlement("e2", 1, "t", 1.5)), account.pollSettlements());
         assertEquals(1.5, account.available(0), 1e-9);
     }
 
     @Test
     void aLoanIsAbsorbedAsFarAsTheBucketHasRoomAndTheRestGoesBack() {
         TeamAccount account = TeamAccount.open(PLAN, 0.1, 0);
-        account.absorb("e2", 1, 3, TTL, 0);
-        assertEquals(List.of(new Settlement("e2", 1, "t", 1)), account.takeSettlements());
+        account.depositLoan("e2", 1, 3, TTL, 0);
+        assertEquals(List.of(new Settlement("e2", 1, "t", 1)), account.pollSettlements());
         assertEquals(2, account.available(2 * TTL), 1e-9);
     }
 
     @Test
     void anExpiredLoanIsNotAbsorbed() {
         TeamAccount account = TeamAccount.open(PLAN, 0.1, TTL);
-        account.absorb("e2", 1, 1, TTL, TTL);
+        account.depositLoan("e2", 1, 1, TTL, TTL);
         assertEquals(0, account.available(TTL), 1e-9);
     }
 
     @Test
     void aRaiseOfTheFractionAddsNoTokens() {
         TeamAccount account = TeamAccount.open(PLAN, 0.1, 0);
-        account.share(1, 0, 100 * SECOND);
+        account.updateFraction(1, 0, 100 * SECOND);
         assertEquals(2, account.available(100 * SECOND), 1e-9);
     }
 
     @Test
     void aRaiseByUnitsThatNobodyHeldAddsTheirTokensAndNoMore() {
         TeamAccount account = TeamAccount.open(PLAN, 0.1, 0);
-        account.share(0.6, 0.5, 100 * SECOND);
+        account.updateFraction(0.6, 0.5, 100 * SECOND);
         assertEquals(12, account.available(100 * SECOND), 1e-9);
-        account.share(0.4, 0.4, 100 * SECOND);
+        account.updateFraction(0.4, 0.4, 100 * SECOND);
         assertEquals(8, account.available(100 * SECOND), 1e-9);
     }
 
@@ -121,9 +121,9 @@
             String peer = "e" + loan.from();
             long expires = loan.askedAt() + TTL;
             if (loan.tokens() > 0 && absorb) {
-                account.absorb(peer, loan.exchange(), loan.tokens(), expires, now);
+                account.depositLoan(peer, loan.exchange(), loan.tokens(), expires, now);
             } else if (loan.tokens() > 0) {
-                account.borrowed(peer, loan.exchange(), loan.tokens(), expires);
+                account.addLoan(peer, loan.exchange(), loan.tokens(), expires);
             }
         }
         underWay.clear();
@@ -131,9 +131,10 @@
 
     private static void settle(List<TeamAccount> accounts, long now) {
         for (int i = 0; i < accounts.size(); i++) {
-            for (Settlement done : accounts.get(i).takeSettlements()) {
+            for (Settlement done : accounts.get(i).pollSettlements()) {
                 int lender = Integer.parseInt(done.peer().substring(1));
-                accounts.get(lender).returned("e" + i, done.exchange(), done.tokens(), now);
+                accounts.get(lender)
+                        .onLoanReturned("e" + i, done.loanId(), done.unspentTokens(), now);
             }
         }
     }
@@ -144,8 +145,8 @@
         double part = parts[from] / 2;
         parts[from] -= part;
         parts[to] += part;
-        accounts.get(from).share(parts[from], 0, now);
-        accounts.get(to).share(parts[to], 0, now);
+        accounts.get(from).updateFraction(parts[from], 0, now);
+        accounts.get(to).updateFraction(parts[to], 0, now);
     }
 
     private static double total(List<TeamAccount> accounts, List<Loan> underWay, long now) {
--- a/core/src/test/java/org/sardinelift/core/limit/Meter.java
+++ b/core/src/test/java/org/sardinelift/core/limit/TokenBucket.java
@@ -1,12 +1,12 @@
 package org.sardinelift.core.limit;
 
 /** A plain token bucket that starts full. */
-final class Meter {
+final class TokenBucket {
     private static final double ROUNDING = 1e-6;
     private double level = Double.MAX_VALUE;
     private long filledAt;
 
-    void fill(double rate, double capacity, long now) {
+    void refill(double rate, double capacity, long now) {
         level = Math.min(capacity, level + (now - filledAt) / 1e9 * rate);
         filledAt = now;
     }
@@ -16,12 +16,12 @@
         filledAt = now;
     }
 
-    boolean holdsOne() {
+    boolean hasToken() {
         return level >= 1 - ROUNDING;
     }
 
-    boolean take() {
-        boolean there = holdsOne();
+    boolean tryAcquire() {
+        boolean there = hasToken();
         level -= there ? 1 : 0;
         return there;
     }
--- a/core/src/test/java/org/sardinelift/core/load/BatchSlotsTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/BatchSlotsTest.java
@@ -10,17 +10,17 @@
 class BatchSlotsTest {
     private static final long MILLI = 1_000_000;
 
-    private final BatchSlots slots =
-            BatchSlots.of(
+    private final BatchSlotSelector slots =
+            BatchSlotSelector.of(
                     "near", Duration.ofMillis(40), Duration.ofMillis(150), Duration.ofMillis(6));
 
     private static TargetLoad target(String id, String zone, int calls) {
-        return new TargetLoad(id, zone, 8, new Use(calls, 0), 750 * MILLI, 50 * MILLI);
+        return new TargetLoad(id, zone, 8, new TargetCalls(calls, 0), 750 * MILLI, 50 * MILLI);
     }
 
     private String picked(long ms, TargetLoad... targets) {
         slots.observe(List.of(targets), ms * MILLI);
-        return slots.pick(List.of(targets), ms * MILLI).map(TargetLoad::id).orElse("none");
+        return slots.select(List.of(targets), ms * MILLI).map(TargetLoad::id).orElse("none");
     }
 
     @Test
@@ -53,12 +53,12 @@
     void oneItemAtATimeIsStartedOnATarget() {
         picked(0, target("a", "near", 5), target("c", "near", 6));
         assertEquals("a", picked(40, target("a", "near", 5), target("c", "near", 6)));
-        slots.onStart("a", 40 * MILLI);
+        slots.onItemStarted("a", 40 * MILLI);
 
         assertEquals("c", picked(41, target("a", "near", 6), target("c", "near", 6)));
-        slots.onStart("c", 41 * MILLI);
+        slots.onItemStarted("c", 41 * MILLI);
         assertEquals("none", picked(42, target("a", "near", 6), target("c", "near", 7)));
-        assertTrue(slots.hasUnsettled(List.of(target("a", "near", 6))));
+        assertTrue(slots.hasFreeSlot(List.of(target("a", "near", 6))));
         assertEquals("a", picked(46, target("a", "near", 6), target("c", "near", 7)));
     }
 }
--- a/core/src/test/java/org/sardinelift/core/load/LoadBoardTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/LoadBoardTest.java
@@ -9,69 +9,69 @@
 class LoadBoardTest {
     private static final long MILLI = 1_000_000;
 
-    private final LoadBoard board =
-            LoadBoard.create(Duration.ofMillis(1_200), Duration.ofMillis(400));
+    private final LoadTracker board =
+            LoadTracker.create(Duration.ofMillis(1_200), Duration.ofMillis(400));
 
     @Test
     void addsOwnCallsAndThoseReported() {
-        board.onOwn("a", new Use(1, 0));
-        board.onReport("g2", Map.of("a", new Use(2, 1), "b", new Use(1, 0)), 0);
-        board.onReport("w1", Map.of("a", new Use(0, 3)), 0);
+        board.onOwnCallsChanged("a", new TargetCalls(1, 0));
+        board.onReport("g2", Map.of("a", new TargetCalls(2, 1), "b", new TargetCalls(1, 0)), 0);
+        board.onReport("w1", Map.of("a", new TargetCalls(0, 3)), 0);
 
-        assertEquals(new Use(3, 4), board.use("a", 0));
-        assertEquals(new Use(1, 0), board.use("b", 0));
-        assertEquals(Map.of("g2", 1, "w1", 3), board.batchByInstance("a"));
+        assertEquals(new TargetCalls(3, 4), board.knownCalls("a", 0));
+        assertEquals(new TargetCalls(1, 0), board.knownCalls("b", 0));
+        assertEquals(Map.of("g2", 1, "w1", 3), board.batchItemsByInstance("a"));
     }
 
     @Test
     void aReportReplacesTheOneBefore() {
-        board.onReport("g2", Map.of("a", new Use(2, 0)), 0);
-        board.onReport("g2", Map.of("b", new Use(1, 0)), MILLI);
+        board.onReport("g2", Map.of("a", new TargetCalls(2, 0)), 0);
+        board.onReport("g2", Map.of("b", new TargetCalls(1, 0)), MILLI);
 
-        assertEquals(Use.NONE, board.use("a", MILLI));
+        assertEquals(TargetCalls.NONE, board.knownCalls("a", MILLI));
     }
 
     @Test
     void theReportOfALostInstanceExpires() {
-        board.onReport("g2", Map.of("a", new Use(2, 0)), 0);
+        board.onReport("g2", Map.of("a", new TargetCalls(2, 0)), 0);
 
         board.expire(1_199 * MILLI);
-        assertEquals(2, board.use("a", 1_199 * MILLI).online());
+        assertEquals(2, board.knownCalls("a", 1_199 * MILLI).online());
         board.expire(1_200 * MILLI);
-        assertEquals(0, board.use("a", 1_200 * MILLI).online());
+        assertEquals(0, board.knownCalls("a", 1_200 * MILLI).online());
     }
 
     @Test
     void endedCallsLeaveNothing() {
-        board.onOwn("a", new Use(1, 0));
-        board.onOwn("a", new Use(-1, 0));
+        board.onOwnCallsChanged("a", new TargetCalls(1, 0));
+        board.onOwnCallsChanged("a", new TargetCalls(-1, 0));
 
-        assertEquals(Map.of(), board.ownUses());
+        assertEquals(Map.of(), board.ownCallsByTarget());
     }
 
     @Test
     void oneStatementBeyondTheKnownCallsMayHaveCrossedAReport() {
-        board.onStated("a", 3, 0);
-        assertEquals(0, board.use("a", 0).online());
+        board.onTargetLoad("a", 3, 0);
+        assertEquals(0, board.knownCalls("a", 0).online());
 
-        board.onStated("a", 2, MILLI);
-        assertEquals(2, board.use("a", MILLI).online());
+        board.onTargetLoad("a", 2, MILLI);
+        assertEquals(2, board.knownCalls("a", MILLI).online());
     }
 
     @Test
     void statedLoadCountsForAWhileOnly() {
-        board.onStated("a", 3, 0);
-        board.onStated("a", 3, MILLI);
+        board.onTargetLoad("a", 3, 0);
+        board.onTargetLoad("a", 3, MILLI);
 
-        assertEquals(0, board.use("a", 401 * MILLI).online());
+        assertEquals(0, board.knownCalls("a", 401 * MILLI).online());
     }
 
     @Test
     void knownCallsAreNotCountedTwice() {
-        board.onOwn("a", new Use(2, 0));
-        board.onStated("a", 2, 0);
-        board.onStated("a", 2, MILLI);
+        board.onOwnCallsChanged("a", new TargetCalls(2, 0));
+        board.onTargetLoad("a", 2, 0);
+        board.onTargetLoad("a", 2, MILLI);
 
-        assertEquals(2, board.use("a", MILLI).online());
+        assertEquals(2, board.knownCalls("a", MILLI).online());
     }
 }
--- a/core/src/test/java/org/sardinelift/core/load/PlacementTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/PlacementTest.java
@@ -16,12 +16,12 @@
     private final Placement placement = Placement.of("near", Duration.ofMillis(30));
 
     private static TargetLoad target(String id, String zone, int online, int batch) {
-        return new TargetLoad(id, zone, 8, new Use(online, batch), 800 * MILLI, 50 * MILLI);
+        return new TargetLoad(id, zone, 8, new TargetCalls(online, batch), 800 * MILLI, 50 * MILLI);
     }
 
     private String chosen(TargetLoad... targets) {
         Choice choice = placement.choose(List.of(targets), OBJECTIVE, 7);
-        return assertInstanceOf(Choice.Place.class, choice).target().id();
+        return assertInstanceOf(Choice.Placed.class, choice).target().id();
     }
 
     @Test
@@ -51,7 +51,8 @@
 
     @Test
     void avoidsASlowTargetWhoseSlotIsFree() {
-        TargetLoad slow = new TargetLoad("a", "near", 8, new Use(2, 0), 4_000 * MILLI, 250 * MILLI);
+        TargetLoad slow =
+                new TargetLoad("a", "near", 8, new TargetCalls(2, 0), 4_000 * MILLI, 250 * MILLI);
 
         assertEquals("b", chosen(slow, target("b", "near", 3, 0)));
     }
@@ -64,17 +65,17 @@
                         OBJECTIVE,
                         7);
 
-        Choice.Refuse refusal = assertInstanceOf(Choice.Refuse.class, choice);
+        Choice.Refused refusal = assertInstanceOf(Choice.Refused.class, choice);
         // Four ahead of a slot that comes free each 100 ms, less what the objective leaves.
         assertEquals(Duration.ofMillis(400 + 50 - 270), refusal.retryAfter());
-        assertTrue(!refusal.noTarget());
+        assertTrue(!refusal.hasNoTarget());
     }
 
     @Test
     void saysThatThereIsNoTarget() {
         Choice choice = placement.choose(List.of(), OBJECTIVE, 7);
 
-        assertTrue(assertInstanceOf(Choice.Refuse.class, choice).noTarget());
+        assertTrue(assertInstanceOf(Choice.Refused.class, choice).hasNoTarget());
     }
 
     @Test
@@ -90,7 +91,7 @@
                                                         target("b", "near", 1, 0)),
                                                 OBJECTIVE,
                                                 draw))
-                        .filter(choice -> ((Choice.Place) choice).target().id().equals("a"))
+                        .filter(choice -> ((Choice.Placed) choice).target().id().equals("a"))
                         .count();
 
         assertTrue(toFirst > 120 && toFirst < 280, "" + toFirst);
--- a/core/src/test/java/org/sardinelift/core/load/ReturnTimesTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/ReturnTimesTest.java
@@ -12,10 +12,10 @@
     private static final long MILLI = 1_000_000;
     private static final Duration LONGEST = Duration.ofMillis(1_600);
 
-    private final ReturnTimes times = ReturnTimes.create();
+    private final RetryAfterSchedule times = RetryAfterSchedule.create();
 
     private long nextMs(int untilRoomMs, double slotsPerSecond, long draw, long nowMs) {
-        return times.next(
+        return times.nextRetryAfter(
                         Duration.ofMillis(untilRoomMs),
                         slotsPerSecond,
                         LONGEST,
--- a/core/src/test/java/org/sardinelift/core/load/TargetHealthTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/TargetHealthTest.java
@@ -25,12 +25,12 @@
         assertFalse(health.onSilent(1));
         assertFalse(health.isUsable(10_000 * MILLI));
 
-        assertTrue(health.startProbe(0));
-        assertFalse(health.startProbe(0), "one probe at a time");
-        health.onProbe(false, 0);
-        assertFalse(health.startProbe(199 * MILLI));
-        assertTrue(health.startProbe(200 * MILLI));
-        health.onProbe(true, 200 * MILLI);
+        assertTrue(health.tryStartProbe(0));
+        assertFalse(health.tryStartProbe(0), "one probe at a time");
+        health.onProbeEnded(false, 0);
+        assertFalse(health.tryStartProbe(199 * MILLI));
+        assertTrue(health.tryStartProbe(200 * MILLI));
+        health.onProbeEnded(true, 200 * MILLI);
 
         assertTrue(health.isUsable(200 * MILLI));
     }
@@ -57,7 +57,7 @@
                             if (i % 20 == 0) {
                                 health.onFailure(0);
                             } else {
-                                health.onDone(700 * MILLI, 30);
+                                health.onSuccess(700 * MILLI, 30);
                             }
                         });
 
@@ -70,11 +70,11 @@
                 .forEach(
                         i -> {
                             health.onFirstEvent(200 * MILLI);
-                            health.onDone(3_000 * MILLI, 30);
+                            health.onSuccess(3_000 * MILLI, 30);
                         });
 
-        assertEquals(200.0, health.firstNanos() / 1e6, 2);
+        assertEquals(200.0, health.timeToFirstEventNanos() / 1e6, 2);
         assertEquals(3_200.0, health.callNanos() / 1e6, 20);
-        assertEquals(100.0, health.gapNanos() / 1e6, 2);
+        assertEquals(100.0, health.eventGapNanos() / 1e6, 2);
     }
 }
--- a/core/src/test/java/org/sardinelift/core/order/RolloutPropertiesTest.java
+++ b/core/src/test/java/org/sardinelift/core/order/RolloutPropertiesTest.java
@@ -21,13 +21,13 @@
             @ForAll @IntRange(min = 2, max = 8) int targets,
             @ForAll @IntRange(min = 1, max = 3) int controllers,
             @ForAll @IntRange(min = 0, max = 3) int fault) {
-        RolloutWorld world = new RolloutWorld(seed, targets, controllers, 0.5);
-        RolloutWorld.Target odd = world.targets.get(world.random.nextInt(targets));
+        RolloutSimulation world = new RolloutSimulation(seed, targets, controllers, 0.5);
+        RolloutSimulation.Target odd = world.targets.get(world.random.nextInt(targets));
         odd.failing = fault == 1;
         odd.hanging = fault == 2;
         world.faulty = true;
         for (int i = 0; i < 30; i++) {
-            world.trouble();
+            world.injectFault();
             if (fault == 3 && i == 5) {
                 world.stop();
             }
@@ -41,7 +41,7 @@
         world.run(60_000);
         RolloutState end = world.stored.orElseThrow();
         boolean whole = end.phase() == RolloutPhase.COMPLETED;
-        assertEquals(whole, end.reason().isEmpty(), end::toString);
+        assertEquals(whole, end.rollbackReason().isEmpty(), end::toString);
         assertFalse(whole && odd.failing);
         world.targets.forEach(
                 target -> assertEquals(whole ? "2" : "1", target.version, end::toString));
@@ -49,7 +49,7 @@
 
     @Property(seed = "8062", tries = 50)
     void loadsKeepToTheWeightStoresRate(@ForAll long seed) {
-        RolloutWorld world = new RolloutWorld(seed, 8, 2, 0.25);
+        RolloutSimulation world = new RolloutSimulation(seed, 8, 2, 0.25);
         world.run(120_000);
         assertEquals(RolloutPhase.COMPLETED, world.stored.orElseThrow().phase());
         for (int i = 1; i < world.loadStarts.size(); i++) {
