--- a/core/src/test/java/org/sardinelift/core/order/RolloutWorld.java
+++ b/core/src/test/java/org/sardinelift/core/order/RolloutSimulation.java
@@ -16,7 +16,7 @@
 import org.sardinelift.core.batch.Holder;
 
 /** Controllers, targets with their companions, and a platform, in virtual time. */
-final class RolloutWorld {
+final class RolloutSimulation {
     static final String MODEL = "notices";
     static final OrderBounds BOUNDS =
             new OrderBounds(
@@ -56,7 +56,7 @@
         }
     }
 
-    RolloutWorld(long seed, int targetCount, int controllerCount, double least) {
+    RolloutSimulation(long seed, int targetCount, int controllerCount, double least) {
         this.random = new Random(seed);
         this.least = least;
         this.spec =
@@ -72,7 +72,7 @@
             }
             controllers.forEach(Controller::tick);
             long serving = targets.stream().filter(Target::serves).count();
-            assertTrue(serving >= spec.least(targets.size()), () -> serving + " serve");
+            assertTrue(serving >= spec.minServing(targets.size()), () -> serving + " serve");
         }
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** Some event of the unlucky kind. */
-    void trouble() {
+    void injectFault() {
         Controller controller = controllers.get(random.nextInt(controllers.size()));
         switch (random.nextInt(4)) {
             case 0 -> controller.pausedUntilMs = nowMs + random.nextInt(30_000);
@@ -94,7 +94,7 @@
 
     boolean ended() {
         return stored.filter(state -> state.spec().id().equals(spec.id()))
-                .filter(state -> state.phase().terminal())
+                .filter(state -> state.phase().isTerminal())
                 .isPresent();
     }
 
@@ -106,7 +106,7 @@
         return faulty && random.nextInt(20) == 0 ? random.nextInt(40_000) : random.nextInt(300);
     }
 
-    private boolean unlucky() {
+    private boolean failsAtRandom() {
         return faulty && random.nextInt(8) == 0;
     }
 
@@ -181,7 +181,7 @@
         private int life;
         private int connection;
         private ControllerLease own;
-        private RolloutBoard board;
+        private RolloutPlanner board;
         private long nextLookMs;
         long pausedUntilMs;
 
@@ -204,7 +204,10 @@
                         each ->
                                 board.rollouts()
                                         .values()
-                                        .forEach(rollout -> rollout.onLost(each.name, nanos())));
+                                        .forEach(
+                                                rollout ->
+                                                        rollout.onConnectionLost(
+                                                                each.name, nanos())));
             }
         }
 
@@ -217,16 +220,16 @@
                 return;
             }
             if (nowMs >= nextLookMs) {
-                nextLookMs = nowMs + BOUNDS.period().toMillis();
+                nextLookMs = nowMs + BOUNDS.pollInterval().toMillis();
                 renew();
             }
-            if (own.valid(nanos())) {
+            if (own.isValid(nanos())) {
                 work();
             }
         }
 
         private void renew() {
-            if (unlucky()) {
+            if (failsAtRandom()) {
                 own.onUnavailable();
                 return;
             }
@@ -235,8 +238,8 @@
             own.onRead(lease, leaseVersion, nanos())
                     .ifPresent(
                             next -> {
-                                boolean lost = unlucky();
-                                if (version == leaseVersion && !unlucky()) {
+                                boolean lost = failsAtRandom();
+                                if (version == leaseVersion && !failsAtRandom()) {
                                     lease = next;
                                     leaseVersion++;
                                     if (!lost) {
@@ -248,35 +251,35 @@
 
         private void work() {
             if (board == null || board.fence() != own.fence()) {
-                boolean stale = unlucky();
+                boolean stale = failsAtRandom();
                 Optional<RolloutState> read = stale ? storedBefore : stored;
                 readVersion = stale ? storedVersion - 1 : storedVersion;
-                board = RolloutBoard.of(own.fence(), BOUNDS, read.stream().toList(), nanos());
+                board = RolloutPlanner.of(own.fence(), BOUNDS, read.stream().toList(), nanos());
             }
             List<TargetView> fleet = targets.stream().map(Target::view).toList();
             board.plan(List.of(spec), fleet, nanos());
             for (Rollout rollout : board.rollouts().values()) {
-                if (rollout.dirty() && !write(rollout)) {
+                if (rollout.isDirty() && !write(rollout)) {
                     board = null;
                     return;
                 }
-                rollout.due(nanos()).forEach(order -> send(rollout, order));
+                rollout.dueOrders(nanos()).forEach(order -> send(rollout, order));
             }
         }
 
         private long readVersion;
 
         private boolean write(Rollout rollout) {
-            if (readVersion != storedVersion || unlucky()) {
+            if (readVersion != storedVersion || failsAtRandom()) {
                 return false;
             }
             storedBefore = stored;
             stored = Optional.of(rollout.state());
             readVersion = ++storedVersion;
-            if (unlucky()) {
+            if (failsAtRandom()) {
                 return false;
             }
-            rollout.written();
+            rollout.onWritten();
             return true;
         }
 
@@ -291,7 +294,7 @@
             }
             Target target =
                     targets.stream().filter(t -> t.name.equals(order.target())).findFirst().get();
-            rollout.sent(order.target(), number.getAsLong(), nanos());
+            rollout.onSent(order.target(), number.getAsLong(), nanos());
             int on = connection;
             later(delay(), () -> target.receive(order, number.getAsLong(), this, on));
         }
--- a/core/src/test/java/org/sardinelift/core/order/RolloutTest.java
+++ b/core/src/test/java/org/sardinelift/core/order/RolloutTest.java
@@ -13,10 +13,10 @@
 import org.sardinelift.core.batch.Holder;
 
 class RolloutTest {
-    private static final OrderBounds BOUNDS = RolloutWorld.BOUNDS;
+    private static final OrderBounds BOUNDS = RolloutSimulation.BOUNDS;
     private long nowNanos;
     private long number;
-    private final RolloutBoard board = RolloutBoard.of(1, BOUNDS, List.of(), nowNanos);
+    private final RolloutPlanner board = RolloutPlanner.of(1, BOUNDS, List.of(), nowNanos);
 
     private static RolloutSpec spec(String id, long revision, double least, boolean stopped) {
         return new RolloutSpec(
@@ -31,14 +31,16 @@
         nowNanos += Duration.ofSeconds(2).toNanos();
         board.plan(List.of(spec), List.of(fleet), nowNanos);
         Rollout rollout = board.rollouts().get("r");
-        assertTrue(!rollout.dirty() || rollout.due(nowNanos).isEmpty(), "written before ordered");
-        rollout.written();
+        assertTrue(
+                !rollout.isDirty() || rollout.dueOrders(nowNanos).isEmpty(),
+                "written before ordered");
+        rollout.onWritten();
         return rollout;
     }
 
     private List<TargetOrder> sendDue(Rollout rollout) {
-        List<TargetOrder> due = new ArrayList<>(rollout.due(nowNanos));
-        due.forEach(order -> rollout.sent(order.target(), ++number, nowNanos));
+        List<TargetOrder> due = new ArrayList<>(rollout.dueOrders(nowNanos));
+        due.forEach(order -> rollout.onSent(order.target(), ++number, nowNanos));
         return due;
     }
 
@@ -46,7 +48,7 @@
     void aFloorThatNoTargetCanLeaveEndsItAtOnceWithTheRemedy() {
         Rollout rollout = plan(spec("a", 1, 1, false), view("t1", "1"), view("t2", "1"));
         assertEquals(RolloutPhase.ROLLED_BACK, rollout.state().phase());
-        assertTrue(rollout.state().reason().contains("set it lower"));
+        assertTrue(rollout.state().rollbackReason().contains("set it lower"));
     }
 
     @Test
@@ -70,7 +72,7 @@
         sendDue(rollout);
         long load = number;
         plan(spec("a", 2, 0.5, true), view("t1", "1"), view("t2", "1"));
-        assertEquals("stopped by the operator", rollout.state().reason());
+        assertEquals("stopped by the operator", rollout.state().rollbackReason());
         assertEquals(List.of(new TargetOrder("t1", OrderAction.LOAD, "m", "1")), sendDue(rollout));
         rollout.onResult(load, true, true, "", nowNanos);
         plan(spec("a", 2, 0.5, true), view("t1", "1"), view("t2", "1"));
@@ -86,14 +88,14 @@
         RolloutGoal role = RolloutGoal.role("prefill");
         assertEquals(
                 new TargetOrder("t", OrderAction.ROLE, "decode", ""),
-                role.order("t", role.held(target).orElseThrow()));
+                role.orderFor("t", role.currentValue(target).orElseThrow()));
         RolloutGoal adapter = RolloutGoal.version("adapter", "1");
         assertEquals(
                 new TargetOrder("t", OrderAction.UNLOAD, "adapter", ""),
-                adapter.order("t", adapter.held(target).orElseThrow()));
+                adapter.orderFor("t", adapter.currentValue(target).orElseThrow()));
         TargetView silent = new TargetView("t", "s", true, Set.of("m"), Map.of(), "");
-        assertTrue(RolloutGoal.version("m", "2").held(silent).isEmpty());
-        assertTrue(role.held(silent).isEmpty());
+        assertTrue(RolloutGoal.version("m", "2").currentValue(silent).isEmpty());
+        assertTrue(role.currentValue(silent).isEmpty());
     }
 
     @Test
@@ -108,15 +110,16 @@
     void whatWasReadAtATakeOverIsWrittenBeforeAnyOrder() {
         RolloutSpec spec = spec("a", 1, 0.5, false);
         RolloutState old =
-                RolloutState.begun(spec, 1).step("t1", new RolloutStep("1", StepState.ORDERED));
-        RolloutBoard next = RolloutBoard.of(2, BOUNDS, List.of(old), nowNanos);
+                RolloutState.initial(spec, 1)
+                        .withStep("t1", new RolloutStep("1", StepState.ORDERED));
+        RolloutPlanner next = RolloutPlanner.of(2, BOUNDS, List.of(old), nowNanos);
         nowNanos += Duration.ofSeconds(2).toNanos();
         next.plan(List.of(spec), List.of(view("t1", "2"), view("t2", "1")), nowNanos);
         Rollout rollout = next.rollouts().get("r");
-        assertTrue(rollout.dirty());
-        assertEquals(List.of(), rollout.due(nowNanos));
+        assertTrue(rollout.isDirty());
+        assertEquals(List.of(), rollout.dueOrders(nowNanos));
         assertEquals(2, rollout.state().fence());
-        rollout.written();
+        rollout.onWritten();
         assertEquals(List.of("t1"), sendDue(rollout).stream().map(TargetOrder::target).toList());
     }
 
@@ -152,6 +155,6 @@
         next.onWritten(taken, 0);
         assertTrue(next.nextNumber(1).orElseThrow() > last);
         assertTrue(old.onRead(taken, 2, Duration.ofSeconds(12).toNanos()).isEmpty());
-        assertFalse(old.valid(Duration.ofSeconds(12).toNanos()));
+        assertFalse(old.isValid(Duration.ofSeconds(12).toNanos()));
     }
 }
--- a/core/src/test/java/org/sardinelift/core/outcome/CallAttemptTest.java
+++ b/core/src/test/java/org/sardinelift/core/outcome/CallAttemptTest.java
@@ -31,11 +31,11 @@
         Wire wire = new Wire(body, random);
         Caller caller = new Caller();
         wire.restart(0);
-        for (int step = 0; step < 400 && !attempt.ended(); step++) {
-            if (!attempt.attached()) {
+        for (int step = 0; step < 400 && !attempt.isEnded(); step++) {
+            if (!attempt.isAttached()) {
                 reconnect(attempt, wire, caller);
             } else if (random.nextInt(12) == 0) {
-                attempt.onDown();
+                attempt.onDisconnected();
             } else {
                 caller.take(wire.deliverOne(attempt), wire);
             }
@@ -49,10 +49,10 @@
     }
 
     private static void reconnect(CallAttempt attempt, Wire wire, Caller caller) {
-        AttemptStep step = attempt.onUp("i1");
-        assertInstanceOf(AttemptStep.Ask.class, step);
+        AttemptStep step = attempt.onConnected("i1");
+        assertInstanceOf(AttemptStep.QueryState.class, step);
         caller.take(step, wire);
-        caller.take(attempt.onAnswer(ATTEMPT, AttemptState.RUNNING), wire);
+        caller.take(attempt.onStateAnswer(ATTEMPT, AttemptState.RUNNING), wire);
     }
 
     @Property(seed = "12")
@@ -61,25 +61,26 @@
         if (head) {
             attempt.onHead(1, 200, Map.of());
         }
-        attempt.onDown();
-        AttemptStep step = attempt.onUp(answersUnknown ? "i1" : "i2");
+        attempt.onDisconnected();
+        AttemptStep step = attempt.onConnected(answersUnknown ? "i1" : "i2");
         if (answersUnknown) {
-            step = attempt.onAnswer(1, AttemptState.UNKNOWN);
+            step = attempt.onStateAnswer(1, AttemptState.UNKNOWN);
         }
         AttemptStep.Failed failed = assertInstanceOf(AttemptStep.Failed.class, step);
         assertEquals(head ? RunOutcome.RUN : RunOutcome.UNKNOWN, failed.outcome());
-        assertFalse(failed.outcome().allowsRetry(false));
+        assertFalse(failed.outcome().mayRetry(false));
     }
 
     @Example
     void onlyNotStartedAllowsASecondRunOfAnyCall() {
         CallAttempt attempt = CallAttempt.begin(1, "i1");
-        attempt.onDown();
-        attempt.onUp("i1");
+        attempt.onDisconnected();
+        attempt.onConnected("i1");
         AttemptStep.Failed failed =
                 assertInstanceOf(
-                        AttemptStep.Failed.class, attempt.onAnswer(1, AttemptState.NOT_STARTED));
-        assertTrue(failed.outcome().allowsRetry(false));
+                        AttemptStep.Failed.class,
+                        attempt.onStateAnswer(1, AttemptState.NOT_STARTED));
+        assertTrue(failed.outcome().mayRetry(false));
     }
 
     @Example
@@ -87,8 +88,8 @@
         CallAttempt attempt = CallAttempt.begin(2, "i1");
         AttemptStep step =
                 attempt.onFinish(1, 0, RunOutcome.RUN, FailureCause.NONE, "", Duration.ZERO);
-        assertInstanceOf(AttemptStep.Nothing.class, step);
-        assertFalse(attempt.ended());
+        assertInstanceOf(AttemptStep.NoAction.class, step);
+        assertFalse(attempt.isEnded());
     }
 
     /** Body frames under way to the entry, in some order, some of them lost. */
@@ -115,7 +116,7 @@
 
         AttemptStep deliverOne(CallAttempt attempt) {
             if (frames.isEmpty()) {
-                return new AttemptStep.Ask(attempt.received());
+                return new AttemptStep.QueryState(attempt.receivedBytes());
             }
             boolean crossed = random.nextInt(10) == 0;
             int number = crossed ? ATTEMPT - 1 : ATTEMPT;
@@ -144,13 +145,13 @@
         boolean whole;
 
         void take(AttemptStep step, Wire wire) {
-            if (step instanceof AttemptStep.Answered) {
+            if (step instanceof AttemptStep.ResponseHead) {
                 heads++;
-            } else if (step instanceof AttemptStep.Deliver deliver) {
+            } else if (step instanceof AttemptStep.BodyPart deliver) {
                 got.writeBytes(deliver.part());
-            } else if (step instanceof AttemptStep.Whole) {
+            } else if (step instanceof AttemptStep.Completed) {
                 whole = true;
-            } else if (step instanceof AttemptStep.Ask ask) {
+            } else if (step instanceof AttemptStep.QueryState ask) {
                 wire.restart((int) ask.offset());
             }
         }
--- a/core/src/test/java/org/sardinelift/core/outcome/RetryPolicyTest.java
+++ b/core/src/test/java/org/sardinelift/core/outcome/RetryPolicyTest.java
@@ -75,7 +75,7 @@
             if (random.nextBoolean()) {
                 budget.onFirstAttempt();
                 first++;
-            } else if (budget.tryRetry()) {
+            } else if (budget.tryAcquire()) {
                 retries++;
             }
             assertTrue(retries <= 5 + 0.2 * first + 1e-6);
--- a/core/src/test/java/org/sardinelift/core/peer/PeerBookTest.java
+++ b/core/src/test/java/org/sardinelift/core/peer/PeerBookTest.java
@@ -13,8 +13,8 @@
 class PeerBookTest {
     private static final long MILLI = 1_000_000;
 
-    private final PeerBook book =
-            PeerBook.create("self", Duration.ofMillis(600), Duration.ofSeconds(40));
+    private final PeerTable book =
+            PeerTable.create("self", Duration.ofMillis(600), Duration.ofSeconds(40));
 
     private static Peer report(String name, long incarnation, long sequence, long atMs) {
         return report(name, incarnation, sequence, atMs, OptionalLong.empty());
@@ -42,27 +42,27 @@
 
     @Test
     void anOldReportOfOneLifeIsDropped() {
-        assertEquals(PeerBook.News.JOINED, book.onReport(report("a", 1, 5, 0)));
-        assertEquals(PeerBook.News.STALE, book.onReport(report("a", 1, 5, 1)));
-        assertEquals(PeerBook.News.STALE, book.onReport(report("a", 1, 4, 1)));
-        assertEquals(PeerBook.News.KNOWN, book.onReport(report("a", 1, 6, 2)));
+        assertEquals(PeerTable.ReportResult.JOINED, book.onReport(report("a", 1, 5, 0)));
+        assertEquals(PeerTable.ReportResult.STALE, book.onReport(report("a", 1, 5, 1)));
+        assertEquals(PeerTable.ReportResult.STALE, book.onReport(report("a", 1, 4, 1)));
+        assertEquals(PeerTable.ReportResult.KNOWN, book.onReport(report("a", 1, 6, 2)));
     }
 
     @Test
     void anewLifeBeginsItsCountAnew() {
         book.onReport(report("a", 1, 500, 0));
 
-        assertEquals(PeerBook.News.JOINED, book.onReport(report("a", 2, 1, 1)));
-        assertEquals(PeerBook.News.STALE, book.onReport(report("a", 1, 501, 2)));
+        assertEquals(PeerTable.ReportResult.JOINED, book.onReport(report("a", 2, 1, 1)));
+        assertEquals(PeerTable.ReportResult.STALE, book.onReport(report("a", 1, 501, 2)));
     }
 
     @Test
     void aSilentPeerIsLostAndJoinsAgain() {
         book.onReport(report("a", 1, 1, 0));
 
-        assertEquals(1, book.live(PeerRole.WORKER, 599 * MILLI).count());
-        assertEquals(0, book.live(PeerRole.WORKER, 600 * MILLI).count());
-        assertEquals(PeerBook.News.JOINED, book.onReport(report("a", 1, 2, 700)));
+        assertEquals(1, book.livePeers(PeerRole.WORKER, 599 * MILLI).count());
+        assertEquals(0, book.livePeers(PeerRole.WORKER, 600 * MILLI).count());
+        assertEquals(PeerTable.ReportResult.JOINED, book.onReport(report("a", 1, 2, 700)));
     }
 
     @Test
@@ -72,7 +72,7 @@
         assertFalse(book.onAddress("self", "10.0.0.1", 7000, 0));
 
         assertEquals(1, book.all().size());
-        assertEquals(0, book.live(PeerRole.GATEWAY, 0).count());
+        assertEquals(0, book.livePeers(PeerRole.GATEWAY, 0).count());
     }
 
     @Test
@@ -91,16 +91,16 @@
         book.onReport(report("b", 1, 1, 0));
         book.onReport(report("c", 1, 1, 0));
 
-        assertEquals("b", book.inOrder(PeerRole.WORKER, "zone-b", 1, 0).get(0).name());
-        assertEquals(3, book.inOrder(PeerRole.WORKER, "zone-b", 1, 0).size());
+        assertEquals("b", book.inPreferenceOrder(PeerRole.WORKER, "zone-b", 1, 0).get(0).name());
+        assertEquals(3, book.inPreferenceOrder(PeerRole.WORKER, "zone-b", 1, 0).size());
     }
 
     @Test
     void silentPeersAreForgottenInTheEnd() {
         book.onReport(report("a", 1, 1, 0));
 
-        assertEquals(List.of(), book.forgetSilent(39_999 * MILLI));
-        assertEquals(List.of("a"), book.forgetSilent(40_000 * MILLI));
+        assertEquals(List.of(), book.removeSilent(39_999 * MILLI));
+        assertEquals(List.of("a"), book.removeSilent(40_000 * MILLI));
     }
 
     private boolean isReadByOther(String zone, long atMs) {
@@ -188,29 +188,32 @@
 
     @Test
     void aSilentPeerIsMissedUntilItIsForgotten() {
-        assertTrue(book.hearsAll(PeerRole.WORKER, 0));
+        assertTrue(book.isEveryPeerLive(PeerRole.WORKER, 0));
         book.onReport(report("a", 1, 1, 0));
         book.onReport(report("b", 1, 1, 0));
         book.onReport(report("b", 1, 2, 700));
 
-        assertTrue(book.hearsAll(PeerRole.WORKER, 599 * MILLI));
-        assertFalse(book.hearsAll(PeerRole.WORKER, 700 * MILLI));
-        assertTrue(book.hearsAll(PeerRole.GATEWAY, 700 * MILLI));
+        assertTrue(book.isEveryPeerLive(PeerRole.WORKER, 599 * MILLI));
+        assertFalse(book.isEveryPeerLive(PeerRole.WORKER, 700 * MILLI));
+        assertTrue(book.isEveryPeerLive(PeerRole.GATEWAY, 700 * MILLI));
 
-        book.forgetSilent(40_100 * MILLI);
+        book.removeSilent(40_100 * MILLI);
         book.onReport(report("b", 1, 3, 40_100));
-        assertTrue(book.hearsAll(PeerRole.WORKER, 40_100 * MILLI));
+        assertTrue(book.isEveryPeerLive(PeerRole.WORKER, 40_100 * MILLI));
     }
 
     @Test
     void theLastOfARoleIsAlone() {
-        assertEquals(PeerBook.Succession.ALONE, book.succession(PeerRole.WORKER, 0));
+        assertEquals(PeerTable.SuccessorState.NONE, book.successorState(PeerRole.WORKER, 0));
         book.onReport(inZone("a-gateway", PeerRole.GATEWAY, "here", false));
-        assertEquals(PeerBook.Succession.ALONE, book.succession(PeerRole.WORKER, 0));
+        assertEquals(PeerTable.SuccessorState.NONE, book.successorState(PeerRole.WORKER, 0));
 
         book.onReport(inZone("z-worker", PeerRole.WORKER, "here", false));
-        assertEquals(PeerBook.Succession.SECURED, book.succession(PeerRole.WORKER, 599 * MILLI));
-        assertEquals(PeerBook.Succession.ALONE, book.succession(PeerRole.WORKER, 600 * MILLI));
+        assertEquals(
+                PeerTable.SuccessorState.PRESENT,
+                book.successorState(PeerRole.WORKER, 599 * MILLI));
+        assertEquals(
+                PeerTable.SuccessorState.NONE, book.successorState(PeerRole.WORKER, 600 * MILLI));
     }
 
     /** One that has gone already still shows as about to go for a while. */
@@ -218,14 +221,14 @@
     void anInstanceThatIsAboutToGoIsNoSuccessor() {
         book.onReport(inZone("a-worker", PeerRole.WORKER, "here", true));
 
-        assertEquals(PeerBook.Succession.AWAITED, book.succession(PeerRole.WORKER, 0));
+        assertEquals(PeerTable.SuccessorState.PENDING, book.successorState(PeerRole.WORKER, 0));
     }
 
     @Test
     void ofThoseAboutToGoTheFirstStays() {
         book.onReport(inZone("z-worker", PeerRole.WORKER, "here", true));
 
-        assertEquals(PeerBook.Succession.ALONE, book.succession(PeerRole.WORKER, 0));
+        assertEquals(PeerTable.SuccessorState.NONE, book.successorState(PeerRole.WORKER, 0));
     }
 
     @Test
--- a/core/src/test/java/org/sardinelift/core/plan/ServingPlanTest.java
+++ b/core/src/test/java/org/sardinelift/core/plan/ServingPlanTest.java
@@ -37,9 +37,9 @@
                             route("short", "a.example", "/x/"),
                             route("long", "a.example", "/x/y/"),
                             route("other", "b.example", "/")),
-                    List.of(new TeamAllowance("t", 5, 5)),
+                    List.of(new TeamRateLimit("t", 5, 5)),
                     Map.of("key", "t"),
-                    new CallerBounds(1, 2, Duration.ZERO, Duration.ZERO));
+                    new RequestLimits(1, 2, Duration.ZERO, Duration.ZERO));
 
     private String found(String host, String path) {
         return plan.route(host, path).map(RoutePlan::name).orElse("none");
@@ -65,7 +65,7 @@
 
         long first =
                 LongStream.range(0, 1_000)
-                        .filter(draw -> route.service(draw).orElseThrow().equals("s1"))
+                        .filter(draw -> route.selectService(draw).orElseThrow().equals("s1"))
                         .count();
 
         assertEquals(900, first);
--- a/core/src/test/java/org/sardinelift/core/plan/TargetRollTest.java
+++ b/core/src/test/java/org/sardinelift/core/plan/TargetRollTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 class TargetRollTest {
-    private final TargetRoll roll = TargetRoll.empty();
+    private final TargetRegistry roll = TargetRegistry.empty();
 
-    private static TargetEntry entry(String id, boolean leaving) {
-        return new TargetEntry(id, "s", "10.0.0.1", 80, "z", 8, leaving, 1);
+    private static RegisteredTarget entry(String id, boolean leaving) {
+        return new RegisteredTarget(id, "s", "10.0.0.1", 80, "z", 8, leaving, 1);
     }
 
     @Test
@@ -20,8 +20,8 @@
         roll.apply(List.of(entry("a", false), entry("b", false)), Set.of(), 5, false);
         roll.apply(List.of(entry("b", true)), Set.of(), 6, false);
 
-        assertEquals(Set.of("b"), roll.entries().keySet());
-        assertTrue(roll.entries().get("b").leaving());
+        assertEquals(Set.of("b"), roll.targets().keySet());
+        assertTrue(roll.targets().get("b").isLeaving());
     }
 
     @Test
@@ -29,7 +29,7 @@
         roll.apply(List.of(entry("a", true)), Set.of(), 6, false);
 
         assertFalse(roll.apply(List.of(entry("a", false)), Set.of(), 5, false));
-        assertTrue(roll.entries().get("a").leaving());
+        assertTrue(roll.targets().get("a").isLeaving());
     }
 
     @Test
@@ -37,11 +37,11 @@
         roll.apply(List.of(entry("a", false), entry("b", false)), Set.of(), 5, false);
 
         roll.apply(List.of(entry("b", true)), Set.of(), 6, true);
-        assertEquals(Set.of("a", "b"), roll.entries().keySet());
-        assertTrue(roll.entries().get("b").leaving());
+        assertEquals(Set.of("a", "b"), roll.targets().keySet());
+        assertTrue(roll.targets().get("b").isLeaving());
 
         roll.apply(List.of(entry("b", true)), Set.of(), 7, false);
-        assertEquals(Set.of("b"), roll.entries().keySet());
+        assertEquals(Set.of("b"), roll.targets().keySet());
     }
 
     @Test
@@ -50,6 +50,6 @@
 
         roll.apply(List.of(), Set.of("a"), 6, true);
 
-        assertEquals(Set.of(), roll.entries().keySet());
+        assertEquals(Set.of(), roll.targets().keySet());
     }
 }
--- a/core/src/test/java/org/sardinelift/core/poison/CrashLedgerTest.java
+++ b/core/src/test/java/org/sardinelift/core/poison/CrashLedgerTest.java
@@ -56,59 +56,59 @@
     @Example
     void theSameDeathReportedTwiceCountsOnce() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
-        ledger.onDeath("f", "t1#1", false, 0);
-        ledger.onDeath("f", "t1#1", true, 1);
-        assertEquals(Standing.SUSPECT, ledger.standing("f", 50));
+        ledger.onTargetDeath("f", "t1#1", false, 0);
+        ledger.onTargetDeath("f", "t1#1", true, 1);
+        assertEquals(CrashVerdict.SUSPECT, ledger.verdict("f", 50));
     }
 
     @Example
     void theDeathOfATargetWithASingleSuspectSettlesIt() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
-        ledger.onDeath("f", "t1#1", false, 0);
-        ledger.onDeath("g", "t1#1", false, 0);
-        ledger.onDeath("f", "t2#1", true, 10);
-        ledger.onDeath("h", "t2#1", false, 10);
-        assertEquals(Standing.SUSPECT, ledger.standing("f", 11));
-        assertEquals(Standing.REFUSED, ledger.standing("f", 15));
-        assertEquals(Standing.SUSPECT, ledger.standing("g", 15));
-        assertEquals(Standing.SUSPECT, ledger.standing("h", 15));
+        ledger.onTargetDeath("f", "t1#1", false, 0);
+        ledger.onTargetDeath("g", "t1#1", false, 0);
+        ledger.onTargetDeath("f", "t2#1", true, 10);
+        ledger.onTargetDeath("h", "t2#1", false, 10);
+        assertEquals(CrashVerdict.SUSPECT, ledger.verdict("f", 11));
+        assertEquals(CrashVerdict.REFUSED, ledger.verdict("f", 15));
+        assertEquals(CrashVerdict.SUSPECT, ledger.verdict("g", 15));
+        assertEquals(CrashVerdict.SUSPECT, ledger.verdict("h", 15));
     }
 
     @Example
     void aSuspectIsNotBlamedWhereAnotherWasOnTheSameTarget() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
-        ledger.onDeath("good", "t1#1", false, 0);
-        ledger.onDeath("bad", "t1#1", false, 0);
-        ledger.onDeath("good", "t2#1", true, 10);
-        ledger.onDeath("bad", "t2#1", false, 11);
-        assertEquals(Standing.SUSPECT, ledger.standing("good", 20));
+        ledger.onTargetDeath("good", "t1#1", false, 0);
+        ledger.onTargetDeath("bad", "t1#1", false, 0);
+        ledger.onTargetDeath("good", "t2#1", true, 10);
+        ledger.onTargetDeath("bad", "t2#1", false, 11);
+        assertEquals(CrashVerdict.SUSPECT, ledger.verdict("good", 20));
     }
 
     @Example
     void noSuspectIsRunBeforeTheEvidenceHasSettled() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
-        ledger.onDeath("f", "t1#1", false, 0);
-        assertFalse(ledger.tryTrial("f", "t2", 0, 4));
-        assertTrue(ledger.tryTrial("f", "t2", 0, 5));
-        assertFalse(ledger.tryTrial("f", "t3", 0, 5));
-        assertFalse(ledger.tryTrial("g", "t2", 0, 5));
+        ledger.onTargetDeath("f", "t1#1", false, 0);
+        assertFalse(ledger.tryStartTrial("f", "t2", 0, 4));
+        assertTrue(ledger.tryStartTrial("f", "t2", 0, 5));
+        assertFalse(ledger.tryStartTrial("f", "t3", 0, 5));
+        assertFalse(ledger.tryStartTrial("g", "t2", 0, 5));
     }
 
     @Example
     void noTrialOnceTheEvidenceHasSettledAgainstTheRequest() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
-        ledger.onDeath("f", "t1#1", false, 0);
-        ledger.onDeath("f", "t2#1", false, 1);
-        assertEquals(Standing.SUSPECT, ledger.standing("f", 5));
-        assertFalse(ledger.tryTrial("f", "t3", 0, 6));
+        ledger.onTargetDeath("f", "t1#1", false, 0);
+        ledger.onTargetDeath("f", "t2#1", false, 1);
+        assertEquals(CrashVerdict.SUSPECT, ledger.verdict("f", 5));
+        assertFalse(ledger.tryStartTrial("f", "t3", 0, 6));
     }
 
     @Example
     void aRefusalEndsAfterItsTime() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
         ledger.onRefused("f", 500);
-        assertEquals(Standing.REFUSED, ledger.standing("f", 499));
-        assertEquals(Standing.CLEAR, ledger.standing("f", 500));
+        assertEquals(CrashVerdict.REFUSED, ledger.verdict("f", 499));
+        assertEquals(CrashVerdict.CLEAR, ledger.verdict("f", 500));
     }
 
     @Property(seed = "52")
@@ -116,9 +116,9 @@
         CrashLedger ledger = CrashLedger.of(BOUNDS);
         ledger.onRefused("bad", 10_000);
         for (int i = 0; i < 100; i++) {
-            ledger.onDeath("f" + random.nextInt(50), "t" + i, false, 0);
+            ledger.onTargetDeath("f" + random.nextInt(50), "t" + i, false, 0);
         }
-        assertEquals(Standing.REFUSED, ledger.standing("bad", 1));
+        assertEquals(CrashVerdict.REFUSED, ledger.verdict("bad", 1));
     }
 
     /** Targets that run several calls at once; concurrent copies go to the same target. */
@@ -159,17 +159,17 @@
         }
 
         private void start(String call) {
-            Standing standing = ledger.standing(call, nowMs);
-            if (standing == Standing.REFUSED) {
+            CrashVerdict standing = ledger.verdict(call, nowMs);
+            if (standing == CrashVerdict.REFUSED) {
                 refused++;
                 return;
             }
             int target = Math.floorMod(call.hashCode(), TARGETS);
-            if (standing == Standing.CLEAR && spread && random.nextBoolean()) {
+            if (standing == CrashVerdict.CLEAR && spread && random.nextBoolean()) {
                 target = (target + 1) % TARGETS;
             }
-            if (standing == Standing.SUSPECT) {
-                if (!ledger.tryTrial(call, "t" + target, 0, nowMs)) {
+            if (standing == CrashVerdict.SUSPECT) {
+                if (!ledger.tryStartTrial(call, "t" + target, 0, nowMs)) {
                     waiting.add(call);
                     return;
                 }
@@ -198,7 +198,7 @@
             Set<String> suspects = Set.copyOf(trials.getOrDefault(target, Set.of()));
             for (String call : lost) {
                 settle(target, call);
-                ledger.onDeath(call, "life" + lives, suspects.contains(call), nowMs);
+                ledger.onTargetDeath(call, "life" + lives, suspects.contains(call), nowMs);
                 waiting.addFirst(call);
             }
             takeBack(Set.copyOf(lost));
--- a/core/src/test/java/org/sardinelift/core/poison/DeathTallyTest.java
+++ b/core/src/test/java/org/sardinelift/core/poison/TargetDeathCounterTest.java
@@ -6,33 +6,33 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class DeathTallyTest {
-    private final DeathTally tally = DeathTally.create(3, Duration.ofNanos(100), 2);
+class TargetDeathCounterTest {
+    private final TargetDeathCounter tally = TargetDeathCounter.create(3, Duration.ofNanos(100), 2);
 
     @Test
     void aRequestIsRefusedAfterItsThirdTarget() {
-        tally.onDeath(1, "a", 0);
-        tally.onDeath(1, "b", 0);
+        tally.onTargetDeath(1, "a", 0);
+        tally.onTargetDeath(1, "b", 0);
         assertFalse(tally.isRefused(1, 0));
 
-        tally.onDeath(1, "c", 0);
+        tally.onTargetDeath(1, "c", 0);
         assertTrue(tally.isRefused(1, 0));
     }
 
     @Test
     void oneDeathThatSeveralReportCountsOnce() {
-        assertTrue(tally.onDeath(1, "a", 0));
-        assertFalse(tally.onDeath(1, "a", 1));
-        tally.onDeath(1, "a", 2);
+        assertTrue(tally.onTargetDeath(1, "a", 0));
+        assertFalse(tally.onTargetDeath(1, "a", 1));
+        tally.onTargetDeath(1, "a", 2);
 
         assertFalse(tally.isRefused(1, 2));
     }
 
     @Test
     void deathsLongAgoDoNotCount() {
-        tally.onDeath(1, "a", 0);
-        tally.onDeath(1, "b", 50);
-        tally.onDeath(1, "c", 90);
+        tally.onTargetDeath(1, "a", 0);
+        tally.onTargetDeath(1, "b", 50);
+        tally.onTargetDeath(1, "c", 90);
 
         assertTrue(tally.isRefused(1, 99));
         assertFalse(tally.isRefused(1, 100));
@@ -40,11 +40,11 @@
 
     @Test
     void memoryIsBounded() {
-        tally.onDeath(1, "a", 0);
-        tally.onDeath(1, "b", 0);
-        tally.onDeath(2, "a", 0);
-        tally.onDeath(3, "a", 0);
-        tally.onDeath(1, "c", 0);
+        tally.onTargetDeath(1, "a", 0);
+        tally.onTargetDeath(1, "b", 0);
+        tally.onTargetDeath(2, "a", 0);
+        tally.onTargetDeath(3, "a", 0);
+        tally.onTargetDeath(1, "c", 0);
 
         assertFalse(tally.isRefused(1, 0));
     }
--- a/core/src/test/java/org/sardinelift/core/quota/FleetQuotaTest.java
+++ b/core/src/test/java/org/sardinelift/core/quota/FleetQuotaTest.java
@@ -13,12 +13,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.core.plan.TeamAllowance;
+import org.sardinelift.core.plan.TeamRateLimit;
 
 /** Gateways in virtual time that count a team's calls together. */
 class FleetQuotaTest {
     private static final long MILLI = 1_000_000;
-    private static final TeamAllowance TEAM = new TeamAllowance("t", 24, 24);
+    private static final TeamRateLimit TEAM = new TeamRateLimit("t", 24, 24);
 
     /** What the platform allows beyond rate and burst in each window. */
     private static final int WINDOW_SECONDS = 5;
@@ -31,17 +31,17 @@
         private final List<Long> admittedAtMs = new ArrayList<>();
         private final int[] group;
         private final Random random;
-        private final TeamAllowance team;
+        private final TeamRateLimit team;
         private long refused;
 
-        Fleet(int size, TeamAllowance team, long seed) {
+        Fleet(int size, TeamRateLimit team, long seed) {
             this.team = team;
             this.group = new int[size];
             this.random = new Random(seed);
             QuotaBounds bounds = new QuotaBounds(Duration.ofMillis(600), Duration.ofSeconds(2));
             for (int i = 0; i < size; i++) {
                 FleetQuota quota = FleetQuota.create(bounds, 0);
-                quota.plan(Map.of(team.name(), team), 0);
+                quota.updateTeams(Map.of(team.name(), team), 0);
                 gateways.add(quota);
             }
         }
@@ -70,7 +70,7 @@
 
         private void report(long ms) {
             for (int from = 0; from < gateways.size(); from++) {
-                Map<String, Long> counts = Map.copyOf(gateways.get(from).admitted());
+                Map<String, Long> counts = Map.copyOf(gateways.get(from).admittedCounts());
                 for (int to = 0; to < gateways.size(); to++) {
                     if (from != to && group[from] == group[to]) {
                         gateways.get(to).onReport("g" + from, 1, ms * MILLI, counts, ms * MILLI);
@@ -93,7 +93,7 @@
         }
     }
 
-    private static double allowed(TeamAllowance team) {
+    private static double allowed(TeamRateLimit team) {
         return (team.ratePerSecond() * WINDOW_SECONDS + team.burst()) * (1 + OVERRUN) + SLACK;
     }
 
@@ -177,7 +177,7 @@
     void aRestartedPeerIsCountedFromItsStart() {
         QuotaBounds bounds = new QuotaBounds(Duration.ofMillis(600), Duration.ofSeconds(2));
         FleetQuota quota = FleetQuota.create(bounds, 0);
-        quota.plan(Map.of("t", TEAM), 0);
+        quota.updateTeams(Map.of("t", TEAM), 0);
         long now = 3_000 * MILLI;
         quota.onReport("g", 1, now, Map.of("t", 500L), now);
         quota.onReport("g", 2, MILLI, Map.of("t", 20L), now);
@@ -192,7 +192,7 @@
         FleetQuota quota =
                 FleetQuota.create(
                         new QuotaBounds(Duration.ofMillis(600), Duration.ofSeconds(2)), 0);
-        quota.plan(Map.of("t", TEAM), 0);
+        quota.updateTeams(Map.of("t", TEAM), 0);
 
         long wait = quota.tryAdmit(TEAM, 0);
 
@@ -204,8 +204,8 @@
     void aLowerRateHoldsAtOnce() {
         Fleet fleet = new Fleet(2, TEAM, 5);
         fleet.run(0, 3_000, 0, 2);
-        TeamAllowance less = new TeamAllowance("t", 2, 2);
-        fleet.gateways.forEach(quota -> quota.plan(Map.of("t", less), 3_000 * MILLI));
+        TeamRateLimit less = new TeamRateLimit("t", 2, 2);
+        fleet.gateways.forEach(quota -> quota.updateTeams(Map.of("t", less), 3_000 * MILLI));
 
         long admitted =
                 IntStream.range(0, 50)
--- a/core/src/test/java/org/sardinelift/core/route/EjectionTest.java
+++ b/core/src/test/java/org/sardinelift/core/route/EjectionTest.java
@@ -26,14 +26,14 @@
             long early = now + pause - 1 - random.nextInt((int) pause - 1);
             assertEquals(Ejection.Admission.OUT, ejection.admission(early));
             now += pause;
-            assertTrue(ejection.startProbe(now));
-            assertFalse(ejection.startProbe(now));
+            assertTrue(ejection.tryStartProbe(now));
+            assertFalse(ejection.tryStartProbe(now));
             assertEquals(Ejection.Admission.OUT, ejection.admission(now));
             ejection.onFailure(now);
             pause = Math.min(LONGEST, pause * 2);
         }
         now += pause;
-        assertTrue(ejection.startProbe(now));
+        assertTrue(ejection.tryStartProbe(now));
         ejection.onSuccess();
         assertEquals(Ejection.Admission.IN, ejection.admission(now));
     }
@@ -51,8 +51,8 @@
     void aProbeThatTellsNothingMakesRoomForAnother() {
         Ejection ejection = Ejection.of(1, FIRST, LONGEST);
         ejection.onFailure(0);
-        assertTrue(ejection.startProbe(FIRST));
-        ejection.onProbeVoid();
-        assertTrue(ejection.startProbe(FIRST));
+        assertTrue(ejection.tryStartProbe(FIRST));
+        ejection.onProbeInconclusive();
+        assertTrue(ejection.tryStartProbe(FIRST));
     }
 }
--- a/core/src/test/java/org/sardinelift/core/route/RouterTest.java
+++ b/core/src/test/java/org/sardinelift/core/route/RouterTest.java
@@ -37,18 +37,18 @@
                 ROUTER.choose(candidates, request("m1", "a" + random.nextInt()));
         chosen.ifPresent(
                 target -> {
-                    assertTrue(target.usable());
+                    assertTrue(target.isUsable());
                     assertEquals("s", target.service());
-                    assertTrue(target.serves("m1"));
+                    assertTrue(target.canServe("m1"));
                     assertFalse(target.admission() == Ejection.Admission.OUT);
                 });
         boolean any =
                 candidates.stream()
                         .anyMatch(
                                 target ->
-                                        target.usable()
+                                        target.isUsable()
                                                 && target.service().equals("s")
-                                                && target.serves("m1")
+                                                && target.canServe("m1")
                                                 && target.admission() != Ejection.Admission.OUT);
         assertEquals(any, chosen.isPresent());
     }
--- a/core/src/test/java/org/sardinelift/core/route/RoutingComparisonTest.java
+++ b/core/src/test/java/org/sardinelift/core/route/RoutingComparisonTest.java
@@ -55,7 +55,7 @@
 
     private static String leastReported(RoutingModel.Snapshot seen) {
         return seen.candidates().stream()
-                .min(Comparator.comparingInt(Candidate::reported))
+                .min(Comparator.comparingInt(Candidate::reportedCalls))
                 .orElseThrow()
                 .name();
     }
--- a/core/src/test/java/org/sardinelift/core/stream/EventReaderTest.java
+++ b/core/src/test/java/org/sardinelift/core/stream/EventReaderTest.java
@@ -22,72 +22,72 @@
 
     @Test
     void holdsBackAPartOfAnEvent() {
-        EventReader reader = EventReader.fromStart();
+        EventStreamParser reader = EventStreamParser.fromStart();
 
-        assertEquals(List.of(), reader.read(bytes("id: 1\ndata: a")));
-        assertTrue(reader.isWithinEvent());
-        List<StreamEvent> events = reader.read(bytes("b\n\nid: 2\n"));
+        assertEquals(List.of(), reader.parse(bytes("id: 1\ndata: a")));
+        assertTrue(reader.hasPartialEvent());
+        List<StreamEvent> events = reader.parse(bytes("b\n\nid: 2\n"));
 
         assertEquals(1, events.size());
         assertEquals("ab", events.get(0).data());
-        assertArrayEquals(bytes("id: 1\ndata: ab\n\n"), events.get(0).raw());
-        assertTrue(reader.isWithinEvent());
+        assertArrayEquals(bytes("id: 1\ndata: ab\n\n"), events.get(0).rawBytes());
+        assertTrue(reader.hasPartialEvent());
     }
 
     @Test
     void joinsDataLinesAndPassesOtherLinesOn() {
-        EventReader reader = EventReader.fromStart();
+        EventStreamParser reader = EventStreamParser.fromStart();
 
         List<StreamEvent> events =
-                reader.read(bytes("x-versions: 3\nid: 7\ndata: a\ndata: b\r\n\r\n"));
+                reader.parse(bytes("x-versions: 3\nid: 7\ndata: a\ndata: b\r\n\r\n"));
 
         assertEquals("a\nb", events.get(0).data());
         assertEquals(7, events.get(0).id());
-        assertFalse(reader.isWithinEvent());
+        assertFalse(reader.hasPartialEvent());
     }
 
     @Test
     void aStreamThatGoesOnMustGoOnWhereItStopped() {
-        EventReader reader = EventReader.after(4);
+        EventStreamParser reader = EventStreamParser.resumingAfter(4);
 
-        assertEquals(1, reader.read(bytes("id: 5\ndata: a\n\n")).size());
-        assertEquals(0, reader.read(bytes("id: 7\ndata: a\n\n")).size());
+        assertEquals(1, reader.parse(bytes("id: 5\ndata: a\n\n")).size());
+        assertEquals(0, reader.parse(bytes("id: 7\ndata: a\n\n")).size());
         assertEquals("event 7 follows event 5", reader.fault().orElseThrow());
         assertEquals(5, reader.lastId().orElseThrow());
     }
 
     @Test
     void aRepeatedEventIsAFault() {
-        EventReader reader = EventReader.after(4);
+        EventStreamParser reader = EventStreamParser.resumingAfter(4);
 
-        assertEquals(0, reader.read(bytes("id: 4\ndata: a\n\n")).size());
+        assertEquals(0, reader.parse(bytes("id: 4\ndata: a\n\n")).size());
         assertTrue(reader.fault().isPresent());
     }
 
     @Test
     void anEventWithoutANumberIsAFault() {
-        EventReader reader = EventReader.fromStart();
+        EventStreamParser reader = EventStreamParser.fromStart();
 
-        assertEquals(0, reader.read(bytes("data: a\n\n")).size());
+        assertEquals(0, reader.parse(bytes("data: a\n\n")).size());
         assertEquals("an event has no number", reader.fault().orElseThrow());
     }
 
     @Test
     void bytesThatAreNoTextAreAFault() {
-        EventReader reader = EventReader.fromStart();
+        EventStreamParser reader = EventStreamParser.fromStart();
         byte[] event = bytes("id: 1\ndata: abc\n\n");
         event[12] = (byte) 0xff;
 
-        assertEquals(0, reader.read(event).size());
+        assertEquals(0, reader.parse(event).size());
         assertEquals("an event is not UTF-8", reader.fault().orElseThrow());
     }
 
     @Test
     void nothingIsTakenAfterAFault() {
-        EventReader reader = EventReader.fromStart();
+        EventStreamParser reader = EventStreamParser.fromStart();
 
-        assertEquals(0, reader.read(bytes("data: a\n\nid: 1\ndata: b\n\n")).size());
-        assertEquals(0, reader.read(bytes("id: 2\ndata: b\n\n")).size());
+        assertEquals(0, reader.parse(bytes("data: a\n\nid: 1\ndata: b\n\n")).size());
+        assertEquals(0, reader.parse(bytes("id: 2\ndata: b\n\n")).size());
     }
 
     @Property(tries = 200)
@@ -100,18 +100,18 @@
             stream.writeBytes(bytes("\n\n"));
         }
         byte[] whole = stream.toByteArray();
-        EventReader reader = EventReader.fromStart();
+        EventStreamParser reader = EventStreamParser.fromStart();
         List<StreamEvent> events = new ArrayList<>();
         int from = 0;
         while (from < whole.length) {
             int to = Math.min(whole.length, from + 1 + random.nextInt(25));
-            events.addAll(reader.read(Arrays.copyOfRange(whole, from, to)));
+            events.addAll(reader.parse(Arrays.copyOfRange(whole, from, to)));
             from = to;
         }
 
         assertEquals(count, events.size());
         ByteArrayOutputStream passed = new ByteArrayOutputStream();
-        events.forEach(event -> passed.writeBytes(event.raw()));
+        events.forEach(event -> passed.writeBytes(event.rawBytes()));
         assertArrayEquals(whole, passed.toByteArray());
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryMetrics.java
@@ -35,7 +35,7 @@
     static void targets(List<Candidate> targets) {
         long usable =
                 targets.stream()
-                        .filter(Candidate::usable)
+                        .filter(Candidate::isUsable)
                         .filter(target -> target.admission() == Ejection.Admission.IN)
                         .count();
         TARGETS.set(usable);
@@ -44,8 +44,8 @@
 
     static void jobs(List<JobStatus> jobs) {
         JOBS.set(jobs.size());
-        JOBS_LATE.set(jobs.stream().filter(JobStatus::late).count());
-        ITEMS.set(jobs.stream().mapToInt(JobStatus::open).sum());
+        JOBS_LATE.set(jobs.stream().filter(JobStatus::isLate).count());
+        ITEMS.set(jobs.stream().mapToInt(JobStatus::openItems).sum());
     }
 
     private static Gauge gauge(String name, String help) {
--- a/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
@@ -34,7 +34,7 @@
     private final EventLoopGroup group;
     private final EntryServices services;
     private final CompletableFuture<Void> drained = new CompletableFuture<>();
-    private final CompletableFuture<Void> drainAsked = new CompletableFuture<>();
+    private final CompletableFuture<Void> drainRequested = new CompletableFuture<>();
     private final FrameServer peerServer;
     private final HttpServer callers;
     private final HttpServer operators;
@@ -148,13 +148,13 @@
      *
      * @return completes once a drain is asked for
      */
-    public CompletableFuture<Void> drainAsked() {
-        return drainAsked;
+    public CompletableFuture<Void> drainRequested() {
+        return drainRequested;
     }
 
     private void askDrain() {
         drain();
-        drainAsked.complete(null);
+        drainRequested.complete(null);
     }
 
     private void startDrain() {
--- a/entry/src/main/java/org/sardinelift/entry/EntryServices.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryServices.java
@@ -20,8 +20,8 @@
 import org.sardinelift.core.explain.DecisionAction;
 import org.sardinelift.core.explain.DecisionLog;
 import org.sardinelift.core.explain.DecisionRecorder;
+import org.sardinelift.core.explain.TeamRequestCounter;
 import org.sardinelift.core.explain.TeamStatus;
-import org.sardinelift.core.explain.TeamTally;
 import org.sardinelift.core.limit.MemberId;
 import org.sardinelift.core.order.TargetView;
 import org.sardinelift.entry.batch.BatchHttp;
@@ -86,7 +86,7 @@
     private final FrameDispatcher dispatcher;
     private final RunningCalls calls;
     private final DecisionRecorder decisions;
-    private final TeamTally tally = TeamTally.create();
+    private final TeamRequestCounter tally = TeamRequestCounter.create();
     private final CompanionDesk companions = new CompanionDesk();
     private final Explainer explainer;
     private final ShareWatch shares;
@@ -199,7 +199,7 @@
         membership.start();
         guard.onSuspect(dispatcher::takeBack);
         guard.start(control);
-        control.repeat(settings.orders().period(), orders::look);
+        control.repeat(settings.orders().pollInterval(), orders::look);
         control.repeat(METRICS_INTERVAL, this::measure);
     }
 
@@ -320,7 +320,7 @@
     }
 
     private List<TeamStatus> teamStatus() {
-        return TeamStatus.all(
+        return TeamStatus.ofActiveTeams(
                 config.catalog().teams(),
                 tally.traffic(System.nanoTime()),
                 dispatcher.callsByTeam(false),
--- a/entry/src/main/java/org/sardinelift/entry/EntrySettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntrySettings.java
@@ -146,17 +146,17 @@
         return new ConfigTimings(
                 millis(node, "watchWaitMs", standard.watchWait()),
                 millis(node, "callTimeoutMs", standard.callTimeout()),
-                millis(node, "retryMs", standard.retry()),
+                millis(node, "retryMs", standard.retryPause()),
                 millis(node, "watchPauseMs", standard.watchPause()),
-                millis(node, "gossipMs", standard.gossip()),
-                millis(node, "behindBoundMs", standard.behindBound()),
-                millis(node, "isolationMs", standard.isolation()));
+                millis(node, "gossipMs", standard.gossipInterval()),
+                millis(node, "behindBoundMs", standard.relistDelay()),
+                millis(node, "isolationMs", standard.isolationTimeout()));
     }
 
     private static MembershipTimings membership(SettingsNode node) {
         MembershipTimings standard = MembershipTimings.defaults();
         return new MembershipTimings(
-                millis(node, "pollMs", standard.poll()),
+                millis(node, "pollMs", standard.pollInterval()),
                 millis(node, "goneAfterMs", standard.goneAfter()));
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchJson.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchJson.java
@@ -13,8 +13,8 @@
 import org.sardinelift.core.batch.ChunkResult;
 import org.sardinelift.core.batch.Holder;
 import org.sardinelift.core.batch.JobPhase;
-import org.sardinelift.core.batch.JobStage;
 import org.sardinelift.core.batch.JobState;
+import org.sardinelift.core.batch.RemovalStage;
 
 /** JSON form of the objects that batch work keeps in the platform. */
 public final class BatchJson {
@@ -57,7 +57,7 @@
                 node.path("createdMs").asLong(),
                 node.path("dueMs").asLong(),
                 node.path("chunkSet").asText(JobHeader.firstChunkSet(id, digest)),
-                JobStage.valueOf(node.path("stage").asText(JobStage.LIVE.name())),
+                RemovalStage.valueOf(node.path("stage").asText(RemovalStage.LIVE.name())),
                 node.path("stageMs").asLong());
     }
 
@@ -83,7 +83,7 @@
     }
 
     private static ObjectNode result(ChunkResult result) {
-        return object().put("mark", result.mark())
+        return object().put("mark", result.writeId())
                 .put("parts", result.parts())
                 .put("completed", result.completed())
                 .put("failed", result.failed())
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchService.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchService.java
@@ -9,7 +9,7 @@
 import org.sardinelift.core.batch.Holder;
 import org.sardinelift.core.batch.JobState;
 import org.sardinelift.core.batch.LaneShares;
-import org.sardinelift.core.batch.LeaseWatch;
+import org.sardinelift.core.batch.LeaseMonitor;
 import org.sardinelift.core.catalog.Catalog;
 import org.sardinelift.core.fleet.FleetView;
 import org.sardinelift.entry.call.CallDispatcher;
@@ -49,7 +49,7 @@
                         settings.storeLongestPause(),
                         settings.seed() * 31L + self.instance().hashCode());
         JobStore store = new JobStore(objects, control, backoff);
-        LeaseWatch leases = LeaseWatch.of(settings.leaseTimeout());
+        LeaseMonitor leases = LeaseMonitor.of(settings.leaseTimeout());
         LaneShares shares = LaneShares.create();
         jobs = new OpenJobs(store, settings, leases, shares, self.instance(), this::onMarker);
         lease = new LeaseKeeper(store, settings, self, this::loads, this::onRegained);
@@ -62,7 +62,10 @@
                         store,
                         settings,
                         self.instance(),
-                        () -> lease.hold().valid(control.nanos()) ? claims.eligible() : List.of());
+                        () ->
+                                lease.hold().isValid(control.nanos())
+                                        ? claims.eligible()
+                                        : List.of());
         reader = new JobReader(store, settings);
         acceptance = new JobAcceptance(store, settings, catalog, jobs, reader);
         cancel = new JobCancel(store, settings, reader, jobs);
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchSettings.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import org.sardinelift.core.batch.ChunkPacker;
-import org.sardinelift.core.batch.ItemRetry;
-import org.sardinelift.core.batch.Retention;
+import org.sardinelift.core.batch.ItemRetryPolicy;
+import org.sardinelift.core.batch.RetentionPolicy;
 import org.sardinelift.settings.SettingsNode;
 
 /**
@@ -45,7 +45,7 @@
         int maxBodyBytes,
         int maxSubmissions,
         ChunkPacker packer,
-        ItemRetry retry,
+        ItemRetryPolicy retry,
         int loadedChunks,
         int chunksPerJob,
         int resultBytes,
@@ -69,7 +69,7 @@
         String dataFolder,
         int dataBytes,
         int seed,
-        Retention retention,
+        RetentionPolicy retention,
         Duration sweepPause) {
     private static final int MB = 1_000_000;
     private static final long MS_PER_MINUTE = 60_000;
@@ -88,7 +88,7 @@
                 32 * MB,
                 2,
                 new ChunkPacker(500, 32, 900_000),
-                new ItemRetry(4, 10_000, Duration.ofMillis(200), Duration.ofSeconds(30)),
+                new ItemRetryPolicy(4, 10_000, Duration.ofMillis(200), Duration.ofSeconds(30)),
                 48,
                 4,
                 64 * MB,
@@ -112,7 +112,7 @@
                 "",
                 512 * MB,
                 1,
-                new Retention(WEEK_MINUTES * MS_PER_MINUTE, HOLD_MS),
+                new RetentionPolicy(WEEK_MINUTES * MS_PER_MINUTE, HOLD_MS),
                 Duration.ofMillis(100));
     }
 
@@ -125,7 +125,7 @@
     public static BatchSettings read(SettingsNode node) {
         BatchSettings base = defaults();
         ChunkPacker packer = base.packer();
-        ItemRetry retry = base.retry();
+        ItemRetryPolicy retry = base.retry();
         BatchSettings read =
                 new BatchSettings(
                         node.integer("maxItems", base.maxItems, 1, 1_000_000),
@@ -136,11 +136,11 @@
                                 node.integer(
                                         "chunkUnrepeatable", packer.maxUnrepeatable(), 1, 10_000),
                                 node.integer("chunkBytes", packer.maxBytes(), 1_000, 950_000)),
-                        new ItemRetry(
+                        new ItemRetryPolicy(
                                 node.integer("itemAttempts", retry.maxAttempts(), 1, 100),
                                 node.integer("itemPostponements", retry.maxPostponements(), 1, MB),
-                                millis(node, "itemPauseMs", retry.firstPause()),
-                                millis(node, "itemLongestPauseMs", retry.longestPause())),
+                                millis(node, "itemPauseMs", retry.initialBackoff()),
+                                millis(node, "itemLongestPauseMs", retry.maxBackoff())),
                         node.integer("loadedChunks", base.loadedChunks, 1, 10_000),
                         node.integer("chunksPerJob", base.chunksPerJob, 1, 10_000),
                         node.integer("resultBytes", base.resultBytes, MB, 2_000 * MB),
@@ -170,8 +170,8 @@
         return read;
     }
 
-    private static Retention retention(SettingsNode node) {
-        return new Retention(
+    private static RetentionPolicy retention(SettingsNode node) {
+        return new RetentionPolicy(
                 node.integer("retentionMinutes", WEEK_MINUTES, 1, YEAR_MINUTES) * MS_PER_MINUTE,
                 node.integer("removalHoldMs", HOLD_MS, 1_000, Integer.MAX_VALUE));
     }
@@ -191,18 +191,18 @@
                     String.valueOf(read.leaseValid.toMillis()),
                     "Lower it, so that a holder stops before others claim.");
         }
-        if (read.retention.keepMs() < 2 * read.retention.holdMs()) {
+        if (read.retention.retentionMs() < 2 * read.retention.stepDelayMs()) {
             node.error(
                     "retentionMinutes",
                     "at least twice removalHoldMs",
-                    String.valueOf(read.retention.keepMs() / MS_PER_MINUTE),
+                    String.valueOf(read.retention.retentionMs() / MS_PER_MINUTE),
                     "Raise it, so that a submission under way ends long before its removal.");
         }
     }
 
     /** Time between two steps of a job's removal. */
     Duration removalHold() {
-        return Duration.ofMillis(retention.holdMs());
+        return Duration.ofMillis(retention.stepDelayMs());
     }
 
     private static Duration millis(SettingsNode node, String name, Duration fallback) {
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchWorker.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchWorker.java
@@ -163,7 +163,7 @@
     }
 
     void drop(JobRun run) {
-        scheduler.drop(run.header().team(), run.header().id());
+        scheduler.removeJob(run.header().team(), run.header().id());
     }
 
     void loadSoon() {
@@ -235,12 +235,12 @@
 
     private void pump() {
         long now = control().nanos();
-        if (!lease.hold().allowsRepeatable(now) || scheduler.waiting() == 0) {
+        if (!lease.hold().mayStartRepeatable(now) || scheduler.waitingCount() == 0) {
             return;
         }
-        Slots slots = new Slots(lease.hold().valid(now), loads());
+        Slots slots = new Slots(lease.hold().isValid(now), loads());
         while (running < settings.maxRunning()) {
-            Optional<ItemRun> next = scheduler.next(slots::startable);
+            Optional<ItemRun> next = scheduler.dequeue(slots::startable);
             if (next.isEmpty()) {
                 return;
             }
--- a/entry/src/main/java/org/sardinelift/entry/batch/ItemReader.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ItemReader.java
@@ -119,7 +119,7 @@
         int slash = rest.indexOf('/');
         String name = slash < 0 ? rest : rest.substring(0, slash);
         ServiceSpec service = catalog.services().get(name);
-        if (service == null || service.engine() || !team.services().contains(name)) {
+        if (service == null || service.isEngine() || !team.services().contains(name)) {
             return new Line.Invalid(customId, "the team has no service " + name);
         }
         String method = node.path("method").asText();
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobAcceptance.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobAcceptance.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.sardinelift.core.batch.JobStage;
+import org.sardinelift.core.batch.RemovalStage;
 import org.sardinelift.core.catalog.Catalog;
 import org.sardinelift.core.catalog.TeamPlan;
 import org.sardinelift.core.outcome.Problem;
@@ -112,7 +112,7 @@
                 unavailable(RunOutcome.NOT_RUN);
             } else {
                 Expiry expiry =
-                        Expiry.of(header, header.createdMs() + settings.retention().keepMs());
+                        Expiry.of(header, header.createdMs() + settings.retention().retentionMs());
                 store.create(
                         expiry.key(), expiry.json(), settings.acceptAttempts(), this::onExpiry);
             }
@@ -194,7 +194,7 @@
 
         private void onExisting(StoredObject object) {
             JobHeader existing = BatchJson.header(object.value());
-            if (existing.stage() != JobStage.LIVE) {
+            if (existing.stage() != RemovalStage.LIVE) {
                 beingRemoved(object);
             } else if (existing.digest().equals(header.digest())) {
                 store.read(
@@ -239,7 +239,8 @@
                         reply -> done.accept(new Reply(OK, reply.body(), reply.retryAfter())));
             } else if (read instanceof ReadResult.Absent
                     && !settings.retention()
-                            .closing(existing.createdMs(), store.control().epochMillis())) {
+                            .isTooOldToAccept(
+                                    existing.createdMs(), store.control().epochMillis())) {
                 mark(existing, OK);
             } else {
                 unavailable(RunOutcome.UNKNOWN);
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobCancel.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobCancel.java
@@ -58,7 +58,7 @@
         }
 
         private void look(JobState state) {
-            if (state.phase().terminal()) {
+            if (state.phase().isTerminal()) {
                 answer(ended(state));
             } else if (store.control().nanos() < deadline) {
                 store.control().schedule(settings.watchPause(), () -> cell.refresh(this::look));
@@ -83,7 +83,7 @@
                     header,
                     state ->
                             answer(
-                                    state.phase().terminal()
+                                    state.phase().isTerminal()
                                             ? ended(state)
                                             : Reply.of(ACCEPTED, reader.describe(header, state))),
                     this::answer);
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobClaims.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobClaims.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
+import org.sardinelift.core.batch.EntryRendezvous;
 import org.sardinelift.core.batch.Holder;
-import org.sardinelift.core.batch.JobStage;
 import org.sardinelift.core.batch.JobState;
 import org.sardinelift.core.batch.LaneShares;
-import org.sardinelift.core.batch.LeaseWatch;
-import org.sardinelift.core.batch.Rendezvous;
+import org.sardinelift.core.batch.LeaseMonitor;
+import org.sardinelift.core.batch.RemovalStage;
 import org.sardinelift.core.fleet.FleetView;
 import org.sardinelift.core.fleet.InstanceInfo;
 import org.sardinelift.objects.ReadResult;
@@ -23,7 +23,7 @@
 final class JobClaims {
     private final JobStore store;
     private final Holder self;
-    private final LeaseWatch leases;
+    private final LeaseMonitor leases;
     private final LaneShares shares;
     private final OpenJobs jobs;
     private final BatchWorker worker;
@@ -37,7 +37,7 @@
     JobClaims(
             JobStore store,
             Holder self,
-            LeaseWatch leases,
+            LeaseMonitor leases,
             LaneShares shares,
             OpenJobs jobs,
             BatchWorker worker,
@@ -61,9 +61,9 @@
 
     /** Looks for jobs to claim; reads nothing of jobs that fall to others. */
     void look() {
-        shares.retain(leases.live(store.control().nanos()));
+        shares.retain(leases.liveInstances(store.control().nanos()));
         heldBy.keySet().retainAll(jobs.markers().keySet());
-        if (draining || !lease.hold().valid(store.control().nanos())) {
+        if (draining || !lease.hold().isValid(store.control().nanos())) {
             return;
         }
         List<String> eligible = eligible();
@@ -76,25 +76,25 @@
     }
 
     private boolean fallsHere(String job, List<String> eligible) {
-        return Rendezvous.first(job, eligible).filter(self.instance()::equals).isPresent();
+        return EntryRendezvous.choose(job, eligible).filter(self.instance()::equals).isPresent();
     }
 
     /** Entries that may take work. */
     List<String> eligible() {
         Set<String> leaving =
                 fleet.get().entries().stream()
-                        .filter(InstanceInfo::leaving)
+                        .filter(InstanceInfo::isLeaving)
                         .map(InstanceInfo::name)
                         .collect(Collectors.toSet());
-        return leases.live(store.control().nanos()).stream()
+        return leases.liveInstances(store.control().nanos()).stream()
                 .filter(instance -> !leaving.contains(instance))
                 .toList();
     }
 
     private boolean claimable(Holder holder) {
-        return !holder.present()
+        return !holder.isPresent()
                 || holder.equals(self)
-                || leases.lapsed(holder, store.control().nanos());
+                || leases.hasLapsed(holder, store.control().nanos());
     }
 
     private void claim(OpenJobs.Marker marker) {
@@ -106,7 +106,7 @@
                             read instanceof ReadResult.Found found
                                     ? Optional.of(BatchJson.header(found.object().value()))
                                     : Optional.empty();
-                    header.filter(found -> found.stage() == JobStage.LIVE)
+                    header.filter(found -> found.stage() == RemovalStage.LIVE)
                             .ifPresentOrElse(this::claim, () -> claiming.remove(marker.id()));
                 });
     }
@@ -119,11 +119,13 @@
                 current -> {
                     before[0] = current.holder().equals(self) ? before[0] : current.holder();
                     claimed[0] =
-                            !draining && !current.phase().terminal() && claimable(current.holder());
+                            !draining
+                                    && !current.phase().isTerminal()
+                                    && claimable(current.holder());
                     return claimed[0] ? current.claim(self) : current;
                 },
                 state -> {
-                    if (claimed[0] && !state.phase().terminal()) {
+                    if (claimed[0] && !state.phase().isTerminal()) {
                         decisions.claimed(header, state, before[0]);
                     }
                     onClaim(header, cell, state, claimed[0]);
@@ -136,7 +138,7 @@
 
     private void onClaim(JobHeader header, StateCell cell, JobState state, boolean claimed) {
         claiming.remove(header.id());
-        if (state.phase().terminal()) {
+        if (state.phase().isTerminal()) {
             cell.close();
             removeMarker(header.id());
         } else if (claimed) {
@@ -152,7 +154,7 @@
     /** A run is over: the job ended, or another entry holds it. */
     void ended(JobRun run, JobState state) {
         String id = run.header().id();
-        if (state.phase().terminal()) {
+        if (state.phase().isTerminal()) {
             Logger.info("{} is {}", id, state.phase().label());
             removeMarker(id);
         } else {
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobDecisions.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobDecisions.java
@@ -82,7 +82,7 @@
     }
 
     void claimed(JobHeader header, JobState state, Holder before) {
-        boolean lost = before.present() && !before.equals(state.holder());
+        boolean lost = before.isPresent() && !before.equals(state.holder());
         held.put(
                 header.id(),
                 new JobStatus(
@@ -114,13 +114,13 @@
         if (before == null) {
             return;
         }
-        JobStatus after = before.progressed(open, expectedEndMs, nowMs);
+        JobStatus after = before.withProgress(open, expectedEndMs, nowMs);
         held.put(job, after);
-        if (before.late() != after.late()) {
+        if (before.isLate() != after.isLate()) {
             note(
-                    after.late() ? DecisionAction.JOB_LATE : DecisionAction.JOB_IN_TIME,
+                    after.isLate() ? DecisionAction.JOB_LATE : DecisionAction.JOB_IN_TIME,
                     job,
-                    after.late()
+                    after.isLate()
                             ? "it is overdue or expected to end after its deadline"
                             : "it is expected to end before its deadline again",
                     Map.of(
@@ -140,7 +140,7 @@
                                 ? DecisionAction.JOB_CANCELLED
                                 : DecisionAction.JOB_GIVEN_UP;
         String reason =
-                state.phase().terminal()
+                state.phase().isTerminal()
                         ? "the job is " + state.phase().label()
                         : "another entry holds it or may claim it";
         note(action, header.id(), reason, figures(header.team(), state.counts()));
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobHeader.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobHeader.java
@@ -1,7 +1,7 @@
 package org.sardinelift.entry.batch;
 
 import java.util.List;
-import org.sardinelift.core.batch.JobStage;
+import org.sardinelift.core.batch.RemovalStage;
 import org.sardinelift.objects.ObjectKey;
 
 /**
@@ -27,7 +27,7 @@
         long createdMs,
         long dueMs,
         String chunkSet,
-        JobStage stage,
+        RemovalStage stage,
         long stageMs) {
     /** Kind of the headers; their names start with the team. */
     static final String KIND = "job";
@@ -59,7 +59,7 @@
                 createdMs,
                 dueMs,
                 firstChunkSet(id, digest) + "-" + createdMs,
-                JobStage.LIVE,
+                RemovalStage.LIVE,
                 createdMs);
     }
 
@@ -68,7 +68,7 @@
         return id + "/" + digest.substring(0, DIGEST_CHARS);
     }
 
-    JobHeader at(JobStage next, long nowMs) {
+    JobHeader at(RemovalStage next, long nowMs) {
         return new JobHeader(
                 id, team, jobKey, digest, chunkItems, createdMs, dueMs, chunkSet, next, nowMs);
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobReader.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobReader.java
@@ -11,8 +11,8 @@
 import org.sardinelift.core.batch.ChunkResult;
 import org.sardinelift.core.batch.JobCounts;
 import org.sardinelift.core.batch.JobPhase;
-import org.sardinelift.core.batch.JobStage;
 import org.sardinelift.core.batch.JobState;
+import org.sardinelift.core.batch.RemovalStage;
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.ProblemKind;
 import org.sardinelift.core.outcome.RunOutcome;
@@ -67,7 +67,7 @@
     private static Optional<JobHeader> live(ReadResult read) {
         return read instanceof ReadResult.Found object
                 ? Optional.of(BatchJson.header(object.object().value()))
-                        .filter(header -> header.stage() == JobStage.LIVE)
+                        .filter(header -> header.stage() == RemovalStage.LIVE)
                 : Optional.empty();
     }
 
@@ -123,7 +123,7 @@
                     List<JobHeader> newest =
                             listed.objects().stream()
                                     .map(object -> BatchJson.header(object.value()))
-                                    .filter(header -> header.stage() == JobStage.LIVE)
+                                    .filter(header -> header.stage() == RemovalStage.LIVE)
                                     .sorted(
                                             Comparator.comparingLong(JobHeader::createdMs)
                                                     .reversed()
@@ -184,9 +184,9 @@
     }
 
     private ObjectNode lateRisk(JobHeader header, JobState state) {
-        long expected = state.phase().terminal() ? 0 : state.expectedEndMs();
+        long expected = state.phase().isTerminal() ? 0 : state.expectedEndMs();
         long due = header.dueMs();
-        boolean overdue = !state.phase().terminal() && store.control().epochMillis() > due;
+        boolean overdue = !state.phase().isTerminal() && store.control().epochMillis() > due;
         ObjectNode node = BatchJson.object().put("late", overdue || expected > due);
         if (expected == 0) {
             node.putNull("expected_end");
@@ -262,7 +262,7 @@
             ObjectKey key =
                     result == null
                             ? header.chunk(chunk)
-                            : ResultWriter.key(header.id(), chunk, result.mark(), part);
+                            : ResultWriter.key(header.id(), chunk, result.writeId(), part);
             store.read(key, settings.acceptAttempts(), read -> onRead(read, result == null));
         }
 
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobRemoval.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobRemoval.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import org.sardinelift.core.batch.JobStage;
 import org.sardinelift.core.batch.JobState;
-import org.sardinelift.core.batch.Retention;
+import org.sardinelift.core.batch.RemovalStage;
+import org.sardinelift.core.batch.RetentionPolicy;
 import org.sardinelift.objects.ListResult;
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.ObjectStore;
@@ -77,10 +77,10 @@
 
     private void decide(Found found) {
         JobHeader header = found.header();
-        Retention.Step step =
+        RetentionPolicy.Step step =
                 settings.retention()
-                        .next(
-                                new Retention.Facts(
+                        .nextStep(
+                                new RetentionPolicy.JobInfo(
                                         header.stage(),
                                         header.stageMs(),
                                         header.createdMs(),
@@ -88,11 +88,11 @@
                                         found.marker().isPresent()),
                                 expiry.dueMs(),
                                 nowMs());
-        if (step instanceof Retention.Wait wait) {
+        if (step instanceof RetentionPolicy.Wait wait) {
             lookAgain(wait.dueMs());
-        } else if (step instanceof Retention.Retire) {
-            eraseMarker(found, () -> advance(found, JobStage.RETIRED));
-        } else if (step instanceof Retention.Empty) {
+        } else if (step instanceof RetentionPolicy.Retire) {
+            eraseMarker(found, () -> advance(found, RemovalStage.RETIRED));
+        } else if (step instanceof RetentionPolicy.DeleteObjects) {
             empty(found);
         } else {
             erase(List.of(headerKey), found.version(), this::finish);
@@ -115,7 +115,7 @@
     }
 
     private void eraseState(Found found) {
-        Runnable next = () -> advance(found, JobStage.EMPTIED);
+        Runnable next = () -> advance(found, RemovalStage.EMPTIED);
         found.state()
                 .ifPresentOrElse(state -> erase(List.of(state.key()), state.version(), next), next);
     }
@@ -150,7 +150,7 @@
                 .toList();
     }
 
-    private void advance(Found found, JobStage stage) {
+    private void advance(Found found, RemovalStage stage) {
         long now = nowMs();
         String value = BatchJson.header(found.header().at(stage, now));
         pace(
@@ -162,7 +162,7 @@
                                 result -> {
                                     if (result instanceof WriteResult.Written) {
                                         Logger.info("{} is {}", expiry.id(), stage);
-                                        lookAgain(now + settings.retention().holdMs());
+                                        lookAgain(now + settings.retention().stepDelayMs());
                                     } else {
                                         done.accept(false);
                                     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobRun.java
@@ -6,10 +6,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import org.sardinelift.core.batch.ChunkResult;
-import org.sardinelift.core.batch.ItemRetry;
+import org.sardinelift.core.batch.CompletionEstimate;
+import org.sardinelift.core.batch.ItemRetryPolicy;
 import org.sardinelift.core.batch.JobPhase;
 import org.sardinelift.core.batch.JobState;
-import org.sardinelift.core.batch.Lateness;
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.ProblemKind;
 import org.sardinelift.core.outcome.RunOutcome;
@@ -36,7 +36,7 @@
     private boolean cancelling;
     private boolean finishing;
     private boolean over;
-    private Lateness pace;
+    private CompletionEstimate pace;
 
     JobRun(BatchWorker worker, JobHeader header, StateCell cell, JobState claimed) {
         this.worker = worker;
@@ -47,7 +47,7 @@
                         worker.store(), header.id(), worker.settings().packer().maxBytes());
         this.state = claimed;
         this.fence = claimed.fence();
-        this.pace = new Lateness(worker.control().epochMillis(), 0);
+        this.pace = new CompletionEstimate(worker.control().epochMillis(), 0);
     }
 
     JobHeader header() {
@@ -138,15 +138,15 @@
                 chunk.items().stream().filter(item -> !item.item().repeatable()).toList();
         chunk.items().stream().filter(item -> item.item().repeatable()).forEach(worker::offer);
         if (state.mayHaveRun(chunk.number())) {
-            unrepeatable.forEach(item -> end(item, failed(item, ItemRetry.outcomeUnknown())));
+            unrepeatable.forEach(item -> end(item, failed(item, ItemRetryPolicy.outcomeUnknown())));
         } else if (unrepeatable.stream().noneMatch(item -> item.item().routable())) {
             unrepeatable.forEach(worker::offer);
         } else {
             cell.update(
-                    current -> current.intend(fence, chunk.number()),
+                    current -> current.recordIntent(fence, chunk.number()),
                     next -> {
                         observe(next);
-                        if (next.holds(fence) && !next.mayHaveRun(chunk.number())) {
+                        if (next.isWritableUnder(fence) && !next.mayHaveRun(chunk.number())) {
                             unrepeatable.forEach(worker::offer);
                         }
                     });
@@ -200,7 +200,7 @@
                             : lastLine);
             return;
         }
-        ItemRetry.Verdict verdict =
+        ItemRetryPolicy.Decision verdict =
                 worker.settings()
                         .retry()
                         .decide(
@@ -208,14 +208,14 @@
                                 item.item().repeatable(),
                                 item.failures() + 1,
                                 item.postponements() + 1);
-        if (verdict instanceof ItemRetry.Verdict.Again again) {
-            if (again.counted()) {
+        if (verdict instanceof ItemRetryPolicy.Decision.Retry again) {
+            if (again.countsAsAttempt()) {
                 item.countFailure();
             } else {
                 item.countPostponement();
             }
             worker.control().schedule(again.pause(), () -> offerAgain(item));
-        } else if (verdict instanceof ItemRetry.Verdict.End ended) {
+        } else if (verdict instanceof ItemRetryPolicy.Decision.Fail ended) {
             end(item, ended.problem().equals(problem) ? lastLine : failed(item, ended.problem()));
         }
     }
@@ -233,7 +233,7 @@
         if (over || !chunk.end(item.index(), line)) {
             return;
         }
-        pace = pace.plus(1);
+        pace = pace.plusEnded(1);
         if (chunk.open() == 0 && !cancelling) {
             write(chunk);
         }
@@ -276,7 +276,7 @@
                     JobState committed = current.commit(fence, offered);
                     return committed.equals(current)
                             ? current
-                            : committed.expectEnd(committed.phase().terminal() ? now : end);
+                            : committed.withExpectedEnd(committed.phase().isTerminal() ? now : end);
                 },
                 next -> onCommitted(offered, next));
     }
@@ -307,8 +307,8 @@
             return;
         }
         state = next;
-        if (next.phase().terminal() || !next.holds(fence)) {
-            stop(next.phase().terminal() ? "the job has ended" : "another entry holds the job");
+        if (next.phase().isTerminal() || !next.isWritableUnder(fence)) {
+            stop(next.phase().isTerminal() ? "the job has ended" : "another entry holds the job");
             worker.ended(this, next);
         } else if (next.phase() == JobPhase.CANCELLING && !cancelling) {
             beginCancel();
@@ -356,7 +356,7 @@
         cell.update(
                 current -> {
                     JobState ended = current.commit(fence, offered).finishCancel(fence);
-                    return ended.equals(current) ? current : ended.expectEnd(now);
+                    return ended.equals(current) ? current : ended.withExpectedEnd(now);
                 },
                 next -> {
                     results.discardRefused(offered, next);
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobSweeper.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobSweeper.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import org.sardinelift.core.batch.Rendezvous;
+import org.sardinelift.core.batch.EntryRendezvous;
 import org.sardinelift.objects.ListResult;
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.ObjectStore;
@@ -74,7 +74,7 @@
     }
 
     private boolean fallsHere(int shard, Collection<String> entries) {
-        return Rendezvous.first("sweep-" + shard, entries).filter(self::equals).isPresent();
+        return EntryRendezvous.choose("sweep-" + shard, entries).filter(self::equals).isPresent();
     }
 
     private void step(int shard) {
--- a/entry/src/main/java/org/sardinelift/entry/batch/LeaseKeeper.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/LeaseKeeper.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Supplier;
 import org.sardinelift.core.batch.Holder;
-import org.sardinelift.core.batch.LeaseHold;
+import org.sardinelift.core.batch.OwnLease;
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.ReadResult;
@@ -16,7 +16,7 @@
     private final BatchSettings settings;
     private final Holder self;
     private final ObjectKey key;
-    private final LeaseHold hold;
+    private final OwnLease hold;
     private final Supplier<ObjectNode> loads;
     private final Runnable onRegained;
     private long version = ObjectStore.ABSENT;
@@ -34,12 +34,12 @@
         this.settings = settings;
         this.self = self;
         this.key = new ObjectKey(OpenJobs.LEASE_KIND, OpenJobs.LEASE_PREFIX + self.instance());
-        this.hold = LeaseHold.of(settings.leaseValid());
+        this.hold = OwnLease.of(settings.leaseValid());
         this.loads = loads;
         this.onRegained = onRegained;
     }
 
-    LeaseHold hold() {
+    OwnLease hold() {
         return hold;
     }
 
@@ -50,7 +50,7 @@
     /** Gives the lease back. */
     void stop() {
         stopped = true;
-        hold.lost();
+        hold.onLost();
         store.discard(key);
     }
 
@@ -75,7 +75,7 @@
 
     private void onRead(ReadResult result) {
         if (result instanceof ReadResult.Unavailable) {
-            hold.unanswered(store.control().nanos());
+            hold.onUnanswered(store.control().nanos());
             next();
             return;
         }
@@ -89,9 +89,9 @@
 
     private void onWrite(WriteResult result, long sent) {
         if (result instanceof WriteResult.Written written) {
-            boolean held = hold.valid(store.control().nanos());
+            boolean held = hold.isValid(store.control().nanos());
             version = written.version();
-            hold.renewed(sent);
+            hold.onRenewed(sent);
             if (!held) {
                 onRegained.run();
             }
@@ -106,7 +106,7 @@
             return;
         } else {
             known = result instanceof WriteResult.NotWritten;
-            hold.unanswered(store.control().nanos());
+            hold.onUnanswered(store.control().nanos());
         }
         next();
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/OpenJobs.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/OpenJobs.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.core.batch.LaneShares;
-import org.sardinelift.core.batch.LeaseWatch;
+import org.sardinelift.core.batch.LeaseMonitor;
 import org.sardinelift.objects.ListResult;
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.ObjectStore;
@@ -31,7 +31,7 @@
 
     private final JobStore store;
     private final BatchSettings settings;
-    private final LeaseWatch leases;
+    private final LeaseMonitor leases;
     private final LaneShares shares;
     private final String self;
     private final Consumer<Marker> onChange;
@@ -42,7 +42,7 @@
     OpenJobs(
             JobStore store,
             BatchSettings settings,
-            LeaseWatch leases,
+            LeaseMonitor leases,
             LaneShares shares,
             String self,
             Consumer<Marker> onChange) {
@@ -110,7 +110,7 @@
         revision = Math.min(jobs.revision(), listed.revision());
         markers.clear();
         jobs.objects().forEach(this::marker);
-        leases.watched(store.control().nanos());
+        leases.onWatchAnswered(store.control().nanos());
         listed.objects().forEach(this::lease);
         watch();
     }
@@ -125,7 +125,7 @@
     private void onWatch(WatchResult result) {
         if (result instanceof WatchResult.Changes changes) {
             failures = 0;
-            leases.watched(store.control().nanos());
+            leases.onWatchAnswered(store.control().nanos());
             changes.changes().forEach(this::apply);
             revision = Math.max(revision, changes.revision());
             store.control().schedule(settings.watchPause(), this::watch);
@@ -147,7 +147,7 @@
             }
         } else if (change.key().name().startsWith(LEASE_PREFIX)) {
             if (object == null) {
-                leases.removed(instance(change.key()));
+                leases.onRemoved(instance(change.key()));
             } else {
                 lease(object);
             }
@@ -165,13 +165,13 @@
     private void lease(StoredObject object) {
         String instance = instance(object.key());
         JsonNode lease = BatchJson.stored(object.value());
-        leases.changed(
+        leases.onChanged(
                 instance,
                 lease.path("incarnation").asText(),
                 object.revision(),
                 store.control().nanos());
         if (!instance.equals(self)) {
-            shares.noted(instance, LaneLoads.read(lease.path("loads")));
+            shares.update(instance, LaneLoads.read(lease.path("loads")));
         }
     }
 
@@ -180,7 +180,7 @@
     }
 
     private void again(Runnable task) {
-        leases.lost();
+        leases.onWatchFailed();
         failures++;
         store.control().schedule(store.backoff().pause(failures), task);
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/ResultWriter.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ResultWriter.java
@@ -64,6 +64,6 @@
     /** The objects that hold a chunk's results. */
     static Stream<ObjectKey> keys(String job, int chunk, ChunkResult result) {
         return IntStream.range(0, result.parts())
-                .mapToObj(part -> key(job, chunk, result.mark(), part));
+                .mapToObj(part -> key(job, chunk, result.writeId(), part));
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/StateCell.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/StateCell.java
@@ -91,7 +91,7 @@
         }
         JobState decided = next;
         boolean mustWrite =
-                !current.phase().terminal() && folded.stream().anyMatch(Change::mustWrite);
+                !current.phase().isTerminal() && folded.stream().anyMatch(Change::mustWrite);
         if (decided.equals(current) && !mustWrite) {
             tell(folded, current);
             return;
--- a/entry/src/main/java/org/sardinelift/entry/call/CallProblems.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallProblems.java
@@ -15,7 +15,7 @@
 
     static Problem of(AttemptStep.Failed last, RunOutcome overall) {
         Duration after = last.retryAfter().isZero() ? COME_BACK : last.retryAfter();
-        return of(last.cause().kind(overall), overall, last.detail(), after);
+        return of(last.cause().problemKind(overall), overall, last.detail(), after);
     }
 
     static Problem noTarget(String service, RunOutcome overall) {
--- a/entry/src/main/java/org/sardinelift/entry/call/CallRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallRun.java
@@ -14,7 +14,7 @@
 import org.sardinelift.core.outcome.FailureCause;
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.RunOutcome;
-import org.sardinelift.core.poison.Standing;
+import org.sardinelift.core.poison.CrashVerdict;
 import org.sardinelift.protocol.FrameConnection;
 import org.sardinelift.protocol.generated.Ack;
 import org.sardinelift.protocol.generated.Cancel;
@@ -39,7 +39,7 @@
     private @Nullable CompanionLink companion;
     private @Nullable CallAttempt attempt;
     private @Nullable AttemptSpan span;
-    private AttemptStep.@Nullable Answered head;
+    private AttemptStep.@Nullable ResponseHead head;
     private RunOutcome overall = RunOutcome.NOT_RUN;
     private String targetIncarnation = "";
     private @Nullable Long firstAskedNanos;
@@ -101,7 +101,7 @@
                             outcome(frame),
                             frame.getFailure() == null
                                     ? FailureCause.NONE
-                                    : FailureCause.named(frame.getFailure().name()),
+                                    : FailureCause.fromName(frame.getFailure().name()),
                             frame.getDetail() == null ? "" : frame.getDetail(),
                             Duration.ofMillis(frame.getRetryAfterMs())));
         }
@@ -110,7 +110,7 @@
     synchronized void onAnswer(CompanionLink from, QueryAnswer frame) {
         if (isCurrent(from)) {
             act(
-                    attempt.onAnswer(
+                    attempt.onStateAnswer(
                             frame.getAttempt(),
                             frame.getState() == null
                                     ? AttemptState.UNKNOWN
@@ -119,19 +119,19 @@
     }
 
     synchronized void onDown(CompanionLink from, Lane down) {
-        if (down != lane || !isCurrent(from) || !attempt.attached()) {
+        if (down != lane || !isCurrent(from) || !attempt.isAttached()) {
             return;
         }
-        attempt.onDown();
+        attempt.onDisconnected();
         CallAttempt waiting = attempt;
         dispatcher.later(
                 dispatcher.bounds().reattachTimeout(), () -> onReattachTimeout(from, waiting));
     }
 
     synchronized void onUp(CompanionLink from, Lane up, FrameConnection connection) {
-        if (up == lane && isCurrent(from) && !attempt.attached()) {
+        if (up == lane && isCurrent(from) && !attempt.isAttached()) {
             CallMetrics.reattached();
-            act(attempt.onUp(connection.peer().getIncarnation()));
+            act(attempt.onConnected(connection.peer().getIncarnation()));
         }
     }
 
@@ -141,7 +141,7 @@
             return;
         }
         send(Frame.cancel(new Cancel(requestId(), attempt.number(), "became a suspect")));
-        overall = overall.and(RunOutcome.UNKNOWN);
+        overall = overall.combine(RunOutcome.UNKNOWN);
         span.fail("taken back", RunOutcome.UNKNOWN);
         takenBackAttempt = attempt.number();
         attempt = null;
@@ -181,23 +181,23 @@
             return;
         }
         if (attempt == null) {
-            end(CallProblems.of(cause.kind(overall), overall, detail, Duration.ZERO));
+            end(CallProblems.of(cause.problemKind(overall), overall, detail, Duration.ZERO));
             return;
         }
         send(Frame.cancel(new Cancel(requestId(), attempt.number(), detail)));
-        act(attempt.onAbandon(cause, detail));
+        act(attempt.onAbandoned(cause, detail));
     }
 
     private synchronized void next() {
         if (ended) {
             return;
         }
-        Standing standing = dispatcher.guard().standing(spec.fingerprint());
-        if (standing == Standing.REFUSED) {
+        CrashVerdict standing = dispatcher.guard().verdict(spec.fingerprint());
+        if (standing == CrashVerdict.REFUSED) {
             end(CallProblems.crashes(overall));
             return;
         }
-        suspect = standing == Standing.SUSPECT;
+        suspect = standing == CrashVerdict.SUSPECT;
         TargetChoice choice = dispatcher.choose(this, lane, tried, suspect);
         if (choice instanceof TargetChoice.Taken taken) {
             begin(taken.companion());
@@ -250,14 +250,14 @@
     }
 
     private void act(AttemptStep step) {
-        if (step instanceof AttemptStep.Answered answered) {
+        if (step instanceof AttemptStep.ResponseHead answered) {
             head = answered;
-        } else if (step instanceof AttemptStep.Deliver deliver) {
+        } else if (step instanceof AttemptStep.BodyPart deliver) {
             passHead();
             listener.onData(deliver.part());
-        } else if (step instanceof AttemptStep.Ask ask) {
+        } else if (step instanceof AttemptStep.QueryState ask) {
             send(Frame.query(new Query(requestId(), attempts, ask.offset())));
-        } else if (step instanceof AttemptStep.Whole) {
+        } else if (step instanceof AttemptStep.Completed) {
             onWhole();
         } else if (step instanceof AttemptStep.Failed failed) {
             onFailed(failed);
@@ -294,7 +294,7 @@
     private void onFailed(AttemptStep.Failed failed) {
         CompanionLink failedOn = companion;
         tried.add(failedOn.name());
-        overall = overall.and(failed.outcome());
+        overall = overall.combine(failed.outcome());
         span.fail(failed.cause().name(), failed.outcome());
         send(Frame.ack(new Ack(requestId(), attempts)));
         // The evidence comes first: once no copy is in flight, another may go to any target.
@@ -314,7 +314,7 @@
     }
 
     private Problem problem(AttemptStep.Failed failed) {
-        return dispatcher.guard().standing(spec.fingerprint()) == Standing.REFUSED
+        return dispatcher.guard().verdict(spec.fingerprint()) == CrashVerdict.REFUSED
                 ? CallProblems.crashes(overall)
                 : CallProblems.of(failed, overall);
     }
--- a/entry/src/main/java/org/sardinelift/entry/call/CompanionLink.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CompanionLink.java
@@ -42,7 +42,7 @@
         this.evidence = evidence;
         this.companion = companion;
         this.ejection = ejection;
-        this.listedLeaving = companion.leaving();
+        this.listedLeaving = companion.isLeaving();
     }
 
     static CompanionLink open(
@@ -143,7 +143,7 @@
                 last != null
                         && usable(Lane.BATCH, last)
                         && service.equals(last.getServiceName())
-                        && candidate(Lane.BATCH, nowNanos).serves(model)
+                        && candidate(Lane.BATCH, nowNanos).canServe(model)
                         && admission(nowNanos) == Ejection.Admission.IN;
         return fits ? Math.max(0, last.getBatchFree() - batchSinceReport.get()) : 0;
     }
@@ -152,7 +152,7 @@
         synchronized (ejection) {
             Ejection.Admission now = ejection.admission(nowNanos);
             if (now == Ejection.Admission.OUT
-                    || now == Ejection.Admission.PROBE && !ejection.startProbe(nowNanos)) {
+                    || now == Ejection.Admission.PROBE && !ejection.tryStartProbe(nowNanos)) {
                 return false;
             }
         }
@@ -190,7 +190,7 @@
 
     void onVoid() {
         synchronized (ejection) {
-            ejection.onProbeVoid();
+            ejection.onProbeInconclusive();
         }
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/call/CompanionTable.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CompanionTable.java
@@ -34,7 +34,7 @@
             listed.add(companion.name());
             companions
                     .computeIfAbsent(companion.name(), name -> open(companion))
-                    .listedLeaving(companion.leaving());
+                    .listedLeaving(companion.isLeaving());
         }
         for (CompanionLink link : List.copyOf(companions.values())) {
             if (!listed.contains(link.name())) {
--- a/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import org.sardinelift.core.poison.CrashBounds;
 import org.sardinelift.core.poison.CrashLedger;
-import org.sardinelift.core.poison.Standing;
+import org.sardinelift.core.poison.CrashVerdict;
 import org.sardinelift.core.route.Rendezvous;
 import org.sardinelift.entry.peer.Peers;
 import org.sardinelift.objects.ListResult;
@@ -92,8 +92,8 @@
      * @param fingerprint hash of the request
      * @return its standing
      */
-    public synchronized Standing standing(String fingerprint) {
-        return ledger.standing(fingerprint, nowMs());
+    public synchronized CrashVerdict verdict(String fingerprint) {
+        return ledger.verdict(fingerprint, nowMs());
     }
 
     /**
@@ -108,7 +108,7 @@
     /** Entries take turns, so that two of them never try a suspect on two targets at once. */
     synchronized boolean tryTrial(String fingerprint, String target) {
         long turnMs = turn(fingerprint) * bounds.turn().toMillis();
-        return ledger.tryTrial(fingerprint, target, turnMs, nowMs());
+        return ledger.tryStartTrial(fingerprint, target, turnMs, nowMs());
     }
 
     private long turn(String fingerprint) {
@@ -136,7 +136,7 @@
 
     void onDeath(String fingerprint, String target, String targetIncarnation, boolean alone) {
         synchronized (this) {
-            ledger.onDeath(fingerprint, target + "#" + targetIncarnation, alone, nowMs());
+            ledger.onTargetDeath(fingerprint, target + "#" + targetIncarnation, alone, nowMs());
         }
         peers.broadcast(
                 Frame.crashEvidence(
@@ -149,7 +149,7 @@
     private void settle(String fingerprint) {
         long until;
         synchronized (this) {
-            if (ledger.standing(fingerprint, nowMs()) != Standing.REFUSED) {
+            if (ledger.verdict(fingerprint, nowMs()) != CrashVerdict.REFUSED) {
                 return;
             }
             until = ledger.refusedUntilMs(fingerprint);
@@ -195,7 +195,7 @@
             if (evidence.isRefused()) {
                 ledger.onRefused(fingerprint, nowMs() + bounds.suspectFor().toMillis());
             } else {
-                ledger.onDeath(
+                ledger.onTargetDeath(
                         fingerprint,
                         evidence.getTarget() + "#" + evidence.getTargetIncarnation(),
                         evidence.isAlone(),
--- a/entry/src/main/java/org/sardinelift/entry/call/FrameDispatcher.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/FrameDispatcher.java
@@ -22,7 +22,7 @@
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.RetryBudget;
 import org.sardinelift.core.outcome.RunOutcome;
-import org.sardinelift.core.poison.Standing;
+import org.sardinelift.core.poison.CrashVerdict;
 import org.sardinelift.core.route.Candidate;
 import org.sardinelift.core.route.Ejection;
 import org.sardinelift.core.route.RouteRequest;
@@ -211,8 +211,8 @@
     TargetChoice choose(CallRun run, Lane lane, Set<String> tried, boolean suspect) {
         String fingerprint = run.spec().fingerprint();
         synchronized (copies.lock(fingerprint)) {
-            Standing standing = guard.standing(fingerprint);
-            if (standing != (suspect ? Standing.SUSPECT : Standing.CLEAR)) {
+            CrashVerdict standing = guard.verdict(fingerprint);
+            if (standing != (suspect ? CrashVerdict.SUSPECT : CrashVerdict.CLEAR)) {
                 return new TargetChoice.Wait(Duration.ZERO);
             }
             return chooseOne(run, lane, tried, suspect);
@@ -284,7 +284,7 @@
             AttemptStep.Failed failed,
             String targetIncarnation,
             boolean suspect) {
-        if (!failed.cause().blamesTarget()) {
+        if (!failed.cause().isTargetFault()) {
             on.onVoid();
         } else if (on.onFailure(nowNanos())) {
             Logger.warn(
@@ -324,7 +324,7 @@
     }
 
     void noteAnswered(
-            CallRun run, CompanionLink by, AttemptStep.@Nullable Answered head, boolean letIn) {
+            CallRun run, CompanionLink by, AttemptStep.@Nullable ResponseHead head, boolean letIn) {
         String answer = head == null ? "without a head" : "status " + head.status();
         note(run, DecisionAction.ANSWERED, answer, by.name());
         if (letIn) {
@@ -383,10 +383,10 @@
             List<Candidate> pool, String name, RouteRequest request) {
         return pool.stream()
                 .filter(candidate -> candidate.name().equals(name))
-                .filter(Candidate::usable)
-                .filter(candidate -> candidate.serves(request.model()))
+                .filter(Candidate::isUsable)
+                .filter(candidate -> candidate.canServe(request.model()))
                 .filter(candidate -> candidate.admission() == Ejection.Admission.IN)
-                .filter(candidate -> !request.tried().contains(name))
+                .filter(candidate -> !request.failedTargets().contains(name))
                 .findFirst();
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/RouteDecision.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/RouteDecision.java
@@ -31,7 +31,7 @@
             boolean suspect) {
         List<Candidate> others =
                 pool.stream()
-                        .filter(other -> other.usable() && other != target)
+                        .filter(other -> other.isUsable() && other != target)
                         .filter(other -> other.service().equals(target.service()))
                         .toList();
         Map<String, String> figures = new HashMap<>();
--- a/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
@@ -106,7 +106,7 @@
         peers.listen(new RevisionListener());
         control.execute(this::step);
         control.repeat(TICK, this::step);
-        control.repeat(timings.gossip(), this::gossip);
+        control.repeat(timings.gossipInterval(), this::gossip);
     }
 
     /**
@@ -148,7 +148,7 @@
 
     private void step() {
         long now = nowMs();
-        sync.tick(now).ifPresent(this::call);
+        sync.nextCall(now).ifPresent(this::call);
         noteState(now);
     }
 
@@ -160,7 +160,7 @@
             Logger.error(
                     "Neither the platform nor a peer was heard for {}, or a newer configuration"
                             + " can't be read; new requests are refused until one is heard again",
-                    timings.isolation());
+                    timings.isolationTimeout());
         }
     }
 
@@ -170,7 +170,7 @@
         } else if (call instanceof ConfigCall.ListAll) {
             listAll(call.number());
         } else if (call instanceof ConfigCall.Watch watch) {
-            store.watch(KINDS, watch.afterRevision(), watch.longest())
+            store.watch(KINDS, watch.afterRevision(), watch.maxWait())
                     .thenAccept(result -> onControl(() -> onWatch(call.number(), result)));
         }
     }
@@ -194,9 +194,9 @@
 
     private void onBarrier(long number, WriteResult result) {
         if (result instanceof WriteResult.Written written) {
-            sync.onBarrier(number, written.revision(), nowMs());
+            sync.onBarrierWritten(number, written.revision(), nowMs());
         } else {
-            sync.onFailed(number, nowMs());
+            sync.onCallFailed(number, nowMs());
         }
     }
 
@@ -220,7 +220,7 @@
                     }
                 });
         if (revisions.size() < lists.size()) {
-            sync.onFailed(number, nowMs());
+            sync.onCallFailed(number, nowMs());
             return;
         }
         publish(sync.onListed(number, revisions, states, nowMs()));
@@ -238,7 +238,7 @@
             Logger.warn("The watch was too far behind; the configuration is listed again");
             sync.onGap(number, nowMs());
         } else {
-            sync.onFailed(number, nowMs());
+            sync.onCallFailed(number, nowMs());
         }
     }
 
@@ -270,9 +270,9 @@
         Catalog before = catalog;
         Catalog after =
                 changed
-                        ? sync.log().catalog()
+                        ? sync.merger().catalog()
                         : new Catalog(
-                                sync.log().completeTo(),
+                                sync.merger().completeRevision(),
                                 before.teams(),
                                 before.keys(),
                                 before.services());
@@ -287,7 +287,7 @@
     }
 
     private void reportProblems() {
-        Set<ConfigProblem> problems = new HashSet<>(sync.log().problems());
+        Set<ConfigProblem> problems = new HashSet<>(sync.merger().problems());
         problems.stream()
                 .filter(problem -> !reported.contains(problem))
                 .forEach(problem -> Logger.error("{} The team is not in force.", problem));
@@ -297,7 +297,9 @@
     private void gossip() {
         Revision revision =
                 new Revision(
-                        sync.log().newest(), sync.platformAgeMs(nowMs()), accepting.getAsBoolean());
+                        sync.merger().newestRevision(),
+                        sync.platformContactAgeMs(nowMs()),
+                        accepting.getAsBoolean());
         peers.broadcast(Frame.revision(revision));
     }
 
@@ -321,7 +323,7 @@
         public void onFrame(FrameConnection connection, Frame frame) {
             if (frame.isSetRevision()) {
                 long revision = frame.getRevision().getConfigRevision();
-                onControl(() -> sync.onPeer(revision, nowMs()));
+                onControl(() -> sync.onPeerRevision(revision, nowMs()));
             }
         }
 
--- a/entry/src/main/java/org/sardinelift/entry/control/ConfigDecisions.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ConfigDecisions.java
@@ -74,7 +74,8 @@
             String id, Map<String, KeyEntry> before, Map<String, KeyEntry> after, String revision) {
         KeyEntry now = after.get(id);
         String team = Objects.requireNonNull(now == null ? before.get(id) : now).team();
-        String reason = now == null || now.withdrawn() ? "a key was withdrawn" : "a key was issued";
+        String reason =
+                now == null || now.isWithdrawn() ? "a key was withdrawn" : "a key was issued";
         decisions.record(
                 DecisionAction.CONFIGURED, team, reason, Map.of("revision", revision, "keyId", id));
     }
--- a/entry/src/main/java/org/sardinelift/entry/control/FleetLimiter.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/FleetLimiter.java
@@ -136,7 +136,7 @@
     public void onCatalog(Catalog before, Catalog after) {
         Set<String> teams = new HashSet<>(after.teams().keySet());
         teams.add(OPEN_TEAM);
-        limit.retain(teams);
+        limit.retainTeams(teams);
     }
 
     /**
@@ -215,7 +215,7 @@
 
     /** Has a step arranged where a request on another thread has left something to be sent. */
     private void wake() {
-        if (limit.hasDue() && woken.compareAndSet(false, true)) {
+        if (limit.hasPendingMessages() && woken.compareAndSet(false, true)) {
             control.execute(this::arrange);
         }
     }
@@ -223,7 +223,7 @@
     /** Arranges the next step for when it is due; called after each event. */
     private void arrange() {
         long now = System.nanoTime();
-        long due = Math.max(now, limit.nextTick(now));
+        long due = Math.max(now, limit.nextTickAt(now));
         if (due < timerAt) {
             timerAt = due;
             control.schedule(Duration.ofNanos(due - now), () -> onTimer(due));
@@ -249,11 +249,11 @@
     }
 
     private void observe() {
-        ready = ready || limit.ledger().usable() > 0 || mayServeByLoans();
+        ready = ready || limit.ledger().usableUnits() > 0 || mayServeByLoans();
         if (limit.ledger().hasLeft()) {
             left.complete(null);
         }
-        share = limit.ledger().usable() / (double) Shares.TOTAL;
+        share = limit.ledger().usableUnits() / (double) Shares.TOTAL_UNITS;
         LimitMetrics.UNITS.set(share);
     }
 
@@ -287,7 +287,7 @@
         }
 
         @Override
-        public void call(ShareCall call) {
+        public void callPlatform(ShareCall call) {
             store.call(call);
         }
     }
@@ -351,7 +351,7 @@
 
         private void onRevision(String peer, Revision revision) {
             long age = Duration.ofMillis(revision.getPlatformContactAgeMs()).toNanos();
-            limit.ledger().onPeer(peer, age, System.nanoTime());
+            limit.ledger().onPeerReport(peer, age, System.nanoTime());
             arrange();
         }
     }
--- a/entry/src/main/java/org/sardinelift/entry/control/LimitSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/LimitSettings.java
@@ -41,7 +41,7 @@
         if (!bounds.isReclaimSafe()) {
             node.error(
                     "reclaimDelayMs",
-                    "more than " + bounds.longestUse().toMillis(),
+                    "more than " + bounds.longestUseAfterContactLoss().toMillis(),
                     String.valueOf(bounds.reclaimDelay().toMillis()),
                     "Raise it, or lower the other bounds.");
         }
--- a/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
@@ -51,7 +51,7 @@
     /** Starts reading the list. */
     public void start() {
         control.execute(this::poll);
-        control.repeat(timings.poll(), this::poll);
+        control.repeat(timings.pollInterval(), this::poll);
     }
 
     /**
@@ -97,7 +97,7 @@
      * @param up whether one is open now
      */
     public void onConnection(String instance, boolean up) {
-        change(() -> membership.onConnection(instance, up));
+        change(() -> membership.onConnectionChanged(instance, up));
     }
 
     private void poll() {
--- a/entry/src/main/java/org/sardinelift/entry/control/ShareWatch.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ShareWatch.java
@@ -90,6 +90,6 @@
     }
 
     private static String fraction(long units) {
-        return String.format(Locale.ROOT, "%.3f", units / (double) Shares.TOTAL);
+        return String.format(Locale.ROOT, "%.3f", units / (double) Shares.TOTAL_UNITS);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/filter/DecisionFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/DecisionFilter.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 import org.sardinelift.core.explain.DecisionAction;
 import org.sardinelift.core.explain.DecisionRecorder;
-import org.sardinelift.core.explain.TeamTally;
+import org.sardinelift.core.explain.TeamRequestCounter;
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.entry.call.CallListener;
 
 /** Records and counts the requests that are refused before they are dispatched. */
 public final class DecisionFilter implements CallFilter {
     private final DecisionRecorder decisions;
-    private final TeamTally tally;
+    private final TeamRequestCounter tally;
 
-    private DecisionFilter(DecisionRecorder decisions, TeamTally tally) {
+    private DecisionFilter(DecisionRecorder decisions, TeamRequestCounter tally) {
         this.decisions = decisions;
         this.tally = tally;
     }
@@ -25,7 +25,7 @@
      * @param tally counts them by team
      * @return the filter
      */
-    public static DecisionFilter of(DecisionRecorder decisions, TeamTally tally) {
+    public static DecisionFilter of(DecisionRecorder decisions, TeamRequestCounter tally) {
         return new DecisionFilter(decisions, tally);
     }
 
@@ -44,7 +44,7 @@
                 .ifPresent(after -> figures.put("retryAfterMs", String.valueOf(after.toMillis())));
         decisions.record(
                 DecisionAction.REFUSED, call.requestId(), problem.detail(), Map.copyOf(figures));
-        call.teamName().ifPresent(tally::refused);
+        call.teamName().ifPresent(tally::onRefused);
     }
 
     /** Sees refusals; calls that were dispatched are recorded by the dispatcher. */
--- a/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyCodec.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyCodec.java
@@ -14,14 +14,14 @@
 
     static String write(IdempotencyRecord record) {
         return MAPPER.createObjectNode()
-                .put("mark", record.mark())
+                .put("mark", record.intentId())
                 .put("fingerprint", record.fingerprint())
                 .put("state", record.state().name())
-                .put("untilMs", record.untilMs())
+                .put("untilMs", record.giveUpAtMs())
                 .put("status", record.status())
                 .put("contentType", record.contentType())
                 .put("body", record.body())
-                .put("bodyKept", record.bodyKept())
+                .put("bodyKept", record.isBodyKept())
                 .toString();
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyFilter.java
@@ -91,7 +91,7 @@
             IntentStore.Claim claim,
             Runnable next) {
         if (claim instanceof IntentStore.Mine) {
-            call.observe(listener -> new Recorder(name, intent.mark(), listener));
+            call.observe(listener -> new Recorder(name, intent.intentId(), listener));
             next.run();
         } else if (claim instanceof IntentStore.Other other) {
             answer(call, name, other);
@@ -110,13 +110,13 @@
 
     private void answer(CallContext call, ObjectKey name, IntentStore.Other other) {
         IdempotencyRecord record = other.record();
-        switch (record.judge(call.spec().fingerprint(), System.currentTimeMillis())) {
-            case REUSED ->
+        switch (record.resolve(call.spec().fingerprint(), System.currentTimeMillis())) {
+            case KEY_REUSED ->
                     call.refuse(
                             Problem.notRun(
                                     ProblemKind.IDEMPOTENCY_KEY_REUSED,
                                     "the Idempotency-Key was used for another request"));
-            case WAIT ->
+            case STILL_RUNNING ->
                     call.refuse(
                             new Problem(
                                     ProblemKind.CONFLICT,
@@ -144,7 +144,7 @@
         if (!record.contentType().isEmpty()) {
             headers.put("content-type", record.contentType());
         }
-        headers.put("idempotency-replayed", record.bodyKept() ? "whole" : "status-only");
+        headers.put("idempotency-replayed", record.isBodyKept() ? "whole" : "status-only");
         listener.onHead(record.status(), headers);
         listener.onData(record.body());
         listener.onEnd();
--- a/entry/src/main/java/org/sardinelift/entry/filter/IntentStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/IntentStore.java
@@ -52,7 +52,7 @@
 
     private CompletableFuture<Claim> claim(ObjectKey key, IdempotencyRecord intent, int left) {
         if (left == 0) {
-            withdraw(key, intent.mark());
+            withdraw(key, intent.intentId());
             return CompletableFuture.completedFuture(new Unavailable());
         }
         return store.write(key, ObjectStore.ABSENT, IdempotencyCodec.write(intent))
@@ -74,7 +74,8 @@
                 .thenCompose(
                         result -> {
                             Optional<IdempotencyRecord> held = record(result);
-                            if (held.isPresent() && held.get().mark().equals(intent.mark())) {
+                            if (held.isPresent()
+                                    && held.get().intentId().equals(intent.intentId())) {
                                 return CompletableFuture.completedFuture(new Mine());
                             }
                             if (held.isPresent()) {
@@ -103,7 +104,7 @@
                 .thenCompose(
                         result -> {
                             Optional<IdempotencyRecord> held = record(result);
-                            if (held.isEmpty() || !held.get().mark().equals(mark)) {
+                            if (held.isEmpty() || !held.get().intentId().equals(mark)) {
                                 return after(() -> update(key, mark, change, left - 1));
                             }
                             String value = IdempotencyCodec.write(change.apply(held.get()));
@@ -138,7 +139,7 @@
                                 return CompletableFuture.completedFuture(true);
                             }
                             Optional<IdempotencyRecord> held = record(result);
-                            if (held.isPresent() && !held.get().mark().equals(mark)) {
+                            if (held.isPresent() && !held.get().intentId().equals(mark)) {
                                 return CompletableFuture.completedFuture(true);
                             }
                             if (held.isEmpty()) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/KeyFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/KeyFilter.java
@@ -64,7 +64,7 @@
             return Optional.of(
                     Problem.notRun(ProblemKind.UNAUTHENTICATED, "the key is not known here"));
         }
-        if (entry.withdrawn()) {
+        if (entry.isWithdrawn()) {
             return Optional.of(
                     Problem.notRun(
                             ProblemKind.KEY_WITHDRAWN, "key " + entry.id() + " was withdrawn"));
@@ -82,7 +82,7 @@
     private static boolean isOpen(Catalog now, CallContext call) {
         return ServicePath.parse(call.exchange().uri())
                 .map(path -> now.services().get(path.service()))
-                .filter(ServiceSpec::open)
+                .filter(ServiceSpec::isOpen)
                 .isPresent();
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/filter/LimitFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/LimitFilter.java
@@ -5,7 +5,7 @@
 import org.sardinelift.core.catalog.TeamPlan;
 import org.sardinelift.core.explain.DecisionAction;
 import org.sardinelift.core.explain.DecisionRecorder;
-import org.sardinelift.core.explain.TeamTally;
+import org.sardinelift.core.explain.TeamRequestCounter;
 import org.sardinelift.core.limit.Admission;
 import org.sardinelift.core.limit.TeamLimiter;
 import org.sardinelift.core.outcome.Problem;
@@ -16,13 +16,13 @@
     private final TeamLimiter limiter;
     private final DoubleSupplier share;
     private final DecisionRecorder decisions;
-    private final TeamTally tally;
+    private final TeamRequestCounter tally;
 
     private LimitFilter(
             TeamLimiter limiter,
             DoubleSupplier share,
             DecisionRecorder decisions,
-            TeamTally tally) {
+            TeamRequestCounter tally) {
         this.limiter = limiter;
         this.share = share;
         this.decisions = decisions;
@@ -42,7 +42,7 @@
             TeamLimiter limiter,
             DoubleSupplier share,
             DecisionRecorder decisions,
-            TeamTally tally) {
+            TeamRequestCounter tally) {
         return new LimitFilter(limiter, share, decisions, tally);
     }
 
@@ -79,7 +79,7 @@
     private void admitted(CallContext call, Map<String, String> figures) {
         decisions.record(
                 DecisionAction.ADMITTED, call.requestId(), "within the team's rate", figures);
-        tally.admitted(call.team().name(), System.nanoTime());
+        tally.onAdmitted(call.team().name(), System.nanoTime());
     }
 
     private Map<String, String> figures(TeamPlan team) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/PoisonFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/PoisonFilter.java
@@ -2,7 +2,7 @@
 
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.ProblemKind;
-import org.sardinelift.core.poison.Standing;
+import org.sardinelift.core.poison.CrashVerdict;
 import org.sardinelift.entry.call.CrashGuard;
 
 /** Refuses requests that are known to crash targets. */
@@ -25,7 +25,7 @@
 
     @Override
     public void apply(CallContext call, Runnable next) {
-        if (guard.standing(call.spec().fingerprint()) == Standing.REFUSED) {
+        if (guard.verdict(call.spec().fingerprint()) == CrashVerdict.REFUSED) {
             call.refuse(
                     Problem.notRun(
                             ProblemKind.CRASHES_TARGETS,
--- a/entry/src/main/java/org/sardinelift/entry/filter/RunningCalls.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/RunningCalls.java
@@ -71,7 +71,7 @@
     }
 
     private static boolean holds(@Nullable KeyEntry key, CallContext call) {
-        return key != null && !key.withdrawn() && key.team().equals(call.team().name());
+        return key != null && !key.isWithdrawn() && key.team().equals(call.team().name());
     }
 
     /** Takes the call out when it ends. */
--- a/entry/src/main/java/org/sardinelift/entry/filter/ServiceFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/ServiceFilter.java
@@ -91,11 +91,11 @@
             return refuse(ProblemKind.NOT_FOUND, "there is no route " + exchange.path());
         }
         ServiceSpec service = catalog.get().services().get(path.get().service());
-        if (service == null || service.engine()) {
+        if (service == null || service.isEngine()) {
             return refuse(
                     ProblemKind.NOT_FOUND, "there is no plain service " + path.get().service());
         }
-        if (!service.open() && !call.team().services().contains(service.name())) {
+        if (!service.isOpen() && !call.team().services().contains(service.name())) {
             return refuse(
                     ProblemKind.FORBIDDEN,
                     "team " + call.team().name() + " may not use the service " + service.name());
@@ -113,7 +113,7 @@
                     TIMEOUT_HEADER + " must be a whole number of milliseconds above 0");
         }
         String method = exchange.method();
-        boolean idempotent = service.engine() || service.repeatableMethods().contains(method);
+        boolean idempotent = service.isEngine() || service.repeatableMethods().contains(method);
         Map<String, String> headers = KeyGuard.headers(exchange.headers());
         call.spec(
                 new CallSpec(
--- a/entry/src/main/java/org/sardinelift/entry/http/OperatorRoutes.java
+++ b/entry/src/main/java/org/sardinelift/entry/http/OperatorRoutes.java
@@ -136,8 +136,8 @@
                                             .put("zone", target.zone())
                                             .put("slots", target.slots())
                                             .put("inFlight", target.inFlight())
-                                            .put("reported", target.reported())
-                                            .put("usable", target.usable())
+                                            .put("reported", target.reportedCalls())
+                                            .put("usable", target.isUsable())
                                             .put("admission", target.admission().name());
                             ArrayNode models = node.putArray("models");
                             target.models().stream().sorted().forEach(models::add);
@@ -167,8 +167,8 @@
                 .put("admitted", status.traffic().admitted())
                 .put("refused", status.traffic().refused())
                 .put("perSecond", status.traffic().perSecond())
-                .put("online", status.online())
-                .put("batch", status.batch());
+                .put("online", status.onlineCalls())
+                .put("batch", status.batchItems());
         TeamPlan plan = status.plan();
         if (plan != null) {
             node.put("ratePerSecond", plan.ratePerSecond())
@@ -183,8 +183,8 @@
                 .put("team", job.team())
                 .put("takenOverFrom", job.takenOverFrom())
                 .put("items", job.items())
-                .put("open", job.open())
-                .put("late", job.late());
+                .put("open", job.openItems())
+                .put("late", job.isLate());
         if (job.dueMs() != Long.MAX_VALUE) {
             node.put("due", Instant.ofEpochMilli(job.dueMs()).toString());
         }
--- a/entry/src/main/java/org/sardinelift/entry/order/OrderController.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/OrderController.java
@@ -15,7 +15,7 @@
 import org.sardinelift.core.order.LeaseRecord;
 import org.sardinelift.core.order.OrderBounds;
 import org.sardinelift.core.order.Rollout;
-import org.sardinelift.core.order.RolloutBoard;
+import org.sardinelift.core.order.RolloutPlanner;
 import org.sardinelift.core.order.RolloutSpec;
 import org.sardinelift.core.order.RolloutState;
 import org.sardinelift.core.order.TargetOrder;
@@ -25,7 +25,7 @@
 import org.tinylog.Logger;
 
 /**
- * Drives {@link ControllerLease} and {@link RolloutBoard}: looks at the platform each period,
+ * Drives {@link ControllerLease} and {@link RolloutPlanner}: looks at the platform each period,
  * writes what was decided, and sends the orders. A state whose write has no clear success is read
  * anew. Owned by the control thread.
  */
@@ -38,7 +38,7 @@
     private final Holder self;
     private final OrderBounds bounds;
     private final ControllerLease lease;
-    private @Nullable RolloutBoard board;
+    private @Nullable RolloutPlanner board;
     private boolean looking;
 
     private OrderController(
@@ -113,7 +113,7 @@
                         long now = clockNanos.getAsLong();
                         board.rollouts()
                                 .values()
-                                .forEach(rollout -> rollout.onLost(companion, now));
+                                .forEach(rollout -> rollout.onConnectionLost(companion, now));
                     }
                 });
     }
@@ -147,7 +147,7 @@
     }
 
     private void work() {
-        if (!lease.valid(clockNanos.getAsLong())) {
+        if (!lease.isValid(clockNanos.getAsLong())) {
             rest();
         } else if (board == null || board.fence() != lease.fence()) {
             store.states(this::onStates);
@@ -161,12 +161,12 @@
             rest();
             return;
         }
-        board = RolloutBoard.of(lease.fence(), bounds, states.get(), clockNanos.getAsLong());
+        board = RolloutPlanner.of(lease.fence(), bounds, states.get(), clockNanos.getAsLong());
         store.specs(this::onSpecs);
     }
 
     private void onSpecs(Optional<List<RolloutSpec>> specs) {
-        RolloutBoard current = board;
+        RolloutPlanner current = board;
         if (specs.isEmpty() || current == null) {
             looking = false;
             return;
@@ -176,18 +176,18 @@
     }
 
     /** Writes each changed state, then sends what follows from it. */
-    private void advance(RolloutBoard current, Iterator<Rollout> rest) {
+    private void advance(RolloutPlanner current, Iterator<Rollout> rest) {
         if (!rest.hasNext() || board != current) {
             looking = false;
             return;
         }
         Rollout rollout = rest.next();
-        if (!rollout.dirty()) {
+        if (!rollout.isDirty()) {
             send(rollout);
             advance(current, rest);
             return;
         }
-        if (!lease.valid(clockNanos.getAsLong())) {
+        if (!lease.isValid(clockNanos.getAsLong())) {
             rest();
             return;
         }
@@ -202,7 +202,7 @@
                         rest();
                         return;
                     }
-                    rollout.written();
+                    rollout.onWritten();
                     log(state);
                     send(rollout);
                     advance(current, rest);
@@ -218,7 +218,7 @@
         RolloutSpec spec = rollout.state().spec();
         ServiceSpec service = catalog.get().services().get(spec.service());
         boolean checksFence = service != null && service.checksFence();
-        for (TargetOrder order : rollout.due(clockNanos.getAsLong())) {
+        for (TargetOrder order : rollout.dueOrders(clockNanos.getAsLong())) {
             OptionalLong number = lease.nextNumber(clockNanos.getAsLong());
             if (number.isEmpty()) {
                 return;
@@ -233,9 +233,9 @@
                                     self.instance())
                             .setChecksFence(checksFence);
             if (lanes.send(order.target(), frame)) {
-                rollout.sent(order.target(), number.getAsLong(), clockNanos.getAsLong());
+                rollout.onSent(order.target(), number.getAsLong(), clockNanos.getAsLong());
             } else {
-                rollout.unsent(order.target(), clockNanos.getAsLong());
+                rollout.onSendFailed(order.target(), clockNanos.getAsLong());
             }
         }
     }
@@ -271,6 +271,6 @@
                 state.spec().name(),
                 state.spec().service(),
                 state.phase(),
-                state.reason().isEmpty() ? "" : ": " + state.reason());
+                state.rollbackReason().isEmpty() ? "" : ": " + state.rollbackReason());
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/order/OrderSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/OrderSettings.java
@@ -21,14 +21,14 @@
         OrderBounds standard = OrderBounds.defaults();
         OrderBounds bounds =
                 new OrderBounds(
-                        millis(node, "periodMs", standard.period()),
+                        millis(node, "periodMs", standard.pollInterval()),
                         millis(node, "leaseValidMs", standard.leaseValid()),
                         millis(node, "leaseTimeoutMs", standard.leaseTimeout()),
-                        node.integer("loadsInFlight", standard.loadsInFlight(), 1, MAX_LOADS),
+                        node.integer("loadsInFlight", standard.maxLoadsInFlight(), 1, MAX_LOADS),
                         node.integer("loadsPerMinute", standard.loadsPerMinute(), 1, MAX_LOADS),
-                        millis(node, "loadBoundMs", standard.loadBound()),
+                        millis(node, "loadBoundMs", standard.loadTimeout()),
                         millis(node, "retryPauseMs", standard.retryPause()),
-                        millis(node, "goneAfterMs", standard.goneAfter()),
+                        millis(node, "goneAfterMs", standard.goneTimeout()),
                         node.integer("maxTargets", standard.maxTargets(), 1, MAX_TARGETS));
         if (bounds.leaseValid().compareTo(bounds.leaseTimeout()) >= 0) {
             node.error(
@@ -37,7 +37,7 @@
                     String.valueOf(bounds.leaseValid().toMillis()),
                     "Lower it, or raise leaseTimeoutMs.");
         }
-        if (bounds.period().isZero()) {
+        if (bounds.pollInterval().isZero()) {
             node.error("periodMs", "at least 1", "0", "Set a positive time.");
         }
         return bounds;
--- a/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
@@ -110,7 +110,7 @@
 
         Shares shares = shares();
         assertEquals(0, units(shares, "e1"));
-        assertEquals(Shares.TOTAL, shares.pool() + units(shares, "e2"));
+        assertEquals(Shares.TOTAL_UNITS, shares.pool() + units(shares, "e2"));
     }
 
     private boolean holds(String entry) {
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchFailureTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchFailureTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.core.batch.Rendezvous;
+import org.sardinelift.core.batch.EntryRendezvous;
 import org.sardinelift.core.outcome.FailureCause;
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.ProblemKind;
@@ -220,7 +220,7 @@
                             if (cuts[0] <= 20) {
                                 listener.onProblem(
                                         Problem.failed(
-                                                FailureCause.PREEMPTED.kind(RunOutcome.RUN),
+                                                FailureCause.PREEMPTED.problemKind(RunOutcome.RUN),
                                                 RunOutcome.RUN,
                                                 "an online call took the slot"));
                             } else {
@@ -286,7 +286,8 @@
                 .mapToObj(n -> "job" + n)
                 .filter(
                         key ->
-                                Rendezvous.first(JobHeader.idOf(team, key), List.of("e1", "e2"))
+                                EntryRendezvous.choose(
+                                                JobHeader.idOf(team, key), List.of("e1", "e2"))
                                         .filter(entry::equals)
                                         .isPresent())
                 .findFirst()
--- a/entry/src/test/java/org/sardinelift/entry/batch/JobDecisionsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/JobDecisionsTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.core.batch.ChunkResult;
 import org.sardinelift.core.batch.Holder;
-import org.sardinelift.core.batch.JobStage;
 import org.sardinelift.core.batch.JobState;
+import org.sardinelift.core.batch.RemovalStage;
 import org.sardinelift.core.explain.DecisionAction;
 import org.sardinelift.core.explain.DecisionLog;
 import org.sardinelift.core.explain.DecisionRecord;
@@ -33,7 +33,7 @@
                     0,
                     DUE_MS,
                     "job-1/digest",
-                    JobStage.LIVE,
+                    RemovalStage.LIVE,
                     0);
     private final JobState claimed = JobState.accepted("patrol", 5, 1).claim(SELF);
 
@@ -55,7 +55,7 @@
         jobs.progressed("job-1", 4, DUE_MS - 1, 1_000);
         jobs.progressed("job-1", 3, DUE_MS + 1, 2_000);
         jobs.progressed("job-1", 3, DUE_MS + 2, 3_000);
-        assertTrue(jobs.held().get(0).late());
+        assertTrue(jobs.held().get(0).isLate());
         jobs.progressed("job-1", 2, DUE_MS, 4_000);
         jobs.progressed("job-1", 1, 0, DUE_MS + 1);
         assertEquals(
--- a/entry/src/test/java/org/sardinelift/entry/batch/StateAudit.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/StateAudit.java
@@ -68,7 +68,7 @@
         int sum = counts.completed() + counts.failed() + counts.cancelled() + counts.open();
         note(sum == counts.accepted() && counts.open() >= 0, "counts " + counts);
         if (before != null) {
-            note(!before.phase().terminal(), "written after " + before.phase());
+            note(!before.phase().isTerminal(), "written after " + before.phase());
             note(next.fence() >= before.fence(), "fence went back");
             note(
                     next.chunks().entrySet().containsAll(before.chunks().entrySet()),
--- a/entry/src/test/java/org/sardinelift/entry/call/CopyTableTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/call/CopyTableTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.Property;
 import org.sardinelift.core.poison.CrashBounds;
 import org.sardinelift.core.poison.CrashLedger;
-import org.sardinelift.core.poison.Standing;
+import org.sardinelift.core.poison.CrashVerdict;
 
 class CopyTableTest {
     private static final String POISON = "poison";
@@ -194,12 +194,12 @@
         }
 
         void next(Call call) {
-            Standing standing = ledger.standing(call.fingerprint, fleet.nowMs);
-            if (standing == Standing.REFUSED) {
+            CrashVerdict standing = ledger.verdict(call.fingerprint, fleet.nowMs);
+            if (standing == CrashVerdict.REFUSED) {
                 fleet.refused++;
                 return;
             }
-            call.suspect = standing == Standing.SUSPECT;
+            call.suspect = standing == CrashVerdict.SUSPECT;
             if (!start(call)) {
                 fleet.after(RETRY_MS, () -> next(call));
             }
@@ -228,7 +228,7 @@
         }
 
         private boolean tryTrial(Call call, int target) {
-            return ledger.tryTrial(
+            return ledger.tryStartTrial(
                     call.fingerprint,
                     Integer.toString(target),
                     (long) turn * SETTLE_MS,
@@ -290,7 +290,7 @@
         }
 
         private void onEvidence(String fingerprint, String life, boolean alone) {
-            ledger.onDeath(fingerprint, life, alone, fleet.nowMs);
+            ledger.onTargetDeath(fingerprint, life, alone, fleet.nowMs);
             running.stream()
                     .filter(run -> run.call().fingerprint.equals(fingerprint))
                     .filter(run -> !run.call().suspect)
--- a/entry/src/test/java/org/sardinelift/entry/call/PreemptedItemTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/call/PreemptedItemTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.sardinelift.core.batch.ItemRetry;
+import org.sardinelift.core.batch.ItemRetryPolicy;
 import org.sardinelift.core.outcome.AttemptStep;
 import org.sardinelift.core.outcome.FailureCause;
 import org.sardinelift.core.outcome.Problem;
@@ -14,8 +14,8 @@
 
 /** A batch call that gave its slot to an online call, from the attempt to the item's retry. */
 class PreemptedItemTest {
-    private final ItemRetry retry =
-            new ItemRetry(1, 100, Duration.ofMillis(1), Duration.ofMillis(1));
+    private final ItemRetryPolicy retry =
+            new ItemRetryPolicy(1, 100, Duration.ofMillis(1), Duration.ofMillis(1));
 
     @ParameterizedTest
     @EnumSource(RunOutcome.class)
@@ -28,7 +28,8 @@
                         Duration.ZERO);
         Problem problem = CallProblems.of(cut, outcome);
         var again =
-                assertInstanceOf(ItemRetry.Verdict.Again.class, retry.decide(problem, true, 1, 1));
-        assertEquals(false, again.counted());
+                assertInstanceOf(
+                        ItemRetryPolicy.Decision.Retry.class, retry.decide(problem, true, 1, 1));
+        assertEquals(false, again.countsAsAttempt());
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
@@ -34,9 +34,9 @@
         config.listen(
                 (before, after) -> {
                     if (before.keys().containsKey("k1")) {
-                        withdrawn.add(before.keys().get("k1").withdrawn());
+                        withdrawn.add(before.keys().get("k1").isWithdrawn());
                     }
-                    withdrawn.add(after.keys().get("k1").withdrawn());
+                    withdrawn.add(after.keys().get("k1").isWithdrawn());
                 });
         config.start(() -> true);
         await().until(config::isReady);
--- a/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
@@ -50,7 +50,7 @@
     @Test
     void partsOfATokenHeldByThreeEntriesComeTogetherAtOne() {
         NAMES.forEach(this::start);
-        await().until(() -> unitsOf("e1") == Shares.TOTAL / 3 && pool() == 0);
+        await().until(() -> unitsOf("e1") == Shares.TOTAL_UNITS / 3 && pool() == 0);
         await().until(() -> admit("e1") instanceof Admission.Admitted);
     }
 
@@ -65,7 +65,7 @@
     @Test
     void aLeavingEntryGivesItsUnitsBack() {
         NAMES.forEach(this::start);
-        await().until(() -> unitsOf("e1") == Shares.TOTAL / 3 && pool() == 0);
+        await().until(() -> unitsOf("e1") == Shares.TOTAL_UNITS / 3 && pool() == 0);
         limiters.get("e1").leave();
         await().until(() -> unitsOf("e1") == 0);
     }
@@ -80,7 +80,7 @@
     @Test
     void aLeaveEndsWhenTheSharesNoLongerListTheEntry() throws Exception {
         NAMES.forEach(this::start);
-        await().until(() -> unitsOf("e1") == Shares.TOTAL / 3 && pool() == 0);
+        await().until(() -> unitsOf("e1") == Shares.TOTAL_UNITS / 3 && pool() == 0);
         limiters.get("e1").leave().get(20, TimeUnit.SECONDS);
         assertFalse(shares().members().containsKey(new MemberId("e1", "e1-1")));
     }
@@ -88,7 +88,8 @@
     @Test
     void anEntryThatLivesOnLoansIsNotReadyAtOnce() {
         start("e1");
-        await().atMost(20, TimeUnit.SECONDS).until(() -> unitsOf("e1") >= Shares.TOTAL * 2 / 3);
+        await().atMost(20, TimeUnit.SECONDS)
+                .until(() -> unitsOf("e1") >= Shares.TOTAL_UNITS * 2 / 3);
         store.down(true);
 
         start("e2");
--- a/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
@@ -58,7 +58,7 @@
 
         @Override
         public boolean send(String companion, Order order) {
-            assertTrue(state().active().contains(companion), "noted before it is ordered");
+            assertTrue(state().activeTargets().contains(companion), "noted before it is ordered");
             givenBy.add(order.getHolder());
             numbers.add(order.getFence());
             boolean fails = companion.equals(failing) && order.getVersion().equals("2");
@@ -114,7 +114,7 @@
         IntStream.range(0, periods)
                 .forEach(
                         i -> {
-                            nowNanos += BOUNDS.period().toNanos();
+                            nowNanos += BOUNDS.pollInterval().toNanos();
                             List.of(controllers).forEach(OrderController::look);
                         });
     }
@@ -146,7 +146,7 @@
         want("a", 0);
         look(20, controller("e1"));
         assertEquals(RolloutPhase.ROLLED_BACK, state().phase());
-        assertEquals("c2: no weights", state().reason());
+        assertEquals("c2: no weights", state().rollbackReason());
         assertEquals(Map.of("c1", "1", "c2", "1"), versions);
     }
 
--- a/gateway/src/main/java/org/sardinelift/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/GatewayProcess.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.sardinelift.core.peer.PeerRole;
-import org.sardinelift.core.plan.CallerBounds;
+import org.sardinelift.core.plan.RegisteredTarget;
+import org.sardinelift.core.plan.RequestLimits;
 import org.sardinelift.core.plan.ServingPlan;
-import org.sardinelift.core.plan.TargetEntry;
-import org.sardinelift.gateway.call.CallGate;
+import org.sardinelift.gateway.call.CallPipeline;
 import org.sardinelift.gateway.call.TargetTable;
 import org.sardinelift.gateway.feed.PlanFeed;
 import org.sardinelift.http.HttpClient;
@@ -32,8 +32,8 @@
     private static final long STEP_MS = 20;
     private static final int MAX_CONNECTIONS = 3_000;
     private static final int MAX_LINE_BYTES = 8 * 1024;
-    private static final CallerBounds BOUNDS_BEFORE_PLAN =
-            new CallerBounds(16 * 1024, 4 << 20, Duration.ofSeconds(3), Duration.ofSeconds(15));
+    private static final RequestLimits BOUNDS_BEFORE_PLAN =
+            new RequestLimits(16 * 1024, 4 << 20, Duration.ofSeconds(3), Duration.ofSeconds(15));
 
     /** Clients may use a connection until the stated idle time; it closes somewhat later. */
     private static final Duration IDLE_SLACK = Duration.ofSeconds(1);
@@ -47,25 +47,25 @@
     private final HttpServer internal;
     private final HttpServer ready;
     private final HttpServer callers;
-    private final CompletableFuture<Void> drainAsked = new CompletableFuture<>();
+    private final CompletableFuture<Void> drainRequested = new CompletableFuture<>();
     private volatile boolean stopping;
 
-    private GatewayProcess(GatewaySettings settings, Adapter adapter) throws BindException {
+    private GatewayProcess(GatewaySettings settings, PlatformAdapter adapter) throws BindException {
         this.settings = settings;
         this.node = Node.create(settings.node(), PeerRole.GATEWAY, adapter);
         HttpClient targetClient =
                 HttpClient.createPlaintext(
-                        node.group(), TARGET_CONNECT_TIMEOUT, settings.connectionIdle());
+                        node.group(), TARGET_CONNECT_TIMEOUT, settings.connectionIdleTimeout());
         this.table =
                 TargetTable.create(
-                        node.network().board(),
+                        node.network().targetLoads(),
                         targetClient,
                         node.loop(),
                         adapter.probePath(),
-                        settings.firstEvent(),
-                        settings.callTime());
-        CallGate gate =
-                CallGate.create(
+                        settings.typicalFirstEvent(),
+                        settings.typicalCallTime());
+        CallPipeline gate =
+                CallPipeline.create(
                         settings,
                         adapter,
                         node.loop(),
@@ -74,13 +74,13 @@
                         table,
                         node.network(),
                         node.plans());
-        this.internal = node.serveInternal(table, Node::refuseUnknown);
-        this.ready = bind(settings.ready(), HttpLimits::defaults, this::answerReady);
-        this.callers = bind(settings.caller(), this::limits, gate.handler());
+        this.internal = node.startInternalServer(table, Node::respondNotFound);
+        this.ready = bind(settings.readinessAddress(), HttpLimits::defaults, this::answerReady);
+        this.callers = bind(settings.callerAddress(), this::limits, gate.handler());
         node.start(
                 new Node.Listener() {
                     @Override
-                    public void onTargets(Map<String, TargetEntry> entries) {
+                    public void onTargetsChanged(Map<String, RegisteredTarget> entries) {
                         table.update(entries);
                     }
                 });
@@ -94,7 +94,7 @@
      * @return the running gateway
      * @throws BindException where a port is taken; choose another in the settings
      */
-    public static GatewayProcess start(GatewaySettings settings, Adapter adapter)
+    public static GatewayProcess start(GatewaySettings settings, PlatformAdapter adapter)
             throws BindException {
         return new GatewayProcess(settings, adapter);
     }
@@ -110,8 +110,8 @@
 
     /** Bounds of callers' requests, as the configuration in force sets them. */
     private HttpLimits limits() {
-        PlanFeed.Held held = node.plans().held();
-        CallerBounds bounds = held == null ? BOUNDS_BEFORE_PLAN : bounds(held.plan());
+        PlanFeed.CurrentPlan held = node.plans().current();
+        RequestLimits bounds = held == null ? BOUNDS_BEFORE_PLAN : bounds(held.plan());
         return new HttpLimits(
                 MAX_LINE_BYTES,
                 bounds.maxHeaderBytes(),
@@ -121,8 +121,8 @@
                 bounds.idleTimeout().plus(IDLE_SLACK));
     }
 
-    private static CallerBounds bounds(ServingPlan plan) {
-        return plan.bounds();
+    private static RequestLimits bounds(ServingPlan plan) {
+        return plan.requestLimits();
     }
 
     private void answerReady(HttpExchange exchange) {
@@ -132,7 +132,7 @@
 
     private boolean isReady() {
         return !stopping
-                && node.plans().held() != null
+                && node.plans().current() != null
                 && !node.targets().snapshot().objects().isEmpty();
     }
 
@@ -158,8 +158,8 @@
      *
      * @return never completes by itself
      */
-    public CompletableFuture<Void> drainAsked() {
-        return drainAsked;
+    public CompletableFuture<Void> drainRequested() {
+        return drainRequested;
     }
 
     /**
@@ -170,9 +170,9 @@
         long startedAt = System.nanoTime();
         stopping = true;
         Event.of("process.stopping").with("answers_due", callers.answersDue()).info();
-        node.loop().execute(node.network()::leave);
+        node.loop().execute(node.network()::announceLeaving);
         callers.announceClose();
-        long latest = startedAt + settings.node().grace().minus(EXIT_RESERVE).toNanos();
+        long latest = startedAt + settings.node().gracePeriod().minus(EXIT_RESERVE).toNanos();
         sleepUntil(Math.min(latest, startedAt + UNTIL_BALANCED.toNanos()));
         callers.stopAccepting();
         callers.closeIdle();
--- a/gateway/src/main/java/org/sardinelift/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/GatewaySettings.java
@@ -15,19 +15,19 @@
  * @param stall least silence of a target after which a call that may be repeated is moved
  * @param firstEvent usual time from a send to the first event
  * @param callTime usual time that an online call holds a slot
- * @param connectionIdle longest idle time of a connection to a target that is used again
+ * @param connectionIdleTimeout longest idle time of a connection to a target that is used again
  */
 public record GatewaySettings(
         NodeSettings node,
-        Endpoint caller,
-        Endpoint ready,
+        Endpoint callerAddress,
+        Endpoint readinessAddress,
         Duration placementMargin,
-        Duration keptForReturners,
-        Duration resendWait,
-        Duration stall,
-        Duration firstEvent,
-        Duration callTime,
-        Duration connectionIdle) {
+        Duration retryReserve,
+        Duration maxResendWait,
+        Duration stallTimeout,
+        Duration typicalFirstEvent,
+        Duration typicalCallTime,
+        Duration connectionIdleTimeout) {
 
     /**
      * Reads the settings.
--- a/gateway/src/main/java/org/sardinelift/gateway/CallHeaders.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/HeaderNames.java
@@ -13,7 +13,7 @@
  * @param lastEventId number of the event after which a stream goes on
  * @param waitMs how long a read may wait for a result, milliseconds
  */
-public record CallHeaders(
+public record HeaderNames(
         String callId,
         String deadlineMs,
         String team,
--- a/gateway/src/main/java/org/sardinelift/gateway/Node.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/Node.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.sardinelift.core.peer.PeerRole;
+import org.sardinelift.core.plan.RegisteredTarget;
 import org.sardinelift.core.plan.ServingPlan;
-import org.sardinelift.core.plan.TargetEntry;
 import org.sardinelift.gateway.call.TargetTable;
 import org.sardinelift.gateway.feed.InstanceFeed;
 import org.sardinelift.gateway.feed.PeerSnapshots;
 import org.sardinelift.gateway.feed.PlanFeed;
-import org.sardinelift.gateway.feed.StoreContact;
+import org.sardinelift.gateway.feed.StoreAvailability;
 import org.sardinelift.gateway.feed.TargetFeed;
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpClient;
@@ -57,7 +57,7 @@
     private final EventLoop loop;
     private final ControlThread control;
     private final HttpClient client;
-    private final StoreContact contact = new StoreContact();
+    private final StoreAvailability contact = new StoreAvailability();
     private final CountedObjectStore store;
     private final PlanFeed plans;
     private final TargetFeed targets;
@@ -73,17 +73,18 @@
          *
          * @param plan the configuration
          */
-        default void onPlan(ServingPlan plan) {}
+        default void onPlanChanged(ServingPlan plan) {}
 
         /**
          * The targets were read.
          *
          * @param entries entries by name
          */
-        default void onTargets(Map<String, TargetEntry> entries) {}
+        default void onTargetsChanged(Map<String, RegisteredTarget> entries) {}
     }
 
-    private Node(NodeSettings settings, PeerRole role, Adapter adapter) throws BindException {
+    private Node(NodeSettings settings, PeerRole role, PlatformAdapter adapter)
+            throws BindException {
         this.settings = settings;
         this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         this.loop = (EventLoop) group.next();
@@ -92,30 +93,39 @@
         this.store = store(adapter);
         this.network = PeerNetwork.bind(settings, role, loop, new StoreKnowledge());
         this.plans =
-                PlanFeed.of(adapter, store, control, contact, network::readsPlan, this::onPlan);
+                PlanFeed.of(adapter, store, control, contact, network::isPlanReader, this::onPlan);
         this.targets =
                 TargetFeed.of(
-                        adapter, store, control, contact, network::readsTargets, this::onTargets);
+                        adapter,
+                        store,
+                        control,
+                        contact,
+                        network::isTargetsReader,
+                        this::onTargets);
         this.snapshots =
                 PeerSnapshots.of(settings.zone(), network, client, loop, control, plans, targets);
         this.instances =
                 InstanceFeed.of(
                         settings.instance(),
                         role,
-                        settings.internal(),
+                        settings.internalAddress(),
                         store,
                         control,
                         contact,
                         (name, peerRole, address) ->
-                                loop.execute(() -> network.onInstance(name, peerRole, address)));
+                                loop.execute(
+                                        () ->
+                                                network.onInstanceRegistered(
+                                                        name, peerRole, address)));
     }
 
-    static Node create(NodeSettings settings, PeerRole role, Adapter adapter) throws BindException {
+    static Node create(NodeSettings settings, PeerRole role, PlatformAdapter adapter)
+            throws BindException {
         return new Node(settings, role, adapter);
     }
 
     /** The feeds as the reports show them. */
-    private final class StoreKnowledge implements PeerNetwork.Knowledge {
+    private final class StoreKnowledge implements PeerNetwork.StoreReadState {
         @Override
         public long planVersion() {
             return plans.version();
@@ -132,17 +142,17 @@
         }
 
         @Override
-        public long targetsChanged() {
-            return targets.snapshot().changed();
+        public long targetsRevision() {
+            return targets.snapshot().changedRevision();
         }
     }
 
-    private CountedObjectStore store(Adapter adapter) {
+    private CountedObjectStore store(PlatformAdapter adapter) {
         ObjectStore http =
                 HttpObjectStore.create(
                         client,
-                        settings.store().host(),
-                        settings.store().port(),
+                        settings.storeAddress().host(),
+                        settings.storeAddress().port(),
                         settings.storeTimeout(),
                         adapter.objectDialect());
         int rate = settings.storeCallsPerSecond();
@@ -170,22 +180,22 @@
     private void onPlan(ServingPlan plan) {
         loop.execute(
                 () -> {
-                    network.quota().plan(plan.teams(), System.nanoTime());
-                    network.changed();
-                    listener.onPlan(plan);
+                    network.quota().updateTeams(plan.rateLimits(), System.nanoTime());
+                    network.onLocalChange();
+                    listener.onPlanChanged(plan);
                 });
     }
 
-    private void onTargets(Map<String, TargetEntry> entries) {
-        loop.execute(() -> listener.onTargets(entries));
+    private void onTargets(Map<String, RegisteredTarget> entries) {
+        loop.execute(() -> listener.onTargetsChanged(entries));
     }
 
     /** Serves the internal port: snapshots, status, metrics, and what the role adds. */
-    HttpServer serveInternal(TargetTable table, HttpHandler role) throws BindException {
+    HttpServer startInternalServer(TargetTable table, HttpHandler role) throws BindException {
         return HttpServer.start(
                 group,
-                settings.internal().host(),
-                settings.internal().port(),
+                settings.internalAddress().host(),
+                settings.internalAddress().port(),
                 HttpLimits.defaults(),
                 null,
                 exchange -> {
@@ -213,12 +223,12 @@
         }
         exchange.respondJson(
                 OK,
-                StatusReport.of(
+                StatusReport.toJson(
                         settings.instance(), plans.version(), contact, targets, network, table));
         return true;
     }
 
-    static void refuseUnknown(HttpExchange exchange) {
+    static void respondNotFound(HttpExchange exchange) {
         exchange.respondJson(NOT_FOUND, "{\"detail\":\"no such call\"}");
     }
 
@@ -242,7 +252,7 @@
         return client;
     }
 
-    StoreContact contact() {
+    StoreAvailability contact() {
         return contact;
     }
 
--- a/gateway/src/main/java/org/sardinelift/gateway/NodeSettings.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/NodeSettings.java
@@ -15,17 +15,17 @@
  * @param store address of the platform's store
  * @param storeTimeout longest silence of the store before a call is given up
  * @param storeCallsPerSecond calls of the store that this instance makes at most
- * @param grace time between the request to stop and the kill
+ * @param gracePeriod time between the request to stop and the kill
  */
 public record NodeSettings(
         String instance,
         String zone,
-        Endpoint internal,
-        List<String> seeds,
-        Endpoint store,
+        Endpoint internalAddress,
+        List<String> seedHosts,
+        Endpoint storeAddress,
         Duration storeTimeout,
         int storeCallsPerSecond,
-        Duration grace) {
+        Duration gracePeriod) {
 
     /**
      * Reads the settings.
--- a/gateway/src/main/java/org/sardinelift/gateway/Adapter.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/PlatformAdapter.java
@@ -2,21 +2,21 @@
 
 import java.util.Optional;
 import java.util.Set;
+import org.sardinelift.core.plan.RegisteredTarget;
 import org.sardinelift.core.plan.ServingPlan;
-import org.sardinelift.core.plan.TargetEntry;
-import org.sardinelift.gateway.job.JobInterface;
+import org.sardinelift.gateway.job.JobApi;
 import org.sardinelift.objects.ObjectDialect;
 import org.sardinelift.objects.ObjectKey;
 
 /** Translates between the product's terms and those of the platform that it runs on. */
-public interface Adapter {
+public interface PlatformAdapter {
 
     /**
      * Names of the headers on the platform.
      *
      * @return the names
      */
-    CallHeaders headers();
+    HeaderNames headerNames();
 
     /**
      * Headers by which a caller could speak in the system's place; they are not passed on.
@@ -45,7 +45,7 @@
      * @param value the stored value
      * @return the plan, or why it can't be read
      */
-    Decoded<ServingPlan> plan(String value);
+    Decoded<ServingPlan> decodePlan(String value);
 
     /**
      * Where targets register themselves.
@@ -61,7 +61,7 @@
      * @param value the stored value
      * @return the entry, or why it can't be read
      */
-    Decoded<TargetEntry> target(String name, String value);
+    Decoded<RegisteredTarget> decodeTarget(String name, String value);
 
     /**
      * Path at which a target answers without taking a slot.
@@ -75,7 +75,7 @@
      *
      * @return the interface
      */
-    JobInterface jobs();
+    JobApi jobs();
 
     /**
      * Where operators ask for an instance to be emptied; the name of the object is the instance's.
@@ -91,7 +91,7 @@
      * @param done whether the instance may be taken away
      * @return the call
      */
-    ObjectDialect.Request retirementReport(ObjectKey key, boolean done);
+    ObjectDialect.Request retirementStatusRequest(ObjectKey key, boolean done);
 
     /**
      * A value read from the platform.
@@ -105,7 +105,7 @@
          * @param value the value
          * @param <T> what it is
          */
-        record Read<T>(T value) implements Decoded<T> {}
+        record Value<T>(T value) implements Decoded<T> {}
 
         /**
          * It could not be read.
--- a/gateway/src/main/java/org/sardinelift/gateway/SpoolSettings.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/SpoolSettings.java
@@ -9,7 +9,7 @@
  * @param folder folder on the instance's disk
  * @param losses disks that may be lost at once; a job is kept on one more
  */
-public record SpoolSettings(Path folder, int losses) {
+public record SpoolSettings(Path folder, int toleratedLosses) {
     private static final int MOST_LOSSES = 10;
 
     static SpoolSettings read(SettingsNode node) {
@@ -22,7 +22,7 @@
      *
      * @return their number, this instance's among them
      */
-    public int copies() {
-        return losses + 1;
+    public int requiredCopies() {
+        return toleratedLosses + 1;
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/StatusReport.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/StatusReport.java
@@ -5,10 +5,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Comparator;
 import java.util.concurrent.TimeUnit;
-import org.sardinelift.core.load.Use;
+import org.sardinelift.core.load.TargetCalls;
 import org.sardinelift.core.peer.Peer;
 import org.sardinelift.gateway.call.TargetTable;
-import org.sardinelift.gateway.feed.StoreContact;
+import org.sardinelift.gateway.feed.StoreAvailability;
 import org.sardinelift.gateway.feed.TargetFeed;
 import org.sardinelift.gateway.peer.PeerNetwork;
 
@@ -18,10 +18,10 @@
 
     private StatusReport() {}
 
-    static String of(
+    static String toJson(
             String instance,
             long planVersion,
-            StoreContact contact,
+            StoreAvailability contact,
             TargetFeed feed,
             PeerNetwork network,
             TargetTable table) {
@@ -29,35 +29,39 @@
         ObjectNode root = MAPPER.createObjectNode();
         root.put("instance", instance);
         root.put("plan", planVersion);
-        root.put("storeAnswers", contact.answers());
+        root.put("storeAnswers", contact.isAvailable());
         root.put("targetsRevision", feed.snapshot().revision());
         ArrayNode peers = root.putArray("peers");
-        network.book().all().stream()
+        network.peers().all().stream()
                 .sorted(Comparator.comparing(Peer::name))
                 .forEach(
                         peer ->
                                 peers.addObject()
                                         .put("name", peer.name())
                                         .put("role", peer.role().label())
-                                        .put("live", network.book().isLive(peer, now))
+                                        .put("live", network.peers().isLive(peer, now))
                                         .put("plan", peer.planVersion())
-                                        .put("silentMs", millis(now - peer.heardAt())));
+                                        .put("silentMs", millis(now - peer.lastReportAt())));
         ArrayNode targets = root.putArray("targets");
         table.all().stream()
                 .sorted(Comparator.comparing(TargetTable.Target::id))
                 .forEach(
                         target -> {
-                            Use use = network.board().use(target.id(), now);
+                            TargetCalls use = network.targetLoads().knownCalls(target.id(), now);
                             targets.addObject()
                                     .put("id", target.id())
                                     .put("zone", target.entry().zone())
-                                    .put("leaving", target.entry().leaving())
+                                    .put("leaving", target.entry().isLeaving())
                                     .put("usable", target.health().isUsable(now))
                                     .put("slots", target.entry().slots())
                                     .put("online", use.online())
                                     .put("batch", use.batch())
-                                    .put("ownOnline", network.board().ownUse(target.id()).online())
-                                    .put("ownBatch", network.board().ownUse(target.id()).batch());
+                                    .put(
+                                            "ownOnline",
+                                            network.targetLoads().ownCalls(target.id()).online())
+                                    .put(
+                                            "ownBatch",
+                                            network.targetLoads().ownCalls(target.id()).batch());
                         });
         return root.toString();
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/WorkerProcess.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/WorkerProcess.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.sardinelift.core.peer.PeerRole;
+import org.sardinelift.core.plan.RegisteredTarget;
 import org.sardinelift.core.plan.ServingPlan;
-import org.sardinelift.core.plan.TargetEntry;
 import org.sardinelift.gateway.call.TargetTable;
 import org.sardinelift.gateway.job.JobWorker;
 import org.sardinelift.http.HttpClient;
@@ -29,17 +29,17 @@
     private final Node node;
     private final JobWorker worker;
     private final HttpServer internal;
-    private final CompletableFuture<Void> drainAsked = new CompletableFuture<>();
+    private final CompletableFuture<Void> drainRequested = new CompletableFuture<>();
 
-    private WorkerProcess(WorkerSettings settings, Adapter adapter) throws BindException {
+    private WorkerProcess(WorkerSettings settings, PlatformAdapter adapter) throws BindException {
         this.settings = settings;
         this.node = Node.create(settings.node(), PeerRole.WORKER, adapter);
         HttpClient targetClient =
                 HttpClient.createPlaintext(
-                        node.group(), TARGET_CONNECT_TIMEOUT, settings.connectionIdle());
+                        node.group(), TARGET_CONNECT_TIMEOUT, settings.connectionIdleTimeout());
         TargetTable table =
                 TargetTable.create(
-                        node.network().board(),
+                        node.network().targetLoads(),
                         targetClient,
                         node.loop(),
                         adapter.probePath(),
@@ -59,24 +59,24 @@
                         node.network(),
                         node.plans());
         this.internal =
-                node.serveInternal(
+                node.startInternalServer(
                         table,
                         exchange -> {
                             if (!worker.handle(exchange)) {
-                                Node.refuseUnknown(exchange);
+                                Node.respondNotFound(exchange);
                             }
                         });
         node.start(
                 new Node.Listener() {
                     @Override
-                    public void onPlan(ServingPlan plan) {
-                        worker.onChanged();
+                    public void onPlanChanged(ServingPlan plan) {
+                        worker.onPlanOrTargetsChanged();
                     }
 
                     @Override
-                    public void onTargets(Map<String, TargetEntry> entries) {
+                    public void onTargetsChanged(Map<String, RegisteredTarget> entries) {
                         table.update(entries);
-                        worker.onChanged();
+                        worker.onPlanOrTargetsChanged();
                     }
                 });
         worker.start();
@@ -90,7 +90,7 @@
      * @return the running worker
      * @throws BindException where a port is taken; choose another in the settings
      */
-    public static WorkerProcess start(WorkerSettings settings, Adapter adapter)
+    public static WorkerProcess start(WorkerSettings settings, PlatformAdapter adapter)
             throws BindException {
         return new WorkerProcess(settings, adapter);
     }
@@ -113,8 +113,8 @@
      *
      * @return never completes by itself
      */
-    public CompletableFuture<Void> drainAsked() {
-        return drainAsked;
+    public CompletableFuture<Void> drainRequested() {
+        return drainRequested;
     }
 
     /** Hands the jobs over and records what has ended. */
@@ -124,8 +124,8 @@
         node.loop()
                 .execute(
                         () -> {
-                            node.network().leave();
-                            worker.leave();
+                            node.network().announceLeaving();
+                            worker.handOverJobs();
                         });
         long latest = startedAt + HAND_OVER.toNanos();
         do {
--- a/gateway/src/main/java/org/sardinelift/gateway/WorkerSettings.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/WorkerSettings.java
@@ -8,14 +8,14 @@
  * Settings of a worker.
  *
  * @param node what it has in common with gateways
- * @param keepJobs time after its submission for which a closed job is kept
+ * @param jobRetention time after its submission for which a closed job is kept
  * @param connectionIdle longest idle time of a connection to a target that is used again
  * @param spool where jobs are kept that the store can't take yet; null where there is no disk
  */
 public record WorkerSettings(
         NodeSettings node,
-        Duration keepJobs,
-        Duration connectionIdle,
+        Duration jobRetention,
+        Duration connectionIdleTimeout,
         @Nullable SpoolSettings spool) {
 
     /**
--- a/gateway/src/main/java/org/sardinelift/gateway/call/IncomingCall.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/AdmittedCall.java
@@ -13,17 +13,17 @@
  * @param service service that runs it
  * @param planVersion version of the configuration that it is handled by
  * @param timeout how long the caller may be kept waiting
- * @param waited how long the caller has waited in earlier attempts
+ * @param earlierWait how long the caller has waited in earlier attempts
  * @param lastEvent event after which the caller wants a stream to go on
  * @param fingerprint hash of team, method, path and body
  */
-record IncomingCall(
+record AdmittedCall(
         String id,
         RoutePlan route,
         String team,
         String service,
         long planVersion,
         Duration timeout,
-        Duration waited,
-        OptionalLong lastEvent,
+        Duration earlierWait,
+        OptionalLong lastEventId,
         long fingerprint) {}
--- a/gateway/src/main/java/org/sardinelift/gateway/call/CallHandler.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/CallHandler.java
@@ -8,11 +8,11 @@
 import org.sardinelift.core.plan.CallKind;
 import org.sardinelift.core.plan.RoutePlan;
 import org.sardinelift.core.plan.ServingPlan;
-import org.sardinelift.core.plan.TeamAllowance;
-import org.sardinelift.gateway.CallHeaders;
-import org.sardinelift.gateway.call.Refusals.Kind;
+import org.sardinelift.core.plan.TeamRateLimit;
+import org.sardinelift.gateway.HeaderNames;
+import org.sardinelift.gateway.call.ErrorResponses.Kind;
 import org.sardinelift.gateway.feed.PlanFeed;
-import org.sardinelift.gateway.job.JobInterface;
+import org.sardinelift.gateway.job.JobApi;
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.http.HttpHandler;
 
@@ -27,12 +27,12 @@
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private final Forwarding forwarding;
+    private final ForwardingContext forwarding;
     private final PlanFeed plans;
-    private final JobInterface jobs;
+    private final JobApi jobs;
     private final JobProxy jobProxy;
 
-    CallHandler(Forwarding forwarding, PlanFeed plans, JobInterface jobs, JobProxy jobProxy) {
+    CallHandler(ForwardingContext forwarding, PlanFeed plans, JobApi jobs, JobProxy jobProxy) {
         this.forwarding = forwarding;
         this.plans = plans;
         this.jobs = jobs;
@@ -42,14 +42,14 @@
     @Override
     public void handle(HttpExchange exchange) {
         String id = header(exchange, names().callId(), "");
-        PlanFeed.Held held = plans.held();
+        PlanFeed.CurrentPlan held = plans.current();
         if (held == null) {
             refuse(exchange, Kind.NOT_READY, id, "no configuration yet", UNTIL_PLAN);
             return;
         }
         ServingPlan plan = held.plan();
-        Optional<JobInterface.JobCall> jobCall =
-                jobs.recognize(exchange.method(), exchange.uri(), exchange::header);
+        Optional<JobApi.JobCall> jobCall =
+                jobs.parseCall(exchange.method(), exchange.uri(), exchange::header);
         if (jobCall.isPresent()) {
             handleJobCall(exchange, plan, jobCall.get());
             return;
@@ -65,7 +65,7 @@
     private void handleOnRoute(
             HttpExchange exchange, String id, ServingPlan plan, RoutePlan route) {
         Optional<String> team = team(exchange, plan);
-        if (team.isEmpty() && !route.open()) {
+        if (team.isEmpty() && !route.isPublic()) {
             refuse(exchange, Kind.BAD_KEY, id, "no team in version " + plan.version(), null);
             return;
         }
@@ -73,32 +73,33 @@
             jobProxy.submit(exchange, id, team.orElse(""), route);
             return;
         }
-        String teamName = route.open() ? "" : team.orElse("");
+        String teamName = route.isPublic() ? "" : team.orElse("");
         Optional<Duration> overRate = overRate(plan, teamName);
         if (overRate.isPresent()) {
             String detail = overRateDetail(plan, teamName);
             refuse(exchange, Kind.OVER_RATE, id, detail, overRate.get());
             return;
         }
-        IncomingCall call = call(exchange, id, plan, route, teamName);
+        AdmittedCall call = call(exchange, id, plan, route, teamName);
         if (forwarding.deaths().isRefused(call.fingerprint(), forwarding.now())) {
             refuse(exchange, Kind.CRASHES_TARGETS, id, "targets died with this request", null);
             return;
         }
-        new ForwardRun(forwarding, exchange, call).start();
+        new ForwardedCall(forwarding, exchange, call).start();
     }
 
-    private IncomingCall call(
+    private AdmittedCall call(
             HttpExchange exchange, String id, ServingPlan plan, RoutePlan route, String team) {
         long fingerprint = fingerprint(team, exchange);
         Duration deadline = deadline(exchange, route);
         Duration waited = route.timeout().minus(deadline);
         boolean returned = waited.compareTo(RETURNED) > 0;
-        return new IncomingCall(
+        return new AdmittedCall(
                 id,
                 route,
                 team,
-                route.service(hash(FNV_OFFSET, id.getBytes(StandardCharsets.UTF_8))).orElse(""),
+                route.selectService(hash(FNV_OFFSET, id.getBytes(StandardCharsets.UTF_8)))
+                        .orElse(""),
                 plan.version(),
                 deadline.compareTo(route.timeout()) < 0 ? deadline : route.timeout(),
                 returned ? waited : Duration.ZERO,
@@ -131,7 +132,7 @@
     }
 
     private Optional<Duration> overRate(ServingPlan plan, String team) {
-        Optional<TeamAllowance> allowance = plan.team(team);
+        Optional<TeamRateLimit> allowance = plan.rateLimit(team);
         if (allowance.isEmpty()) {
             return Optional.empty();
         }
@@ -143,7 +144,7 @@
     }
 
     private String overRateDetail(ServingPlan plan, String team) {
-        TeamAllowance allowance = plan.team(team).orElseThrow();
+        TeamRateLimit allowance = plan.rateLimit(team).orElseThrow();
         return "team %s, version %d, rate %.1f/s, burst %.1f, %s"
                 .formatted(
                         team,
@@ -153,11 +154,10 @@
                         forwarding.network().quota().describe(team));
     }
 
-    private void handleJobCall(
-            HttpExchange exchange, ServingPlan plan, JobInterface.JobCall jobCall) {
+    private void handleJobCall(HttpExchange exchange, ServingPlan plan, JobApi.JobCall jobCall) {
         boolean isOpen =
                 plan.routes(header(exchange, "host", "")).stream()
-                        .anyMatch(route -> route.kind() == CallKind.BATCH && route.open());
+                        .anyMatch(route -> route.kind() == CallKind.BATCH && route.isPublic());
         Optional<String> team = team(exchange, plan);
         if (team.isEmpty() && !isOpen) {
             String detail = "no team in version " + plan.version();
@@ -199,7 +199,7 @@
         return value == null ? fallback : value;
     }
 
-    private CallHeaders names() {
+    private HeaderNames names() {
         return forwarding.headers().names();
     }
 
@@ -209,6 +209,6 @@
             String callId,
             String detail,
             @Nullable Duration retryAfter) {
-        Refusals.send(exchange, kind, callId, detail, retryAfter);
+        ErrorResponses.send(exchange, kind, callId, detail, retryAfter);
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/CallGate.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/CallPipeline.java
@@ -3,10 +3,10 @@
 import io.netty.channel.EventLoop;
 import java.time.Duration;
 import org.sardinelift.core.load.Placement;
-import org.sardinelift.core.load.ReturnTimes;
-import org.sardinelift.core.poison.DeathTally;
-import org.sardinelift.gateway.Adapter;
+import org.sardinelift.core.load.RetryAfterSchedule;
+import org.sardinelift.core.poison.TargetDeathCounter;
 import org.sardinelift.gateway.GatewaySettings;
+import org.sardinelift.gateway.PlatformAdapter;
 import org.sardinelift.gateway.feed.PlanFeed;
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpClient;
@@ -14,7 +14,7 @@
 import org.sardinelift.runtime.log.Event;
 
 /** Puts together what admits and forwards calls. */
-public final class CallGate {
+public final class CallPipeline {
     /** A request that was there at this many deaths of targets is refused. */
     private static final int DEATHS_TO_REFUSE = 3;
 
@@ -23,7 +23,7 @@
 
     private final CallHandler handler;
 
-    private CallGate(CallHandler handler) {
+    private CallPipeline(CallHandler handler) {
         this.handler = handler;
     }
 
@@ -40,46 +40,48 @@
      * @param plans the configuration in force
      * @return the gate
      */
-    public static CallGate create(
+    public static CallPipeline create(
             GatewaySettings settings,
-            Adapter adapter,
+            PlatformAdapter adapter,
             EventLoop loop,
             HttpClient targetClient,
             HttpClient peerClient,
             TargetTable table,
             PeerNetwork network,
             PlanFeed plans) {
-        DeathTally deaths = DeathTally.create(DEATHS_TO_REFUSE, DEATHS_MEMORY, MAX_REQUESTS);
-        network.listen(
+        TargetDeathCounter deaths =
+                TargetDeathCounter.create(DEATHS_TO_REFUSE, DEATHS_MEMORY, MAX_REQUESTS);
+        network.addListener(
                 new PeerNetwork.Listener() {
                     @Override
-                    public void onDeath(long request, String target) {
+                    public void onTargetDeath(long request, String target) {
                         noteDeath(deaths, request, target, "peer");
                     }
                 });
-        table.onDeaths(
+        table.setDeathListener(
                 (request, target) -> {
                     noteDeath(deaths, request, target, "own");
-                    network.reportDeath(request, target);
+                    network.reportTargetDeath(request, target);
                 });
-        Forwarding forwarding =
-                new Forwarding(
+        ForwardingContext forwarding =
+                new ForwardingContext(
                         settings,
                         loop,
                         targetClient,
                         table,
                         network,
                         Placement.of(settings.node().zone(), settings.placementMargin()),
-                        ReturnTimes.create(),
+                        RetryAfterSchedule.create(),
                         deaths,
-                        new ForwardedHeaders(adapter.headers(), adapter.reservedHeaders()),
-                        new StallWatch(loop));
+                        new ForwardedHeaders(adapter.headerNames(), adapter.reservedHeaders()),
+                        new StallDetector(loop));
         JobProxy jobs = new JobProxy(network, peerClient, settings.node().zone());
-        return new CallGate(new CallHandler(forwarding, plans, adapter.jobs(), jobs));
+        return new CallPipeline(new CallHandler(forwarding, plans, adapter.jobs(), jobs));
     }
 
-    private static void noteDeath(DeathTally deaths, long request, String target, String source) {
-        if (deaths.onDeath(request, target, System.nanoTime())) {
+    private static void noteDeath(
+            TargetDeathCounter deaths, long request, String target, String source) {
+        if (deaths.onTargetDeath(request, target, System.nanoTime())) {
             Event.of("target.died")
                     .with("target", target)
                     .with("request_hash", Long.toHexString(request))
--- a/gateway/src/main/java/org/sardinelift/gateway/call/Refusals.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ErrorResponses.java
@@ -11,10 +11,10 @@
 import org.sardinelift.runtime.log.Event;
 
 /** Answers that the gateway gives itself. Each says what was wrong, in JSON. */
-final class Refusals {
+final class ErrorResponses {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private Refusals() {}
+    private ErrorResponses() {}
 
     /** An answer of the gateway's own and what it promises. */
     enum Kind {
