--- a/gateway/src/main/java/org/sardinelift/gateway/call/ForwardRun.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedCall.java
@@ -12,21 +12,21 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.core.load.Placement.Choice;
+import org.sardinelift.core.load.TargetCalls;
 import org.sardinelift.core.load.TargetLoad;
-import org.sardinelift.core.load.Use;
 import org.sardinelift.core.outcome.RunOutcome;
 import org.sardinelift.core.plan.CallKind;
 import org.sardinelift.core.stream.StreamEvent;
-import org.sardinelift.gateway.call.Refusals.Kind;
+import org.sardinelift.gateway.call.ErrorResponses.Kind;
 import org.sardinelift.gateway.call.TargetTable.Target;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.runtime.log.Event;
 
 /** One admitted call from its arrival to the end of its answer, over all its attempts. */
-final class ForwardRun {
-    private static final Use ONE_CALL = new Use(1, 0);
-    private static final Use ONE_CALL_LESS = new Use(-1, 0);
+final class ForwardedCall {
+    private static final TargetCalls ONE_CALL = new TargetCalls(1, 0);
+    private static final TargetCalls ONE_CALL_LESS = new TargetCalls(-1, 0);
 
     /** Sends of one call, those that targets refused as not run included. */
     private static final int MAX_SENDS = 6;
@@ -42,13 +42,13 @@
 
     private static final int FIRST_SERVER_ERROR = 500;
 
-    private final Forwarding forwarding;
+    private final ForwardingContext forwarding;
     private final HttpExchange exchange;
-    private final IncomingCall call;
+    private final AdmittedCall call;
     private final long arrivedAt;
     private final Set<String> tried = new HashSet<>();
     private @Nullable TargetAttempt attempt;
-    private OptionalLong lastEvent;
+    private OptionalLong lastEventId;
     private RunOutcome overall = RunOutcome.NOT_RUN;
     private int sends;
     private int runs;
@@ -58,20 +58,20 @@
     private boolean ended;
     private @Nullable ScheduledFuture<?> timeout;
 
-    ForwardRun(Forwarding forwarding, HttpExchange exchange, IncomingCall call) {
+    ForwardedCall(ForwardingContext forwarding, HttpExchange exchange, AdmittedCall call) {
         this.forwarding = forwarding;
         this.exchange = exchange;
         this.call = call;
         this.arrivedAt = forwarding.now();
-        this.lastEvent = call.lastEvent();
+        this.lastEventId = call.lastEventId();
     }
 
-    IncomingCall call() {
+    AdmittedCall call() {
         return call;
     }
 
-    OptionalLong lastEvent() {
-        return lastEvent;
+    OptionalLong lastEventId() {
+        return lastEventId;
     }
 
     boolean isStream() {
@@ -83,27 +83,27 @@
     }
 
     void start() {
-        if (call.waited().isZero()) {
-            forwarding.returns().onNewCall(arrivedAt);
+        if (call.earlierWait().isZero()) {
+            forwarding.retryTimes().onNewCall(arrivedAt);
         }
         exchange.onClose(this::onCallerGone);
         timeout =
                 forwarding
                         .loop()
                         .schedule(this::onTimeout, call.timeout().toNanos(), TimeUnit.NANOSECONDS);
-        forwarding.stalls().add(this);
+        forwarding.stallDetector().add(this);
         place();
     }
 
     private void place() {
         long now = forwarding.now();
-        List<TargetLoad> loads = forwarding.table().loads(call.service(), tried, now);
+        List<TargetLoad> loads = forwarding.targets().usableLoads(call.service(), tried, now);
         Choice choice =
                 forwarding.placement().choose(loads, firstEventWithin(now), call.fingerprint());
-        if (choice instanceof Choice.Place place) {
+        if (choice instanceof Choice.Placed place) {
             send(place.target(), now);
         } else {
-            onNoPlace((Choice.Refuse) choice, now);
+            onNoPlace((Choice.Refused) choice, now);
         }
     }
 
@@ -114,50 +114,50 @@
             return call.timeout();
         }
         if (sends > 0) {
-            return forwarding.settings().resendWait();
+            return forwarding.settings().maxResendWait();
         }
-        if (!call.waited().isZero()) {
+        if (!call.earlierWait().isZero()) {
             // Longer, and in a long peak those who come back would take every slot too late for
             // themselves and for all who are new.
-            return call.route().objective();
+            return call.route().latencyObjective();
         }
-        Duration left = call.route().objective().minusNanos(now - arrivedAt);
+        Duration left = call.route().latencyObjective().minusNanos(now - arrivedAt);
         // What is kept for them is what lets those who were refused once be served in time.
-        return left.minus(forwarding.settings().keptForReturners());
+        return left.minus(forwarding.settings().retryReserve());
     }
 
-    private void onNoPlace(Choice.Refuse refusal, long now) {
+    private void onNoPlace(Choice.Refused refusal, long now) {
         if (overall != RunOutcome.NOT_RUN || headPassed) {
-            fail(refusal.noTarget() ? "no other target" : "no room at another target");
+            fail(refusal.hasNoTarget() ? "no other target" : "no room at another target");
             return;
         }
         Duration left = timeLeft(now);
-        Duration untilRoom = refusal.noTarget() ? UNTIL_TARGET : refusal.retryAfter();
+        Duration untilRoom = refusal.hasNoTarget() ? UNTIL_TARGET : refusal.retryAfter();
         Duration back =
                 forwarding
-                        .returns()
-                        .next(
+                        .retryTimes()
+                        .nextRetryAfter(
                                 untilRoom,
-                                forwarding.slotsPerSecond(now),
+                                forwarding.freedSlotsPerSecond(now),
                                 left.dividedBy(RETURN_WITHIN_PART),
                                 call.fingerprint(),
                                 now);
-        Kind kind = refusal.noTarget() ? Kind.NO_TARGET : Kind.NO_ROOM;
+        Kind kind = refusal.hasNoTarget() ? Kind.NO_TARGET : Kind.NO_ROOM;
         String detail = noPlaceDetail(refusal, now);
         end(kind.label());
-        Refusals.send(exchange, kind, call.id(), detail, back);
+        ErrorResponses.send(exchange, kind, call.id(), detail, back);
     }
 
     /** What the refusal rests on, for the log and the caller. */
-    private String noPlaceDetail(Choice.Refuse refusal, long now) {
-        List<TargetLoad> loads = forwarding.table().loads(call.service(), tried, now);
+    private String noPlaceDetail(Choice.Refused refusal, long now) {
+        List<TargetLoad> loads = forwarding.targets().usableLoads(call.service(), tried, now);
         int slots = loads.stream().mapToInt(TargetLoad::slots).sum();
-        int online = loads.stream().mapToInt(load -> load.use().online()).sum();
-        int batch = loads.stream().mapToInt(load -> load.use().batch()).sum();
+        int online = loads.stream().mapToInt(load -> load.calls().online()).sum();
+        int batch = loads.stream().mapToInt(load -> load.calls().batch()).sum();
         return "sends %d, waited %d ms, %d targets, %d slots, online %d, batch %d, late by %d ms"
                 .formatted(
                         sends,
-                        call.waited().toMillis(),
+                        call.earlierWait().toMillis(),
                         loads.size(),
                         slots,
                         online,
@@ -171,11 +171,11 @@
     }
 
     private void send(TargetLoad load, long now) {
-        Target target = forwarding.table().find(load.id()).orElseThrow();
+        Target target = forwarding.targets().find(load.id()).orElseThrow();
         sends++;
         tried.add(target.id());
-        forwarding.network().board().onOwn(target.id(), ONE_CALL);
-        forwarding.network().changed();
+        forwarding.network().targetLoads().onOwnCallsChanged(target.id(), ONE_CALL);
+        forwarding.network().onLocalChange();
         TargetAttempt next = new TargetAttempt(this, target, load, now);
         attempt = next;
         next.start(forwarding.client(), httpCall(target, now));
@@ -186,7 +186,7 @@
         List<Map.Entry<String, String>> headers =
                 new ArrayList<>(forwarding.headers().toTarget(exchange.headers()));
         headers.removeIf(header -> header.getKey().equalsIgnoreCase(names.lastEventId()));
-        lastEvent.ifPresent(id -> headers.add(Map.entry(names.lastEventId(), Long.toString(id))));
+        lastEventId.ifPresent(id -> headers.add(Map.entry(names.lastEventId(), Long.toString(id))));
         long leftMs = Math.max(1, timeLeft(now).toMillis());
         headers.add(Map.entry(names.deadlineMs(), Long.toString(leftMs)));
         headers.add(Map.entry(names.expectedTarget(), target.id()));
@@ -210,31 +210,32 @@
         if (current == null) {
             return;
         }
-        long silent = now - current.progressAt();
+        long silent = now - current.lastProgressAt();
         if (silent >= stallLimit(current)) {
             onStall(current, silent, now);
         }
     }
 
     private long stallLimit(TargetAttempt which) {
-        long least = forwarding.settings().stall().toNanos();
+        long least = forwarding.settings().stallTimeout().toNanos();
         var health = which.target().health();
         return which.hasEvents()
-                ? Math.max(least, PAUSES_TO_STALL * health.gapNanos())
-                : which.load().waitNanos() + Math.max(least, 2 * health.firstNanos());
+                ? Math.max(least, PAUSES_TO_STALL * health.eventGapNanos())
+                : which.load().expectedWaitNanos()
+                        + Math.max(least, 2 * health.timeToFirstEventNanos());
     }
 
     /** Moves the call where another target has a slot for it; otherwise waits on. */
     private void onStall(TargetAttempt which, long silent, long now) {
         Target target = which.target();
-        if (now - target.answeredAt() >= stallLimit(which)) {
-            forwarding.table().onSilent(target, "no byte for " + silent / 1_000_000 + " ms");
+        if (now - target.lastBytesAt() >= stallLimit(which)) {
+            forwarding.targets().onSilent(target, "no byte for " + silent / 1_000_000 + " ms");
         }
         boolean mayMove = call.route().mayRepeat() && runs + 1 < call.route().maxAttempts();
         boolean hasPlace =
                 mayMove
-                        && forwarding.table().loads(call.service(), tried, now).stream()
-                                .anyMatch(load -> load.freeForOnline() > 0);
+                        && forwarding.targets().usableLoads(call.service(), tried, now).stream()
+                                .anyMatch(load -> load.freeSlotsForOnline() > 0);
         if (hasPlace) {
             which.cancel();
             onAttemptFailed(which, RunOutcome.UNKNOWN, "silent for " + silent / 1_000_000 + " ms");
@@ -242,41 +243,41 @@
     }
 
     /** The first bytes that the caller gets from an answer. */
-    void passHead(TargetAttempt from) {
+    void forwardHead(TargetAttempt from) {
         if (!headPassed) {
             headPassed = true;
             exchange.start(from.status(), forwarding.headers().toCaller(from.headers()));
         }
     }
 
-    void passEvents(TargetAttempt from, List<StreamEvent> received) {
-        passHead(from);
+    void forwardEvents(TargetAttempt from, List<StreamEvent> received) {
+        forwardHead(from);
         long now = forwarding.now();
         if (events == 0) {
             firstEventAt = now;
-            GatewayMetrics.firstEvent(call.route().name(), now - arrivedAt);
+            GatewayMetrics.recordFirstEvent(call.route().name(), now - arrivedAt);
         }
         events += received.size();
-        lastEvent = OptionalLong.of(received.get(received.size() - 1).id());
+        lastEventId = OptionalLong.of(received.get(received.size() - 1).id());
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        received.forEach(event -> bytes.writeBytes(event.raw()));
+        received.forEach(event -> bytes.writeBytes(event.rawBytes()));
         exchange.write(bytes.toByteArray());
     }
 
     /** The stream has come to its end. */
     void onStreamEnd(TargetAttempt from) {
         release(from, "done");
-        passHead(from);
+        forwardHead(from);
         end("done");
         exchange.end();
         log("call.done", from);
     }
 
     /** A whole answer that is no stream has come. */
-    void onWhole(TargetAttempt from, byte[] body) {
+    void onCompleteResponse(TargetAttempt from, byte[] body) {
         boolean failed = from.status() >= FIRST_SERVER_ERROR;
         if (failed) {
-            forwarding.table().onFailure(from.target());
+            forwarding.targets().onCallFailed(from.target());
         }
         boolean again =
                 failed && call.route().mayRepeat() && canSendAgain(RunOutcome.RUN, runs + 1);
@@ -297,7 +298,7 @@
         if (outcome != RunOutcome.NOT_RUN) {
             runs++;
         }
-        overall = overall.and(outcome);
+        overall = overall.combine(outcome);
         Event.of("call.attempt_failed")
                 .with("call", call.id())
                 .with("target", from.target().id())
@@ -305,8 +306,8 @@
                 .with("outcome", outcome.label())
                 .with("events", events)
                 .with("runs", runs)
-                .with("load_online", from.load().use().online())
-                .with("load_batch", from.load().use().batch())
+                .with("load_online", from.load().calls().online())
+                .with("load_batch", from.load().calls().batch())
                 .info();
         if (canSendAgain(overall, runs)) {
             place();
@@ -316,10 +317,10 @@
     }
 
     private boolean canSendAgain(RunOutcome soFar, int runsSoFar) {
-        return soFar.allowsRetry(call.route().mayRepeat())
+        return soFar.mayRetry(call.route().mayRepeat())
                 && runsSoFar < call.route().maxAttempts()
                 && sends < MAX_SENDS
-                && (!headPassed || call.route().resumable())
+                && (!headPassed || call.route().isResumable())
                 && !timeLeft(forwarding.now()).isZero();
     }
 
@@ -338,11 +339,11 @@
             Duration back = timeLeft(forwarding.now()).dividedBy(RETURN_WITHIN_PART);
             Duration soon = UNTIL_TARGET.compareTo(back) < 0 ? UNTIL_TARGET : back;
             end(Kind.NO_ROOM.label());
-            Refusals.send(exchange, Kind.NO_ROOM, call.id(), reason, soon);
+            ErrorResponses.send(exchange, Kind.NO_ROOM, call.id(), reason, soon);
             return;
         }
         end(Kind.TARGET_FAILED.label());
-        Refusals.send(exchange, Kind.TARGET_FAILED, call.id(), reason);
+        ErrorResponses.send(exchange, Kind.TARGET_FAILED, call.id(), reason);
     }
 
     private void onTimeout() {
@@ -354,7 +355,7 @@
             fail("the call's time ran out");
         } else {
             end(Kind.TIMED_OUT.label());
-            Refusals.send(exchange, Kind.TIMED_OUT, call.id(), "sends " + sends);
+            ErrorResponses.send(exchange, Kind.TIMED_OUT, call.id(), "sends " + sends);
         }
     }
 
@@ -381,9 +382,9 @@
             return;
         }
         attempt = null;
-        GatewayMetrics.attempt(how);
-        forwarding.network().board().onOwn(from.target().id(), ONE_CALL_LESS);
-        forwarding.network().freed();
+        GatewayMetrics.recordAttempt(how);
+        forwarding.network().targetLoads().onOwnCallsChanged(from.target().id(), ONE_CALL_LESS);
+        forwarding.network().onSlotFreed();
     }
 
     private void end(String result) {
@@ -391,8 +392,8 @@
         if (timeout != null) {
             timeout.cancel(false);
         }
-        forwarding.stalls().remove(this);
-        GatewayMetrics.ended(call.route().name(), result, forwarding.now() - arrivedAt);
+        forwarding.stallDetector().remove(this);
+        GatewayMetrics.recordCall(call.route().name(), result, forwarding.now() - arrivedAt);
     }
 
     private void log(String event, @Nullable TargetAttempt from) {
@@ -406,7 +407,7 @@
                 .with("status", from == null ? 0 : from.status())
                 .with("sends", sends)
                 .with("events", events)
-                .with("waited_ms", call.waited().toMillis())
+                .with("waited_ms", call.earlierWait().toMillis())
                 .with("first_ms", firstEventAt == 0 ? -1 : millis(firstEventAt - arrivedAt))
                 .with("total_ms", millis(now - arrivedAt))
                 .info();
@@ -416,7 +417,7 @@
         return TimeUnit.NANOSECONDS.toMillis(nanos);
     }
 
-    Forwarding forwarding() {
+    ForwardingContext forwarding() {
         return forwarding;
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedHeaders.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedHeaders.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import java.util.stream.StreamSupport;
-import org.sardinelift.gateway.CallHeaders;
+import org.sardinelift.gateway.HeaderNames;
 
 /** Which headers of a call and of its answer are passed on (RFC 9110, section 7.6.1). */
 final class ForwardedHeaders {
@@ -31,10 +31,10 @@
     /** The caller's key ends here, in whatever header a target would accept it. */
     private static final String KEY_HEADER = "authorization";
 
-    private final CallHeaders names;
+    private final HeaderNames names;
     private final Set<String> own;
 
-    ForwardedHeaders(CallHeaders names, Set<String> reserved) {
+    ForwardedHeaders(HeaderNames names, Set<String> reserved) {
         this.names = names;
         this.own = new HashSet<>(reserved);
         own.add(KEY_HEADER);
@@ -43,7 +43,7 @@
         own.add(lower(names.deadlineMs()));
     }
 
-    CallHeaders names() {
+    HeaderNames names() {
         return names;
     }
 
--- a/gateway/src/main/java/org/sardinelift/gateway/call/Forwarding.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ForwardingContext.java
@@ -2,9 +2,9 @@
 
 import io.netty.channel.EventLoop;
 import org.sardinelift.core.load.Placement;
-import org.sardinelift.core.load.ReturnTimes;
+import org.sardinelift.core.load.RetryAfterSchedule;
 import org.sardinelift.core.peer.PeerRole;
-import org.sardinelift.core.poison.DeathTally;
+import org.sardinelift.core.poison.TargetDeathCounter;
 import org.sardinelift.gateway.GatewaySettings;
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpClient;
@@ -23,17 +23,17 @@
  * @param headers which headers are passed on
  * @param stalls looks for targets that have fallen silent
  */
-record Forwarding(
+record ForwardingContext(
         GatewaySettings settings,
         EventLoop loop,
         HttpClient client,
-        TargetTable table,
+        TargetTable targets,
         PeerNetwork network,
         Placement placement,
-        ReturnTimes returns,
-        DeathTally deaths,
+        RetryAfterSchedule retryTimes,
+        TargetDeathCounter deaths,
         ForwardedHeaders headers,
-        StallWatch stalls) {
+        StallDetector stallDetector) {
     private static final double NANOS_PER_SECOND = 1e9;
 
     long now() {
@@ -41,16 +41,16 @@
     }
 
     /** Slots that become free for callers of this gateway in a second. */
-    double slotsPerSecond(long now) {
+    double freedSlotsPerSecond(long now) {
         double slotsPerNano =
-                table.all().stream()
+                targets.all().stream()
                         .filter(target -> target.health().isUsable(now))
                         .mapToDouble(
                                 target ->
                                         (double) target.entry().slots()
                                                 / Math.max(1, target.health().callNanos()))
                         .sum();
-        long gateways = 1 + network.book().live(PeerRole.GATEWAY, now).count();
+        long gateways = 1 + network.peers().livePeers(PeerRole.GATEWAY, now).count();
         return slotsPerNano * NANOS_PER_SECOND / gateways;
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/GatewayMetrics.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/GatewayMetrics.java
@@ -36,16 +36,16 @@
 
     private GatewayMetrics() {}
 
-    static void ended(String route, String result, long nanos) {
+    static void recordCall(String route, String result, long nanos) {
         CALLS.labelValues(route, result).inc();
         WHOLE.labelValues(route).observe(nanos / NANOS_PER_SECOND);
     }
 
-    static void attempt(String end) {
+    static void recordAttempt(String end) {
         ATTEMPTS.labelValues(end).inc();
     }
 
-    static void firstEvent(String route, long nanos) {
+    static void recordFirstEvent(String route, long nanos) {
         FIRST_EVENT.labelValues(route).observe(nanos / NANOS_PER_SECOND);
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/JobProxy.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/JobProxy.java
@@ -9,8 +9,8 @@
 import org.sardinelift.core.peer.Peer;
 import org.sardinelift.core.peer.PeerRole;
 import org.sardinelift.core.plan.RoutePlan;
-import org.sardinelift.gateway.call.Refusals.Kind;
-import org.sardinelift.gateway.job.JobInterface.JobCall;
+import org.sardinelift.gateway.call.ErrorResponses.Kind;
+import org.sardinelift.gateway.job.JobApi.JobCall;
 import org.sardinelift.gateway.job.JobPaths;
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpAnswer;
@@ -47,7 +47,7 @@
 
     void submit(HttpExchange exchange, String job, String team, RoutePlan route) {
         String host = exchange.header("host") == null ? "" : exchange.header("host");
-        String uri = JobPaths.submit(job, team, route.name(), host);
+        String uri = JobPaths.submitUri(job, team, route.name(), host);
         new Pass(exchange, job, "POST", uri, exchange.body(), SUBMIT_TIMEOUT).next();
     }
 
@@ -55,7 +55,7 @@
         long waitMs = call instanceof JobCall.Results results ? results.waitMs() : 0;
         String method = call instanceof JobCall.End ? "DELETE" : "GET";
         Duration timeout = READ_TIMEOUT.plusMillis(waitMs);
-        new Pass(exchange, call.job(), method, JobPaths.of(call, team), new byte[0], timeout)
+        new Pass(exchange, call.job(), method, JobPaths.callUri(call, team), new byte[0], timeout)
                 .next();
     }
 
@@ -85,8 +85,8 @@
             this.body = body;
             this.timeout = timeout;
             this.workers =
-                    network.book()
-                            .inOrder(PeerRole.WORKER, zone, draw++, System.nanoTime())
+                    network.peers()
+                            .inPreferenceOrder(PeerRole.WORKER, zone, draw++, System.nanoTime())
                             .iterator();
         }
 
@@ -107,7 +107,7 @@
 
         private void refuse() {
             Kind kind = mayBeStored ? Kind.WORKER_FAILED : Kind.NO_WORKER;
-            Refusals.send(
+            ErrorResponses.send(
                     exchange,
                     kind,
                     job,
--- a/gateway/src/main/java/org/sardinelift/gateway/call/StatedLoad.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/LoadHeader.java
@@ -6,10 +6,10 @@
 import org.tinylog.Logger;
 
 /** The load that targets state with their answers: running calls, waiting calls, slots. */
-public final class StatedLoad {
+public final class LoadHeader {
     private static final int FIELDS = 3;
 
-    private StatedLoad() {}
+    private LoadHeader() {}
 
     /**
      * Reads a stated load.
--- a/gateway/src/main/java/org/sardinelift/gateway/call/StallWatch.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/StallDetector.java
@@ -11,24 +11,24 @@
  * Looks at all calls under way with one timer; a timer for each call would wake the process more
  * often than the events of its streams do. On the event loop.
  */
-final class StallWatch {
+final class StallDetector {
     /** A fraction of the least silence after which a call is moved. */
     private static final Duration INTERVAL = Duration.ofMillis(40);
 
     private final EventLoop loop;
-    private final Set<ForwardRun> runs = new LinkedHashSet<>();
+    private final Set<ForwardedCall> runs = new LinkedHashSet<>();
     private boolean scheduled;
 
-    StallWatch(EventLoop loop) {
+    StallDetector(EventLoop loop) {
         this.loop = loop;
     }
 
-    void add(ForwardRun run) {
+    void add(ForwardedCall run) {
         runs.add(run);
         schedule();
     }
 
-    void remove(ForwardRun run) {
+    void remove(ForwardedCall run) {
         runs.remove(run);
     }
 
--- a/gateway/src/main/java/org/sardinelift/gateway/call/TargetAttempt.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/TargetAttempt.java
@@ -6,9 +6,9 @@
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.core.load.TargetLoad;
 import org.sardinelift.core.outcome.RunOutcome;
-import org.sardinelift.core.stream.EventReader;
+import org.sardinelift.core.stream.EventStreamParser;
 import org.sardinelift.core.stream.StreamEvent;
-import org.sardinelift.gateway.CallHeaders;
+import org.sardinelift.gateway.HeaderNames;
 import org.sardinelift.gateway.call.TargetTable.Target;
 import org.sardinelift.http.HttpAnswerListener;
 import org.sardinelift.http.HttpCall;
@@ -20,25 +20,25 @@
     private static final int SUCCESS_CLASS = 2;
     private static final int CLASS_SIZE = 100;
 
-    private final ForwardRun run;
+    private final ForwardedCall run;
     private final Target target;
     private final TargetLoad load;
     private final long sentAt;
     private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
     private Runnable canceller = () -> {};
-    private long progressAt;
+    private long lastProgressAt;
     private long firstEventAt;
     private int events;
     private int status;
     private List<Map.Entry<String, String>> headers = List.of();
-    private @Nullable EventReader reader;
+    private @Nullable EventStreamParser reader;
 
-    TargetAttempt(ForwardRun run, Target target, TargetLoad load, long sentAt) {
+    TargetAttempt(ForwardedCall run, Target target, TargetLoad load, long sentAt) {
         this.run = run;
         this.target = target;
         this.load = load;
         this.sentAt = sentAt;
-        this.progressAt = sentAt;
+        this.lastProgressAt = sentAt;
     }
 
     void start(HttpClient client, HttpCall call) {
@@ -66,8 +66,8 @@
         return headers;
     }
 
-    long progressAt() {
-        return progressAt;
+    long lastProgressAt() {
+        return lastProgressAt;
     }
 
     boolean hasEvents() {
@@ -82,7 +82,7 @@
         status = answered;
         headers = fields;
         onBytes();
-        CallHeaders names = run.forwarding().headers().names();
+        HeaderNames names = run.forwarding().headers().names();
         String echoed = header(names.callId());
         if (echoed != null && !echoed.equals(run.call().id())) {
             fail("the answer belongs to call " + echoed);
@@ -94,26 +94,26 @@
             fail("the answer has no signature");
         } else if (succeeded && run.isStream()) {
             reader =
-                    run.lastEvent().isPresent()
-                            ? EventReader.after(run.lastEvent().getAsLong())
-                            : EventReader.fromStart();
+                    run.lastEventId().isPresent()
+                            ? EventStreamParser.resumingAfter(run.lastEventId().getAsLong())
+                            : EventStreamParser.fromStart();
         }
     }
 
     private void noteLoad(@Nullable String stated) {
-        StatedLoad.parse(stated)
+        LoadHeader.parse(stated)
                 .ifPresent(
                         calls ->
                                 run.forwarding()
                                         .network()
-                                        .board()
-                                        .onStated(target.id(), calls, run.forwarding().now()));
+                                        .targetLoads()
+                                        .onTargetLoad(target.id(), calls, run.forwarding().now()));
     }
 
     private void onBytes() {
         long now = run.forwarding().now();
-        progressAt = now;
-        target.onBytes(now);
+        lastProgressAt = now;
+        target.onBytesReceived(now);
     }
 
     @Override
@@ -126,10 +126,10 @@
             whole.writeBytes(part);
             return;
         }
-        List<StreamEvent> received = reader.read(part);
+        List<StreamEvent> received = reader.parse(part);
         if (!received.isEmpty()) {
             noteEvents(received.size());
-            run.passEvents(this, received);
+            run.forwardEvents(this, received);
         }
         if (reader.fault().isPresent()) {
             fail(reader.fault().get());
@@ -138,9 +138,9 @@
 
     private void noteEvents(int count) {
         if (events == 0) {
-            firstEventAt = progressAt;
-            if (load.free() > 0) {
-                target.health().onFirstEvent(progressAt - sentAt);
+            firstEventAt = lastProgressAt;
+            if (load.freeSlots() > 0) {
+                target.health().onFirstEvent(lastProgressAt - sentAt);
             }
         }
         events += count;
@@ -152,18 +152,18 @@
             return;
         }
         onBytes();
-        CallHeaders names = run.forwarding().headers().names();
+        HeaderNames names = run.forwarding().headers().names();
         if (status == MISDIRECTED) {
-            run.forwarding().table().onMisdirected(target);
+            run.forwarding().targets().onMisdirected(target);
             run.onAttemptFailed(this, RunOutcome.NOT_RUN, "another target has the address");
         } else if (header(names.notRun()) != null) {
             run.onAttemptFailed(this, RunOutcome.NOT_RUN, "refused with status " + status);
         } else if (reader == null) {
-            run.onWhole(this, whole.toByteArray());
-        } else if (reader.isWithinEvent()) {
+            run.onCompleteResponse(this, whole.toByteArray());
+        } else if (reader.hasPartialEvent()) {
             fail("the stream ends within an event");
         } else {
-            target.health().onDone(progressAt - firstEventAt, events - 1);
+            target.health().onSuccess(lastProgressAt - firstEventAt, events - 1);
             run.onStreamEnd(this);
         }
     }
@@ -175,10 +175,10 @@
         }
         String reason = String.valueOf(cause.getMessage() == null ? cause : cause.getMessage());
         if (mayHaveRun) {
-            run.forwarding().table().onBroken(target, run.call().fingerprint());
+            run.forwarding().targets().onConnectionBroken(target, run.call().fingerprint());
             run.onAttemptFailed(this, RunOutcome.UNKNOWN, reason);
         } else {
-            run.forwarding().table().onSilent(target, reason);
+            run.forwarding().targets().onSilent(target, reason);
             run.onAttemptFailed(this, RunOutcome.NOT_RUN, reason);
         }
     }
@@ -186,7 +186,7 @@
     /** The answer can't be used; what the target goes on to send belongs to no call. */
     private void fail(String reason) {
         cancel();
-        run.forwarding().table().onFailure(target);
+        run.forwarding().targets().onCallFailed(target);
         run.onAttemptFailed(this, RunOutcome.UNKNOWN, reason);
     }
 
--- a/gateway/src/main/java/org/sardinelift/gateway/call/TargetTable.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/TargetTable.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
-import org.sardinelift.core.load.LoadBoard;
+import org.sardinelift.core.load.LoadTracker;
 import org.sardinelift.core.load.TargetHealth;
 import org.sardinelift.core.load.TargetLoad;
-import org.sardinelift.core.plan.TargetEntry;
+import org.sardinelift.core.plan.RegisteredTarget;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.runtime.log.Event;
@@ -30,7 +30,7 @@
 
     private static final int OK = 200;
 
-    private final LoadBoard board;
+    private final LoadTracker board;
     private final HttpClient client;
     private final EventLoop loop;
     private final String probePath;
@@ -52,14 +52,14 @@
 
     /** A target: how it registered itself and how its calls went. */
     public static final class Target {
-        private TargetEntry entry;
+        private RegisteredTarget entry;
         private final TargetHealth health;
         private final Map<Long, Long> broken = new HashMap<>();
         private boolean misdirected;
         private boolean verifying;
-        private long answeredAt;
+        private long lastBytesAt;
 
-        private Target(TargetEntry entry, TargetHealth health) {
+        private Target(RegisteredTarget entry, TargetHealth health) {
             this.entry = entry;
             this.health = health;
         }
@@ -69,7 +69,7 @@
          *
          * @return its entry
          */
-        public TargetEntry entry() {
+        public RegisteredTarget entry() {
             return entry;
         }
 
@@ -96,8 +96,8 @@
          *
          * @param now the time, nanoseconds
          */
-        public void onBytes(long now) {
-            answeredAt = now;
+        public void onBytesReceived(long now) {
+            lastBytesAt = now;
         }
 
         /**
@@ -105,13 +105,13 @@
          *
          * @return the time, nanoseconds; 0 before the first
          */
-        public long answeredAt() {
-            return answeredAt;
+        public long lastBytesAt() {
+            return lastBytesAt;
         }
     }
 
     private TargetTable(
-            LoadBoard board,
+            LoadTracker board,
             HttpClient client,
             EventLoop loop,
             String probePath,
@@ -137,7 +137,7 @@
      * @return the table
      */
     public static TargetTable create(
-            LoadBoard board,
+            LoadTracker board,
             HttpClient client,
             EventLoop loop,
             String probePath,
@@ -151,7 +151,7 @@
      *
      * @param listener the listener
      */
-    public void onDeaths(DeathListener listener) {
+    public void setDeathListener(DeathListener listener) {
         deathListener = listener;
     }
 
@@ -160,16 +160,16 @@
      *
      * @param entries entries by name
      */
-    public void update(Map<String, TargetEntry> entries) {
+    public void update(Map<String, RegisteredTarget> entries) {
         targets.keySet().retainAll(entries.keySet());
         entries.values().forEach(this::put);
     }
 
-    private void put(TargetEntry entry) {
+    private void put(RegisteredTarget entry) {
         Target known = targets.get(entry.id());
         boolean sameLife =
                 known != null
-                        && known.entry.bornMs() == entry.bornMs()
+                        && known.entry.startedAtMs() == entry.startedAtMs()
                         && known.entry.host().equals(entry.host())
                         && known.entry.port() == entry.port();
         if (sameLife) {
@@ -210,7 +210,7 @@
      * @param now the time, nanoseconds
      * @return their loads
      */
-    public List<TargetLoad> loads(String service, Set<String> without, long now) {
+    public List<TargetLoad> usableLoads(String service, Set<String> without, long now) {
         return targets.values().stream()
                 .filter(target -> target.entry.service().equals(service))
                 .filter(target -> !without.contains(target.id()))
@@ -225,7 +225,7 @@
      * @param now the time, nanoseconds
      * @return their loads
      */
-    public List<TargetLoad> loads(long now) {
+    public List<TargetLoad> usableLoads(long now) {
         return targets.values().stream()
                 .filter(target -> isOpen(target, now))
                 .map(target -> load(target, now))
@@ -233,7 +233,7 @@
     }
 
     private static boolean isOpen(Target target, long now) {
-        return !target.entry.leaving() && !target.misdirected && target.health.isUsable(now);
+        return !target.entry.isLeaving() && !target.misdirected && target.health.isUsable(now);
     }
 
     /**
@@ -248,9 +248,9 @@
                 target.id(),
                 target.entry.zone(),
                 target.entry.slots(),
-                board.use(target.id(), now),
+                board.knownCalls(target.id(), now),
                 target.health.callNanos(),
-                target.health.firstNanos());
+                target.health.timeToFirstEventNanos());
     }
 
     /**
@@ -290,8 +290,8 @@
      * @param target the target
      * @param request hash of the request
      */
-    public void onBroken(Target target, long request) {
-        onFailure(target);
+    public void onConnectionBroken(Target target, long request) {
+        onCallFailed(target);
         target.broken.put(request, System.nanoTime());
         if (target.verifying) {
             return;
@@ -309,7 +309,7 @@
 
     private void probe(Target target) {
         boolean registered = targets.get(target.id()) == target;
-        if (!registered || !target.health.startProbe(System.nanoTime())) {
+        if (!registered || !target.health.tryStartProbe(System.nanoTime())) {
             return;
         }
         client.call(probeCall(target))
@@ -332,7 +332,7 @@
 
     private void onProbe(Target target, @Nullable Integer status) {
         boolean answered = status != null && status == OK;
-        target.health.onProbe(answered, System.nanoTime());
+        target.health.onProbeEnded(answered, System.nanoTime());
         if (answered) {
             Event.of("target.answers").with("target", target.id()).info();
             return;
@@ -345,7 +345,7 @@
      *
      * @param target the target
      */
-    public void onFailure(Target target) {
+    public void onCallFailed(Target target) {
         if (target.health.onFailure(System.nanoTime())) {
             Event.of("target.paused").with("target", target.id()).warn();
         }
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/InstanceFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/InstanceFeed.java
@@ -34,7 +34,7 @@
     private final Endpoint address;
     private final ObjectStore store;
     private final ControlThread control;
-    private final StoreContact contact;
+    private final StoreAvailability contact;
     private final Listener listener;
 
     /** Takes the addresses of other instances, on the control thread. */
@@ -46,7 +46,7 @@
          * @param role what it does
          * @param address where it takes reports
          */
-        void onInstance(String name, PeerRole role, Endpoint address);
+        void onInstanceRegistered(String name, PeerRole role, Endpoint address);
     }
 
     private InstanceFeed(
@@ -55,7 +55,7 @@
             Endpoint address,
             ObjectStore store,
             ControlThread control,
-            StoreContact contact,
+            StoreAvailability contact,
             Listener listener) {
         this.instance = instance;
         this.role = role;
@@ -84,7 +84,7 @@
             Endpoint address,
             ObjectStore store,
             ControlThread control,
-            StoreContact contact,
+            StoreAvailability contact,
             Listener listener) {
         return new InstanceFeed(instance, role, address, store, control, contact, listener);
     }
@@ -99,7 +99,7 @@
     }
 
     private void onList(ListResult result) {
-        contact.note(result);
+        contact.onResult(result);
         if (!(result instanceof ListResult.Listed listed)) {
             control.schedule(RETRY, this::list);
             return;
@@ -122,7 +122,7 @@
     }
 
     private void onRegistered(WriteResult result) {
-        contact.note(result);
+        contact.onResult(result);
         boolean done = result instanceof WriteResult.Written;
         if (done) {
             Event.of("instance.registered").with("address", address.toString()).info();
@@ -151,10 +151,11 @@
         try {
             JsonNode node = MAPPER.readTree(object.value());
             PeerRole peerRole =
-                    PeerRole.labelled(node.path("role").asText())
+                    PeerRole.fromLabel(node.path("role").asText())
                             .orElseThrow(() -> new IllegalArgumentException("an unknown role"));
             String host = Objects.requireNonNull(node.path("host").textValue(), "no host");
-            listener.onInstance(name, peerRole, new Endpoint(host, node.path("port").asInt()));
+            listener.onInstanceRegistered(
+                    name, peerRole, new Endpoint(host, node.path("port").asInt()));
         } catch (JsonProcessingException | RuntimeException e) {
             Logger.warn("The registration of instance {} can't be read: {}", name, e.getMessage());
         }
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/PeerSnapshots.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/PeerSnapshots.java
@@ -91,7 +91,7 @@
 
     /** Starts to compare with peers. */
     public void start() {
-        network.listen(this);
+        network.addListener(this);
         loop.schedule(this::lookAtTargets, ASK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
@@ -103,7 +103,7 @@
      */
     public boolean handle(HttpExchange exchange) {
         if (exchange.path().equals(PLAN_PATH)) {
-            PlanFeed.Held held = plan.held();
+            PlanFeed.CurrentPlan held = plan.current();
             if (held == null) {
                 exchange.respond(UNAVAILABLE, Map.of(), new byte[0]);
             } else {
@@ -133,7 +133,9 @@
                                 fetchingPlan = false;
                                 if (answer != null && answer.status() == OK) {
                                     control.execute(
-                                            () -> plan.offer(answer.text(), "peer " + peer.name()));
+                                            () ->
+                                                    plan.applyIfNewer(
+                                                            answer.text(), "peer " + peer.name()));
                                 }
                             });
         }
@@ -147,11 +149,11 @@
         }
         long readAt = peer.targetsReadAt().getAsLong();
         boolean isNewer = readAt - held.readAt() > 0;
-        if (isNewer && peer.targetsChanged() == held.changed()) {
-            control.execute(() -> targets.confirm(held.changed(), readAt));
+        if (isNewer && peer.targetsRevision() == held.changedRevision()) {
+            control.execute(() -> targets.confirmUnchanged(held.changedRevision(), readAt));
         } else if (isNewer
                 && peer.zone().equals(zone)
-                && peer.targetsChanged() > held.changed()
+                && peer.targetsRevision() > held.changedRevision()
                 && !fetchingTargets) {
             fetchingTargets = true;
             askForTargets(peer);
@@ -166,15 +168,15 @@
         long now = System.nanoTime();
         Optional<Peer> peer =
                 Stream.of(PeerRole.values())
-                        .flatMap(role -> network.book().live(role, now))
+                        .flatMap(role -> network.peers().livePeers(role, now))
                         .skip(asked++ % Math.max(1, livePeers(now)))
                         .findFirst();
         peer.ifPresent(this::askForTargets);
     }
 
     private long livePeers(long now) {
-        return network.book().all().stream()
-                .filter(peer -> network.book().isLive(peer, now) && !peer.leaving())
+        return network.peers().all().stream()
+                .filter(peer -> network.peers().isLive(peer, now) && !peer.isLeaving())
                 .count();
     }
 
@@ -193,7 +195,7 @@
     private void takeTargets(Peer peer, String text, long receivedAt) {
         try {
             TargetFeed.Snapshot theirs = SnapshotJson.read(text, receivedAt);
-            targets.offer(theirs, "peer " + peer.name());
+            targets.applyIfNewer(theirs, "peer " + peer.name());
         } catch (JsonProcessingException e) {
             Event.of("targets.unreadable")
                     .with("peer", peer.name())
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/PlanFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/PlanFeed.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.core.plan.ServingPlan;
-import org.sardinelift.gateway.Adapter;
-import org.sardinelift.gateway.Adapter.Decoded;
+import org.sardinelift.gateway.PlatformAdapter;
+import org.sardinelift.gateway.PlatformAdapter.Decoded;
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.StoredObject;
@@ -28,13 +28,13 @@
     /** Time between looks whether another instance still reads; a part of the bound for changes. */
     private static final Duration LOOK = Duration.ofMillis(100);
 
-    private final Adapter adapter;
+    private final PlatformAdapter adapter;
     private final ObjectStore store;
     private final ControlThread control;
-    private final StoreContact contact;
+    private final StoreAvailability contact;
     private final Consumer<ServingPlan> listener;
-    private final ReadDuty duty;
-    private volatile @Nullable Held held;
+    private final ReadPolicy duty;
+    private volatile @Nullable CurrentPlan current;
     private volatile long confirmedAt;
 
     /**
@@ -43,14 +43,14 @@
      * @param plan decoded
      * @param value as stored
      */
-    public record Held(ServingPlan plan, String value) {}
+    public record CurrentPlan(ServingPlan plan, String value) {}
 
     private PlanFeed(
-            Adapter adapter,
+            PlatformAdapter adapter,
             ObjectStore store,
             ControlThread control,
-            StoreContact contact,
-            ReadDuty duty,
+            StoreAvailability contact,
+            ReadPolicy duty,
             Consumer<ServingPlan> listener) {
         this.duty = duty;
         this.adapter = adapter;
@@ -72,11 +72,11 @@
      * @return the feed, not started
      */
     public static PlanFeed of(
-            Adapter adapter,
+            PlatformAdapter adapter,
             ObjectStore store,
             ControlThread control,
-            StoreContact contact,
-            ReadDuty duty,
+            StoreAvailability contact,
+            ReadPolicy duty,
             Consumer<ServingPlan> listener) {
         return new PlanFeed(adapter, store, control, contact, duty, listener);
     }
@@ -91,8 +91,8 @@
      *
      * @return the newest known, or null before the first; safe for any thread
      */
-    public @Nullable Held held() {
-        return held;
+    public @Nullable CurrentPlan current() {
+        return current;
     }
 
     /**
@@ -101,7 +101,7 @@
      * @return the version, 0 before the first; safe for any thread
      */
     public long version() {
-        Held now = held;
+        CurrentPlan now = current;
         return now == null ? 0 : now.plan().version();
     }
 
@@ -120,8 +120,8 @@
      * @param value the value
      * @param source where it came from, for the log
      */
-    public void offer(String value, String source) {
-        Decoded<ServingPlan> decoded = adapter.plan(value);
+    public void applyIfNewer(String value, String source) {
+        Decoded<ServingPlan> decoded = adapter.decodePlan(value);
         if (decoded instanceof Decoded.Unreadable<ServingPlan> unreadable) {
             Event.of("plan.unreadable")
                     .with("source", source)
@@ -130,12 +130,12 @@
                     .error();
             return;
         }
-        ServingPlan plan = ((Decoded.Read<ServingPlan>) decoded).value();
+        ServingPlan plan = ((Decoded.Value<ServingPlan>) decoded).value();
         long before = version();
         if (plan.version() <= before) {
             return;
         }
-        held = new Held(plan, value);
+        current = new CurrentPlan(plan, value);
         Event.of("plan.applied")
                 .with("version", plan.version())
                 .with("before", before)
@@ -151,12 +151,12 @@
     }
 
     private void onRead(ReadResult result, long askedAt) {
-        contact.note(result);
+        contact.onResult(result);
         if (!(result instanceof ReadResult.Unavailable)) {
             confirmedAt = askedAt;
         }
         if (result instanceof ReadResult.Found found) {
-            offer(found.object().value(), "store");
+            applyIfNewer(found.object().value(), "store");
             watch(found.object().revision());
         } else if (result instanceof ReadResult.Absent absent) {
             watch(absent.revision());
@@ -166,7 +166,7 @@
     }
 
     private void watch(long after) {
-        if (held != null && !duty.isDue()) {
+        if (current != null && !duty.needsStoreRead()) {
             control.schedule(LOOK, this::look);
             return;
         }
@@ -177,7 +177,7 @@
 
     /** After a time without watching, changes may have been missed: the object is read first. */
     private void look() {
-        if (duty.isDue()) {
+        if (duty.needsStoreRead()) {
             read();
         } else {
             control.schedule(LOOK, this::look);
@@ -185,7 +185,7 @@
     }
 
     private void onWatch(WatchResult result, long after, long askedAt) {
-        contact.note(result);
+        contact.onResult(result);
         if (result instanceof WatchResult.Changes changes) {
             confirmedAt = askedAt;
             changes.changes().stream()
@@ -203,7 +203,7 @@
         if (object == null) {
             Event.of("plan.deleted").with("kept_version", version()).error();
         } else {
-            offer(object.value(), "watch");
+            applyIfNewer(object.value(), "watch");
         }
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/ReadDuty.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/ReadPolicy.java
@@ -2,12 +2,12 @@
 
 /** Whether this instance reads something from the store itself; safe for any thread. */
 @FunctionalInterface
-public interface ReadDuty {
+public interface ReadPolicy {
 
     /**
      * Whether to read now.
      *
      * @return false while another instance near this one reads it and passes on what changes
      */
-    boolean isDue();
+    boolean needsStoreRead();
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/SnapshotJson.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/SnapshotJson.java
@@ -22,7 +22,7 @@
         ObjectNode root = MAPPER.createObjectNode();
         long ageNanos = System.nanoTime() - snapshot.readAt();
         root.put("revision", snapshot.revision());
-        root.put("changed", snapshot.changed());
+        root.put("changed", snapshot.changedRevision());
         root.put("ageMs", TimeUnit.NANOSECONDS.toMillis(ageNanos));
         ArrayNode objects = root.putArray("objects");
         snapshot.objects()
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/StoreContact.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/StoreAvailability.java
@@ -7,8 +7,8 @@
 import org.sardinelift.runtime.log.Event;
 
 /** Whether the platform's store answers this instance; logs when that changes. */
-public final class StoreContact {
-    private boolean answers = true;
+public final class StoreAvailability {
+    private boolean isAvailable = true;
     private boolean known;
     private long answeredAt;
     private long regainedAt;
@@ -18,8 +18,8 @@
      *
      * @param result the outcome
      */
-    public void note(ReadResult result) {
-        note(result instanceof ReadResult.Unavailable failed ? failed.reason() : "");
+    public void onResult(ReadResult result) {
+        onResult(result instanceof ReadResult.Unavailable failed ? failed.reason() : "");
     }
 
     /**
@@ -27,8 +27,8 @@
      *
      * @param result the outcome
      */
-    public void note(ListResult result) {
-        note(result instanceof ListResult.Unavailable failed ? failed.reason() : "");
+    public void onResult(ListResult result) {
+        onResult(result instanceof ListResult.Unavailable failed ? failed.reason() : "");
     }
 
     /**
@@ -36,8 +36,8 @@
      *
      * @param result the outcome
      */
-    public void note(WatchResult result) {
-        note(result instanceof WatchResult.Unavailable failed ? failed.reason() : "");
+    public void onResult(WatchResult result) {
+        onResult(result instanceof WatchResult.Unavailable failed ? failed.reason() : "");
     }
 
     /**
@@ -45,18 +45,18 @@
      *
      * @param result the outcome
      */
-    public void note(WriteResult result) {
+    public void onResult(WriteResult result) {
         if (result instanceof WriteResult.NotWritten failed) {
-            note(failed.reason());
+            onResult(failed.reason());
         } else {
-            note(result instanceof WriteResult.Unclear failed ? failed.reason() : "");
+            onResult(result instanceof WriteResult.Unclear failed ? failed.reason() : "");
         }
     }
 
-    private synchronized void note(String failure) {
+    private synchronized void onResult(String failure) {
         long now = System.nanoTime();
         boolean answersNow = failure.isEmpty();
-        if (answersNow != answers || !known) {
+        if (answersNow != isAvailable || !known) {
             Event event =
                     Event.of(answersNow ? "store.regained" : "store.lost")
                             .with("reason", failure.isEmpty() ? null : failure);
@@ -66,14 +66,14 @@
                 event.warn();
             }
         }
-        if (answersNow && !answers) {
+        if (answersNow && !isAvailable) {
             regainedAt = now;
         }
         if (answersNow) {
             answeredAt = now;
         }
         known = true;
-        answers = answersNow;
+        isAvailable = answersNow;
     }
 
     /**
@@ -81,8 +81,8 @@
      *
      * @return false while calls fail
      */
-    public synchronized boolean answers() {
-        return answers && known;
+    public synchronized boolean isAvailable() {
+        return isAvailable && known;
     }
 
     /**
@@ -90,7 +90,7 @@
      *
      * @return nanoseconds
      */
-    public synchronized long silentNanos() {
+    public synchronized long nanosSinceAnswer() {
         return System.nanoTime() - answeredAt;
     }
 
@@ -99,7 +99,7 @@
      *
      * @return nanoseconds; very long where it has not failed
      */
-    public synchronized long sinceRegainedNanos() {
+    public synchronized long nanosSinceRegained() {
         return regainedAt == 0 ? Long.MAX_VALUE : System.nanoTime() - regainedAt;
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/TargetFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/TargetFeed.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.sardinelift.core.plan.TargetEntry;
-import org.sardinelift.core.plan.TargetRoll;
-import org.sardinelift.gateway.Adapter;
-import org.sardinelift.gateway.Adapter.Decoded;
+import org.sardinelift.core.plan.RegisteredTarget;
+import org.sardinelift.core.plan.TargetRegistry;
+import org.sardinelift.gateway.PlatformAdapter;
+import org.sardinelift.gateway.PlatformAdapter.Decoded;
 import org.sardinelift.objects.ListResult;
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.StoredObject;
@@ -37,14 +37,14 @@
     /** Stands for the revision of the last change in a list that was read here. */
     private static final long OWN_LIST = -1;
 
-    private final Adapter adapter;
+    private final PlatformAdapter adapter;
     private final ObjectStore store;
     private final ControlThread control;
-    private final StoreContact contact;
-    private final Consumer<Map<String, TargetEntry>> listener;
-    private final TargetRoll roll = TargetRoll.empty();
+    private final StoreAvailability contact;
+    private final Consumer<Map<String, RegisteredTarget>> listener;
+    private final TargetRegistry roll = TargetRegistry.empty();
     private final Map<String, String> reportedUnreadable = new HashMap<>();
-    private final ReadDuty duty;
+    private final ReadPolicy duty;
     private volatile Snapshot snapshot = new Snapshot(List.of(), 0, 0, 0);
     private volatile long listedAt;
 
@@ -53,18 +53,19 @@
      *
      * @param objects the entries
      * @param revision revision of the store that it shows
-     * @param changed revision at which the entries had changed last
+     * @param changedRevision revision at which the entries had changed last
      * @param readAt when it was asked for, nanoseconds; 0 before the first
      */
-    public record Snapshot(List<StoredObject> objects, long revision, long changed, long readAt) {}
+    public record Snapshot(
+            List<StoredObject> objects, long revision, long changedRevision, long readAt) {}
 
     private TargetFeed(
-            Adapter adapter,
+            PlatformAdapter adapter,
             ObjectStore store,
             ControlThread control,
-            StoreContact contact,
-            ReadDuty duty,
-            Consumer<Map<String, TargetEntry>> listener) {
+            StoreAvailability contact,
+            ReadPolicy duty,
+            Consumer<Map<String, RegisteredTarget>> listener) {
         this.duty = duty;
         this.adapter = adapter;
         this.store = store;
@@ -85,12 +86,12 @@
      * @return the feed, not started
      */
     public static TargetFeed of(
-            Adapter adapter,
+            PlatformAdapter adapter,
             ObjectStore store,
             ControlThread control,
-            StoreContact contact,
-            ReadDuty duty,
-            Consumer<Map<String, TargetEntry>> listener) {
+            StoreAvailability contact,
+            ReadPolicy duty,
+            Consumer<Map<String, RegisteredTarget>> listener) {
         return new TargetFeed(adapter, store, control, contact, duty, listener);
     }
 
@@ -133,9 +134,9 @@
      * @param changed revision at which the peer's entries had changed last
      * @param readAt when it read them, nanoseconds of this process
      */
-    public void confirm(long changed, long readAt) {
+    public void confirmUnchanged(long changed, long readAt) {
         Snapshot held = snapshot;
-        if (held.changed() == changed && held.readAt() != 0 && readAt - held.readAt() > 0) {
+        if (held.changedRevision() == changed && held.readAt() != 0 && readAt - held.readAt() > 0) {
             snapshot = new Snapshot(held.objects(), held.revision(), changed, readAt);
         }
     }
@@ -146,14 +147,14 @@
      * @param theirs the list
      * @param source the peer, for the log
      */
-    public void offer(Snapshot theirs, String source) {
+    public void applyIfNewer(Snapshot theirs, String source) {
         if (theirs.readAt() - snapshot.readAt() > 0) {
             apply(theirs, source);
         }
     }
 
     private void list() {
-        if (snapshot.readAt() != 0 && !duty.isDue()) {
+        if (snapshot.readAt() != 0 && !duty.needsStoreRead()) {
             control.schedule(LOOK, this::list);
             return;
         }
@@ -163,12 +164,12 @@
     }
 
     private void onList(ListResult result, long askedAt) {
-        contact.note(result);
+        contact.onResult(result);
         if (result instanceof ListResult.Listed listed) {
             listedAt = askedAt;
             long changed =
                     listed.objects().equals(snapshot.objects())
-                            ? snapshot.changed()
+                            ? snapshot.changedRevision()
                             : listed.revision();
             apply(new Snapshot(listed.objects(), listed.revision(), changed, askedAt), "store");
             control.schedule(INTERVAL, this::list);
@@ -178,11 +179,11 @@
     }
 
     private void apply(Snapshot list, String source) {
-        List<TargetEntry> readable = new ArrayList<>();
+        List<RegisteredTarget> readable = new ArrayList<>();
         Set<String> unreadable = new HashSet<>();
         list.objects().forEach(object -> decode(object, readable, unreadable));
-        boolean keepMissing = contact.sinceRegainedNanos() < REGISTER_AGAIN.toNanos();
-        Map<String, TargetEntry> before = roll.entries();
+        boolean keepMissing = contact.nanosSinceRegained() < REGISTER_AGAIN.toNanos();
+        Map<String, RegisteredTarget> before = roll.targets();
         if (!roll.apply(readable, unreadable, list.revision(), keepMissing)) {
             Event.of("targets.stale")
                     .with("revision", list.revision())
@@ -190,28 +191,29 @@
                     .warn();
             return;
         }
-        boolean isChanged = !roll.entries().equals(before);
-        long changed = isChanged ? list.revision() : snapshot.changed();
+        boolean isChanged = !roll.targets().equals(before);
+        long changed = isChanged ? list.revision() : snapshot.changedRevision();
         snapshot =
                 new Snapshot(
                         list.objects(),
                         list.revision(),
-                        list.changed() == OWN_LIST ? changed : list.changed(),
+                        list.changedRevision() == OWN_LIST ? changed : list.changedRevision(),
                         list.readAt());
         if (isChanged) {
-            logChanges(before, roll.entries(), source);
-            listener.accept(roll.entries());
+            logChanges(before, roll.targets(), source);
+            listener.accept(roll.targets());
         }
     }
 
-    private void decode(StoredObject object, List<TargetEntry> readable, Set<String> unreadable) {
+    private void decode(
+            StoredObject object, List<RegisteredTarget> readable, Set<String> unreadable) {
         String name = object.key().name();
-        Decoded<TargetEntry> decoded = adapter.target(name, object.value());
-        if (decoded instanceof Decoded.Read<TargetEntry> read) {
+        Decoded<RegisteredTarget> decoded = adapter.decodeTarget(name, object.value());
+        if (decoded instanceof Decoded.Value<RegisteredTarget> read) {
             readable.add(read.value());
             return;
         }
-        String reason = ((Decoded.Unreadable<TargetEntry>) decoded).reason();
+        String reason = ((Decoded.Unreadable<RegisteredTarget>) decoded).reason();
         unreadable.add(name);
         if (!reason.equals(reportedUnreadable.put(name, reason))) {
             Event.of("target.unreadable").with("target", name).with("reason", reason).warn();
@@ -219,12 +221,14 @@
     }
 
     private static void logChanges(
-            Map<String, TargetEntry> before, Map<String, TargetEntry> after, String source) {
+            Map<String, RegisteredTarget> before,
+            Map<String, RegisteredTarget> after,
+            String source) {
         after.values().stream()
                 .filter(entry -> !entry.equals(before.get(entry.id())))
                 .forEach(
                         entry ->
-                                Event.of(entry.leaving() ? "target.leaving" : "target.listed")
+                                Event.of(entry.isLeaving() ? "target.leaving" : "target.listed")
                                         .with("target", entry.id())
                                         .with("address", entry.host() + ":" + entry.port())
                                         .with("zone", entry.zone())
--- a/gateway/src/main/java/org/sardinelift/gateway/job/ItemRun.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/ItemRun.java
@@ -6,9 +6,9 @@
 import org.sardinelift.core.joblog.ItemProgress;
 import org.sardinelift.core.joblog.ItemSchedule;
 import org.sardinelift.core.plan.RoutePlan;
-import org.sardinelift.core.stream.EventReader;
+import org.sardinelift.core.stream.EventStreamParser;
 import org.sardinelift.core.stream.StreamEvent;
-import org.sardinelift.gateway.call.StatedLoad;
+import org.sardinelift.gateway.call.LoadHeader;
 import org.sardinelift.gateway.call.TargetTable.Target;
 import org.sardinelift.http.HttpAnswerListener;
 import org.sardinelift.http.HttpCall;
@@ -22,7 +22,7 @@
     private static final int CLASS_SIZE = 100;
 
     private final ItemRunner runner;
-    private final ItemSchedule.Due due;
+    private final ItemSchedule.ScheduledItem due;
     private final RoutePlan route;
     private final Target target;
     private Runnable canceller = () -> {};
@@ -30,16 +30,16 @@
     private int events;
     private int status;
     private List<Map.Entry<String, String>> headers = List.of();
-    private @Nullable EventReader reader;
+    private @Nullable EventStreamParser reader;
 
-    ItemRun(ItemRunner runner, ItemSchedule.Due due, RoutePlan route, Target target) {
+    ItemRun(ItemRunner runner, ItemSchedule.ScheduledItem due, RoutePlan route, Target target) {
         this.runner = runner;
         this.due = due;
         this.route = route;
         this.target = target;
     }
 
-    ItemSchedule.Due due() {
+    ItemSchedule.ScheduledItem due() {
         return due;
     }
 
@@ -82,22 +82,26 @@
         status = answered;
         headers = fields;
         long now = System.nanoTime();
-        target.onBytes(now);
+        target.onBytesReceived(now);
         String echoed = header(runner.headers().callId());
         if (echoed != null && !echoed.equals(item().item().id())) {
             fail("the answer belongs to call " + echoed);
             return;
         }
-        StatedLoad.parse(header(runner.headers().load()))
-                .ifPresent(calls -> runner.network().board().onStated(target.id(), calls, now));
+        LoadHeader.parse(header(runner.headers().load()))
+                .ifPresent(
+                        calls ->
+                                runner.network()
+                                        .targetLoads()
+                                        .onTargetLoad(target.id(), calls, now));
         boolean succeeded = status / CLASS_SIZE == SUCCESS_CLASS;
         if (succeeded && header(runner.headers().signature()) == null) {
             fail("the answer has no signature");
         } else if (succeeded) {
             reader =
-                    item().lastEvent().isPresent()
-                            ? EventReader.after(item().lastEvent().getAsLong())
-                            : EventReader.fromStart();
+                    item().lastEventId().isPresent()
+                            ? EventStreamParser.resumingAfter(item().lastEventId().getAsLong())
+                            : EventStreamParser.fromStart();
         }
     }
 
@@ -106,8 +110,8 @@
         if (!runner.isRunning(this) || reader == null) {
             return;
         }
-        target.onBytes(System.nanoTime());
-        List<StreamEvent> received = reader.read(part);
+        target.onBytesReceived(System.nanoTime());
+        List<StreamEvent> received = reader.parse(part);
         if (!received.isEmpty()) {
             events += received.size();
             received.forEach(event -> item().onEvent(event.id(), event.data()));
@@ -130,10 +134,10 @@
             runner.onRefused(this, "refused with status " + status);
         } else if (reader == null) {
             runner.onFailed(this, status, status == UNPROCESSABLE);
-        } else if (reader.isWithinEvent()) {
+        } else if (reader.hasPartialEvent()) {
             fail("the stream ends within an event");
         } else {
-            runner.onDone(this);
+            runner.onCompleted(this);
         }
     }
 
@@ -144,8 +148,8 @@
         }
         String reason = String.valueOf(cause.getMessage() == null ? cause : cause.getMessage());
         if (mayHaveRun) {
-            runner.table().onFailure(target);
-            runner.onCut(this, reason);
+            runner.table().onCallFailed(target);
+            runner.onInterrupted(this, reason);
         } else {
             runner.table().onSilent(target, reason);
             runner.onRefused(this, reason);
@@ -154,8 +158,8 @@
 
     private void fail(String reason) {
         cancel();
-        runner.table().onFailure(target);
-        runner.onCut(this, reason);
+        runner.table().onCallFailed(target);
+        runner.onInterrupted(this, reason);
     }
 
     private @Nullable String header(String name) {
--- a/gateway/src/main/java/org/sardinelift/gateway/job/ItemRunner.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/ItemRunner.java
@@ -18,15 +18,15 @@
 import org.sardinelift.core.joblog.ItemSchedule;
 import org.sardinelift.core.joblog.JobAssignment;
 import org.sardinelift.core.joblog.JobProgress;
-import org.sardinelift.core.joblog.YieldShare;
-import org.sardinelift.core.load.BatchSlots;
+import org.sardinelift.core.joblog.PreemptionShare;
+import org.sardinelift.core.load.BatchSlotSelector;
+import org.sardinelift.core.load.TargetCalls;
 import org.sardinelift.core.load.TargetLoad;
-import org.sardinelift.core.load.Use;
 import org.sardinelift.core.peer.Peer;
 import org.sardinelift.core.peer.PeerRole;
 import org.sardinelift.core.plan.RoutePlan;
 import org.sardinelift.core.plan.ServingPlan;
-import org.sardinelift.gateway.CallHeaders;
+import org.sardinelift.gateway.HeaderNames;
 import org.sardinelift.gateway.call.TargetTable;
 import org.sardinelift.gateway.call.TargetTable.Target;
 import org.sardinelift.gateway.feed.PlanFeed;
@@ -40,8 +40,8 @@
  * takes them away where online calls need these slots. On the event loop.
  */
 final class ItemRunner implements PeerNetwork.Listener {
-    private static final Use ONE_ITEM = new Use(0, 1);
-    private static final Use ONE_ITEM_LESS = new Use(0, -1);
+    private static final TargetCalls ONE_ITEM = new TargetCalls(0, 1);
+    private static final TargetCalls ONE_ITEM_LESS = new TargetCalls(0, -1);
 
     /** Time for the start of an item to be reported before the next one on the same target. */
     private static final Duration NEXT_START = Duration.ofMillis(6);
@@ -74,17 +74,17 @@
     private static final Duration SETTLE_FAR = Duration.ofMillis(150);
 
     private final String instance;
-    private final JobBook book;
+    private final JobRegistry book;
     private final JobRecorder recorder;
     private final TargetTable table;
     private final PeerNetwork network;
     private final HttpClient client;
     private final EventLoop loop;
     private final PlanFeed plans;
-    private final CallHeaders headers;
+    private final HeaderNames headers;
     private final JobAssignment assignment;
     private final ItemSchedule schedule = ItemSchedule.of(USUAL_EVENTS, USUAL_EVENT, UNTIL_READ);
-    private final BatchSlots slots;
+    private final BatchSlotSelector slots;
     private final Set<String> mine = new HashSet<>();
     private final Map<Target, List<ItemRun>> running = new HashMap<>();
     private final Map<String, Long> routeMissingSince = new HashMap<>();
@@ -94,14 +94,14 @@
     ItemRunner(
             String instance,
             String zone,
-            JobBook book,
+            JobRegistry book,
             JobRecorder recorder,
             TargetTable table,
             PeerNetwork network,
             HttpClient client,
             EventLoop loop,
             PlanFeed plans,
-            CallHeaders headers) {
+            HeaderNames headers) {
         this.instance = instance;
         this.book = book;
         this.recorder = recorder;
@@ -111,12 +111,12 @@
         this.loop = loop;
         this.plans = plans;
         this.headers = headers;
-        this.slots = BatchSlots.of(zone, SETTLE, SETTLE_FAR, NEXT_START);
+        this.slots = BatchSlotSelector.of(zone, SETTLE, SETTLE_FAR, NEXT_START);
         this.assignment = JobAssignment.of(instance, NEXT_START.multipliedBy(50));
     }
 
     /** Hashes of the jobs that run here, for the reports. */
-    Collection<Long> reportedJobs() {
+    Collection<Long> assignedJobHashes() {
         return leaving ? List.of() : mine.stream().map(ItemRunner::hash).toList();
     }
 
@@ -128,24 +128,24 @@
     /** A job was accepted here, so that it runs here. */
     void claim(JobProgress job) {
         if (!leaving && mine.add(job.spec().id())) {
-            network.changed();
+            network.onLocalChange();
         }
-        pump();
+        reschedule();
     }
 
     /** This worker is about to stop: others take its jobs. */
-    void leave() {
+    void handOverJobs() {
         leaving = true;
         mine.clear();
         runs().forEach(run -> stop(run, "leaving"));
-        network.changed();
+        network.onLocalChange();
     }
 
     /** This worker stays after all, and takes jobs again. */
-    void stay() {
+    void resumeJobs() {
         leaving = false;
-        network.changed();
-        pump();
+        network.onLocalChange();
+        reschedule();
     }
 
     /** Whether nothing runs here. */
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public void onLoads() {
+    public void onLoadsUpdated() {
         long now = System.nanoTime();
         observeSlots(now);
         yieldSlots(now);
@@ -166,7 +166,7 @@
     }
 
     /** Something has changed that may let items start or make them stop. */
-    void pump() {
+    void reschedule() {
         if (leaving) {
             return;
         }
@@ -179,7 +179,7 @@
     }
 
     private void observeSlots(long now) {
-        slots.observe(table.loads(now), now);
+        slots.observe(table.usableLoads(now), now);
     }
 
     private void pumpLater(Duration pause) {
@@ -188,7 +188,7 @@
             loop.schedule(
                     () -> {
                         pumpPending = false;
-                        pump();
+                        reschedule();
                     },
                     pause.toNanos(),
                     TimeUnit.NANOSECONDS);
@@ -196,7 +196,7 @@
     }
 
     private void assign(long now) {
-        List<Peer> workers = network.book().live(PeerRole.WORKER, now).toList();
+        List<Peer> workers = network.peers().livePeers(PeerRole.WORKER, now).toList();
         for (JobProgress job : book.all()) {
             String id = job.spec().id();
             if (job.isClosed()) {
@@ -208,12 +208,13 @@
                     workers.stream()
                             .collect(
                                     Collectors.toMap(
-                                            Peer::name, peer -> peer.jobs().contains(hash(id))));
+                                            Peer::name,
+                                            peer -> peer.jobHashes().contains(hash(id))));
             boolean before = mine.contains(id);
-            boolean here = assignment.runsHere(id, before, claims, now);
+            boolean here = assignment.isAssignedHere(id, before, claims, now);
             if (here != before) {
                 Event.of(here ? "job.taken" : "job.left").with("job", id).info();
-                network.changed();
+                network.onLocalChange();
             }
             if (here) {
                 mine.add(id);
@@ -237,8 +238,8 @@
         giveUpOld(now);
     }
 
-    private Optional<RoutePlan> route(ItemSchedule.Due due) {
-        PlanFeed.Held held = plans.held();
+    private Optional<RoutePlan> route(ItemSchedule.ScheduledItem due) {
+        PlanFeed.CurrentPlan held = plans.current();
         return held == null
                 ? Optional.empty()
                 : held.plan().route(due.job().spec().host(), due.item().item().path());
@@ -246,7 +247,7 @@
 
     /** Items whose time is up, and those whose route has gone for good. */
     private void giveUpOld(long now) {
-        PlanFeed.Held held = plans.held();
+        PlanFeed.CurrentPlan held = plans.current();
         if (held == null) {
             return;
         }
@@ -281,7 +282,7 @@
                 .with("reason", reason)
                 .info();
         job.onResult(ItemResult.givenUp(item.item().id()));
-        recorder.kick(job);
+        recorder.scheduleRecording(job);
     }
 
     private void yieldSlots(long now) {
@@ -290,12 +291,14 @@
         }
         for (Map.Entry<Target, List<ItemRun>> each : List.copyOf(running.entrySet())) {
             Target target = each.getKey();
-            int excess = network.board().use(target.id(), now).total() - target.entry().slots();
+            int excess =
+                    network.targetLoads().knownCalls(target.id(), now).total()
+                            - target.entry().slots();
             int share =
-                    YieldShare.of(
+                    PreemptionShare.itemsToPreempt(
                             instance,
                             each.getValue().size(),
-                            network.board().batchByInstance(target.id()),
+                            network.targetLoads().batchItemsByInstance(target.id()),
                             excess);
             for (int i = 0; i < share; i++) {
                 yieldOne(target);
@@ -305,20 +308,21 @@
 
     private void yieldOne(Target target) {
         List<ItemRun> runs = running.getOrDefault(target, List.of());
-        schedule.firstToYield(runs.stream().map(ItemRun::due).toList(), System.currentTimeMillis())
+        schedule.selectForPreemption(
+                        runs.stream().map(ItemRun::due).toList(), System.currentTimeMillis())
                 .flatMap(due -> runs.stream().filter(run -> run.due() == due).findFirst())
                 .ifPresent(run -> stop(run, "an online call needs the slot"));
     }
 
     private void startItems(long now) {
-        PlanFeed.Held held = plans.held();
+        PlanFeed.CurrentPlan held = plans.current();
         if (held == null) {
             return;
         }
         boolean more = true;
         while (more) {
-            Optional<ItemSchedule.Due> next =
-                    schedule.next(dueItems(held.plan()), now, System.currentTimeMillis());
+            Optional<ItemSchedule.ScheduledItem> next =
+                    schedule.selectNext(dueItems(held.plan()), now, System.currentTimeMillis());
             more = next.isPresent() && startOne(next.get(), held.plan(), now);
         }
     }
@@ -327,47 +331,47 @@
         return mine.stream().flatMap(id -> book.find(id).stream());
     }
 
-    private Stream<ItemSchedule.Due> dueItems(ServingPlan plan) {
+    private Stream<ItemSchedule.ScheduledItem> dueItems(ServingPlan plan) {
         return myJobs().flatMap(
                         job -> job.openItems().flatMap(item -> due(plan, job, item).stream()));
     }
 
-    private static Optional<ItemSchedule.Due> due(
+    private static Optional<ItemSchedule.ScheduledItem> due(
             ServingPlan plan, JobProgress job, ItemProgress item) {
         return plan.route(job.spec().host(), item.item().path())
                 .map(
                         route ->
-                                new ItemSchedule.Due(
+                                new ItemSchedule.ScheduledItem(
                                         job,
                                         item,
                                         job.spec().submittedMs()
-                                                + route.completionTarget().toMillis()));
+                                                + route.completionObjective().toMillis()));
     }
 
     /** Starts an item where there is a slot for it. */
-    private boolean startOne(ItemSchedule.Due due, ServingPlan plan, long now) {
+    private boolean startOne(ItemSchedule.ScheduledItem due, ServingPlan plan, long now) {
         RoutePlan route = plan.route(due.job().spec().host(), due.item().item().path()).get();
-        String service = route.service(hash(due.item().item().id())).orElse("");
-        List<TargetLoad> loads = table.loads(service, Set.of(), now);
-        Optional<TargetLoad> slot = slots.pick(loads, now);
+        String service = route.selectService(hash(due.item().item().id())).orElse("");
+        List<TargetLoad> loads = table.usableLoads(service, Set.of(), now);
+        Optional<TargetLoad> slot = slots.select(loads, now);
         if (slot.isEmpty()) {
-            if (slots.hasUnsettled(loads)) {
+            if (slots.hasFreeSlot(loads)) {
                 pumpLater(NEXT_START);
             }
             return false;
         }
         Target target = table.find(slot.get().id()).orElseThrow();
-        slots.onStart(target.id(), now);
+        slots.onItemStarted(target.id(), now);
         start(new ItemRun(this, due, route, target), now);
         return true;
     }
 
     private void start(ItemRun run, long now) {
-        run.item().running(true);
+        run.item().setRunning(true);
         running.computeIfAbsent(run.target(), key -> new ArrayList<>()).add(run);
-        network.board().onOwn(run.target().id(), ONE_ITEM);
-        network.changed();
-        WorkerMetrics.running(runs().size());
+        network.targetLoads().onOwnCallsChanged(run.target().id(), ONE_ITEM);
+        network.onLocalChange();
+        WorkerMetrics.setRunningItems(runs().size());
         run.start(client, httpCall(run), now);
     }
 
@@ -380,7 +384,7 @@
         fields.add(Map.entry(headers.team(), run.due().job().spec().team()));
         fields.add(Map.entry(headers.expectedTarget(), run.target().id()));
         run.item()
-                .lastEvent()
+                .lastEventId()
                 .ifPresent(id -> fields.add(Map.entry(headers.lastEventId(), Long.toString(id))));
         return new HttpCall(
                 run.target().entry().host(),
@@ -393,7 +397,7 @@
                 false);
     }
 
-    CallHeaders headers() {
+    HeaderNames headers() {
         return headers;
     }
 
@@ -406,7 +410,7 @@
     }
 
     private void stop(ItemRun run, String reason) {
-        WorkerMetrics.runEnded("stopped");
+        WorkerMetrics.countRun("stopped");
         run.cancel();
         release(run, reason);
     }
@@ -420,16 +424,16 @@
         if (runs.isEmpty()) {
             running.remove(run.target());
         }
-        run.item().running(false);
-        network.board().onOwn(run.target().id(), ONE_ITEM_LESS);
-        network.freed();
-        WorkerMetrics.running(runs().size());
+        run.item().setRunning(false);
+        network.targetLoads().onOwnCallsChanged(run.target().id(), ONE_ITEM_LESS);
+        network.onSlotFreed();
+        WorkerMetrics.setRunningItems(runs().size());
         Event.of("item.run_ended")
                 .with("job", run.due().job().spec().id())
                 .with("item", run.item().item().id())
                 .with("target", run.target().id())
                 .with("how", how)
-                .with("events", run.item().events())
+                .with("events", run.item().eventCount())
                 .with("ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - run.startedAt()))
                 .info();
         return true;
@@ -440,51 +444,51 @@
     }
 
     /** The target ran the item to its end. */
-    void onDone(ItemRun run) {
-        WorkerMetrics.runEnded("done");
+    void onCompleted(ItemRun run) {
+        WorkerMetrics.countRun("done");
         Duration ran = Duration.ofNanos(System.nanoTime() - run.startedAt());
-        schedule.onDone(run.item().events(), run.events(), ran);
+        schedule.onItemCompleted(run.item().eventCount(), run.events(), ran);
         release(run, "done");
         JobProgress job = run.due().job();
         job.onResult(ItemResult.completed(run.item().item().id(), run.item().output()));
-        recorder.kick(job);
-        pump();
+        recorder.scheduleRecording(job);
+        reschedule();
     }
 
     /** The target refused the item without running it. */
     void onRefused(ItemRun run, String reason) {
-        WorkerMetrics.runEnded("refused");
+        WorkerMetrics.countRun("refused");
         release(run, reason);
-        run.item().notBefore(System.nanoTime() + AFTER_REFUSAL.toNanos());
+        run.item().delayUntil(System.nanoTime() + AFTER_REFUSAL.toNanos());
         pumpLater(AFTER_REFUSAL);
     }
 
     /** The target ran the item and failed. */
     void onFailed(ItemRun run, int status, boolean hopeless) {
-        WorkerMetrics.runEnded("failed");
+        WorkerMetrics.countRun("failed");
         release(run, "status " + status);
         int failures = run.item().onFailedRun();
-        run.item().restart();
+        run.item().discardOutput();
         if (hopeless || failures >= run.route().maxAttempts()) {
             giveUp(run.due().job(), run.item(), "status " + status + ", failures " + failures);
         } else {
-            run.item().notBefore(System.nanoTime() + AFTER_FAILURE.toNanos());
+            run.item().delayUntil(System.nanoTime() + AFTER_FAILURE.toNanos());
             pumpLater(AFTER_FAILURE);
         }
     }
 
     /** The run broke off; the item goes on from its last event. */
-    void onCut(ItemRun run, String reason) {
-        WorkerMetrics.runEnded("cut");
+    void onInterrupted(ItemRun run, String reason) {
+        WorkerMetrics.countRun("cut");
         release(run, reason);
-        int cuts = run.item().onCut();
+        int cuts = run.item().onRunInterrupted();
         long pause =
                 cuts < CUTS_TO_SUSPECT
                         ? 0
                         : Math.min(
                                 LONGEST_PAUSE.toNanos(),
                                 AFTER_FAILURE.toNanos() << Math.min(10, cuts));
-        run.item().notBefore(System.nanoTime() + pause);
+        run.item().delayUntil(System.nanoTime() + pause);
         pumpLater(NEXT_START);
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobInterface.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobApi.java
@@ -8,7 +8,7 @@
 import org.sardinelift.core.joblog.JobItem;
 
 /** How callers spell their calls for batch jobs, and how they are answered. */
-public interface JobInterface {
+public interface JobApi {
 
     /** A call about a job that was submitted before. */
     sealed interface JobCall {
@@ -23,10 +23,10 @@
          * Reads results.
          *
          * @param job name of the job
-         * @param after position of the first
+         * @param firstPosition position of the first
          * @param waitMs how long to wait for one, milliseconds
          */
-        record Results(String job, int after, long waitMs) implements JobCall {}
+        record Results(String job, int firstPosition, long waitMs) implements JobCall {}
 
         /**
          * Reads the body of an item.
@@ -34,7 +34,7 @@
          * @param job name of the job
          * @param item name of the item
          */
-        record Body(String job, String item) implements JobCall {}
+        record ItemBody(String job, String item) implements JobCall {}
 
         /**
          * Ends the job.
@@ -52,7 +52,7 @@
      * @param header gives the first value of a request header, null where it is absent
      * @return the call, or empty where it is another one
      */
-    Optional<JobCall> recognize(String method, String uri, UnaryOperator<@Nullable String> header);
+    Optional<JobCall> parseCall(String method, String uri, UnaryOperator<@Nullable String> header);
 
     /**
      * Reads the items of a submitted job.
@@ -61,7 +61,7 @@
      * @return its items
      * @throws IllegalArgumentException where the body is malformed
      */
-    List<JobItem> items(byte[] body);
+    List<JobItem> parseItems(byte[] body);
 
     /**
      * Writes a page of results.
@@ -71,5 +71,5 @@
      * @param results the results
      * @return body of the answer
      */
-    byte[] results(int total, int next, List<ItemResult> results);
+    byte[] formatResults(int total, int next, List<ItemResult> results);
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobCodec.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobCodec.java
@@ -12,7 +12,7 @@
 /** Values of the objects by which a job is stored. */
 final class JobCodec {
     /** A part of a value's bound, since a document grows when it is quoted. */
-    static final int MAX_DOCUMENT_CHARS = 400_000;
+    static final int MAX_DOCUMENT_PART_CHARS = 400_000;
 
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobFeed.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import org.sardinelift.gateway.feed.StoreContact;
+import org.sardinelift.gateway.feed.StoreAvailability;
 import org.sardinelift.objects.ListResult;
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.WatchResult;
@@ -20,14 +20,14 @@
 
     private static final Duration RETRY = Duration.ofMillis(300);
 
-    private final JobBook book;
+    private final JobRegistry book;
     private final ObjectStore store;
     private final EventLoop loop;
-    private final StoreContact contact;
+    private final StoreAvailability contact;
     private boolean complete;
     private long freshAt;
 
-    JobFeed(JobBook book, ObjectStore store, EventLoop loop, StoreContact contact) {
+    JobFeed(JobRegistry book, ObjectStore store, EventLoop loop, StoreAvailability contact) {
         this.book = book;
         this.store = store;
         this.loop = loop;
@@ -54,28 +54,30 @@
     }
 
     private void onList(ListResult result, long askedAt) {
-        contact.note(result);
+        contact.onResult(result);
         if (!(result instanceof ListResult.Listed listed)) {
             later(RETRY, this::list);
             return;
         }
         // Parts and records are taken before and after the headers that they belong to.
-        listed.objects().stream().filter(object -> isPart(object.key().name())).forEach(book::take);
+        listed.objects().stream()
+                .filter(object -> isPart(object.key().name()))
+                .forEach(book::apply);
         listed.objects().stream()
                 .filter(object -> object.key().name().endsWith(".job"))
-                .forEach(book::take);
+                .forEach(book::apply);
         listed.objects().stream()
                 .filter(object -> !isPart(object.key().name()))
                 .filter(object -> !object.key().name().endsWith(".job"))
                 .sorted(java.util.Comparator.comparingLong(object -> object.revision()))
-                .forEach(book::take);
+                .forEach(book::apply);
         complete = true;
         freshAt = askedAt;
         watch(listed.revision());
     }
 
     private static boolean isPart(String name) {
-        return JobObject.named(name).filter(JobObject.Part.class::isInstance).isPresent();
+        return JobObject.parse(name).filter(JobObject.Part.class::isInstance).isPresent();
     }
 
     private void watch(long after) {
@@ -85,12 +87,12 @@
     }
 
     private void onWatch(WatchResult result, long after, long askedAt) {
-        contact.note(result);
+        contact.onResult(result);
         if (result instanceof WatchResult.Changes changes) {
             changes.changes().stream()
                     .map(WatchResult.Change::object)
                     .filter(Objects::nonNull)
-                    .forEach(book::take);
+                    .forEach(book::apply);
             freshAt = askedAt;
             later(PAUSE, () -> watch(Math.max(after, changes.revision())));
         } else if (result instanceof WatchResult.Gap) {
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobObject.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobObject.java
@@ -58,7 +58,7 @@
         }
     }
 
-    static Optional<JobObject> named(String name) {
+    static Optional<JobObject> parse(String name) {
         int dot = name.lastIndexOf('.');
         if (dot < 1) {
             return Optional.empty();
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobPaths.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobPaths.java
@@ -27,7 +27,7 @@
      * @param host host that the caller named
      * @return path and query
      */
-    public static String submit(String job, String team, String route, String host) {
+    public static String submitUri(String job, String team, String route, String host) {
         return uri(PREFIX + job, Map.of(TEAM, team, ROUTE, route, HOST, host));
     }
 
@@ -38,20 +38,20 @@
      * @param team team of the caller
      * @return path and query
      */
-    public static String of(JobInterface.JobCall call, String team) {
-        if (call instanceof JobInterface.JobCall.Results results) {
+    public static String callUri(JobApi.JobCall call, String team) {
+        if (call instanceof JobApi.JobCall.Results results) {
             return uri(
                     PREFIX + call.job() + RESULTS,
                     Map.of(
                             TEAM,
                             team,
                             AFTER,
-                            Integer.toString(results.after()),
+                            Integer.toString(results.firstPosition()),
                             WAIT_MS,
                             Long.toString(results.waitMs())));
         }
         String path =
-                call instanceof JobInterface.JobCall.Body body
+                call instanceof JobApi.JobCall.ItemBody body
                         ? PREFIX + call.job() + ITEMS + body.item()
                         : PREFIX + call.job();
         return uri(path, Map.of(TEAM, team));
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobRecorder.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobRecorder.java
@@ -22,7 +22,7 @@
     private static final int MAX_RECORD_CHARS = 400_000;
 
     private final JobStorage storage;
-    private final JobBook book;
+    private final JobRegistry book;
     private final EventLoop loop;
     private final Predicate<String> isPending;
     private final Set<String> recording = new HashSet<>();
@@ -32,7 +32,7 @@
      *
      * @param isPending whether a job is not in the store yet: its records must not come before it
      */
-    JobRecorder(JobStorage storage, JobBook book, EventLoop loop, Predicate<String> isPending) {
+    JobRecorder(JobStorage storage, JobRegistry book, EventLoop loop, Predicate<String> isPending) {
         this.isPending = isPending;
         this.storage = storage;
         this.book = book;
@@ -40,7 +40,7 @@
     }
 
     /** Results of the job wait to be recorded. */
-    void kick(JobProgress job) {
+    void scheduleRecording(JobProgress job) {
         if (recording.add(job.spec().id())) {
             later(GATHER, job);
         }
@@ -56,7 +56,7 @@
     }
 
     private void record(JobProgress job) {
-        List<ItemResult> batch = job.unrecorded(MAX_RECORD_CHARS);
+        List<ItemResult> batch = job.unrecordedResults(MAX_RECORD_CHARS);
         if (batch.isEmpty() || job.hasEnded()) {
             recording.remove(job.spec().id());
             return;
@@ -72,14 +72,14 @@
 
     private void onResult(JobProgress job, int number, List<ItemResult> batch, WriteResult result) {
         if (result instanceof WriteResult.Written) {
-            book.onRecord(job, number, batch);
+            book.onRecordWritten(job, number, batch);
             long ageMs = System.currentTimeMillis() - job.spec().submittedMs();
-            batch.forEach(each -> WorkerMetrics.recorded(ageMs));
+            batch.forEach(each -> WorkerMetrics.observeResultAge(ageMs));
             Event.of("job.recorded")
                     .with("job", job.spec().id())
                     .with("record", number)
                     .with("results", batch.size())
-                    .with("positions", job.positions())
+                    .with("positions", job.filledPositions())
                     .info();
             record(job);
         } else if (result instanceof WriteResult.Conflict) {
@@ -96,7 +96,7 @@
                 .thenAccept(
                         result -> {
                             if (result instanceof ReadResult.Found found) {
-                                book.take(found.object());
+                                book.apply(found.object());
                                 Event.of("job.record_found")
                                         .with("job", job.spec().id())
                                         .with("record", number)
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobBook.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobRegistry.java
@@ -16,25 +16,25 @@
 import org.sardinelift.runtime.log.Event;
 
 /** All jobs as far as their objects are known to this worker; on the event loop. */
-final class JobBook {
-    private final JobInterface jobInterface;
+final class JobRegistry {
+    private final JobApi jobInterface;
     private final Map<String, JobProgress> jobs = new HashMap<>();
     private final Map<String, Map<Integer, String>> parts = new HashMap<>();
     private final Map<String, Map<Integer, String>> early = new HashMap<>();
     private Consumer<JobProgress> listener = job -> {};
     private Consumer<String> storedListener = job -> {};
 
-    JobBook(JobInterface jobInterface) {
+    JobRegistry(JobApi jobInterface) {
         this.jobInterface = jobInterface;
     }
 
     /** Sets who hears of each change of a job. */
-    void listen(Consumer<JobProgress> changed) {
+    void setChangeListener(Consumer<JobProgress> changed) {
         listener = changed;
     }
 
     /** Sets who hears of each job whose header is seen in the store. */
-    void listenToStored(Consumer<String> stored) {
+    void setStoredListener(Consumer<String> stored) {
         storedListener = stored;
     }
 
@@ -47,14 +47,14 @@
     }
 
     /** Takes an object as it is stored; an object that was taken before tells nothing. */
-    void take(StoredObject object) {
-        Optional<JobObject> named = JobObject.named(object.key().name());
+    void apply(StoredObject object) {
+        Optional<JobObject> named = JobObject.parse(object.key().name());
         if (named.isEmpty()) {
             Event.of("job.unreadable").with("object", object.key().name()).warn();
             return;
         }
         try {
-            take(named.get(), object.value());
+            apply(named.get(), object.value());
         } catch (IllegalArgumentException e) {
             Event.of("job.unreadable")
                     .with("object", object.key().name())
@@ -63,7 +63,7 @@
         }
     }
 
-    private void take(JobObject object, String value) {
+    private void apply(JobObject object, String value) {
         if (object instanceof JobObject.Header) {
             takeHeader(object.job(), JobCodec.header(value));
         } else if (object instanceof JobObject.Part part) {
@@ -77,7 +77,7 @@
             if (job == null) {
                 early.computeIfAbsent(object.job(), key -> new TreeMap<>()).put(END, "");
             } else {
-                onEnd(job);
+                onJobEnded(job);
             }
         }
     }
@@ -108,7 +108,7 @@
                         header.route(),
                         header.host(),
                         header.submittedMs(),
-                        jobInterface.items(document)));
+                        jobInterface.parseItems(document)));
     }
 
     /** Takes a job that was accepted here. */
@@ -132,7 +132,7 @@
         if (number == END) {
             job.end();
         } else {
-            job.apply(number, JobCodec.record(value));
+            job.applyRecord(number, JobCodec.record(value));
         }
     }
 
@@ -146,22 +146,23 @@
         if (recorded.number() < job.nextRecord()) {
             return;
         }
-        JobProgress.Applied applied = job.apply(recorded.number(), JobCodec.record(value));
-        if (applied == JobProgress.Applied.GAP) {
+        JobProgress.ApplyResult applied =
+                job.applyRecord(recorded.number(), JobCodec.record(value));
+        if (applied == JobProgress.ApplyResult.GAP) {
             throw new IllegalArgumentException("record " + job.nextRecord() + " is missing");
         }
         listener.accept(job);
     }
 
     /** Takes a record that was written here. */
-    void onRecord(JobProgress job, int number, List<ItemResult> results) {
-        if (job.apply(number, results) == JobProgress.Applied.NEW) {
+    void onRecordWritten(JobProgress job, int number, List<ItemResult> results) {
+        if (job.applyRecord(number, results) == JobProgress.ApplyResult.APPLIED) {
             listener.accept(job);
         }
     }
 
     /** The caller has ended a job. */
-    void onEnd(JobProgress job) {
+    void onJobEnded(JobProgress job) {
         if (!job.hasEnded()) {
             job.end();
             Event.of("job.ended").with("job", job.spec().id()).info();
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobService.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobService.java
@@ -18,7 +18,7 @@
 import org.sardinelift.core.joblog.JobProgress;
 import org.sardinelift.core.joblog.JobSpec;
 import org.sardinelift.core.peer.PeerRole;
-import org.sardinelift.gateway.feed.StoreContact;
+import org.sardinelift.gateway.feed.StoreAvailability;
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.objects.ReadResult;
@@ -48,12 +48,12 @@
     private static final int OUTCOME_UNKNOWN = 504;
     private static final int MAX_ITEMS = 200;
 
-    private final JobInterface jobInterface;
-    private final JobBook book;
+    private final JobApi jobInterface;
+    private final JobRegistry book;
     private final JobFeed feed;
     private final JobStorage storage;
     private final JobSpool spool;
-    private final StoreContact contact;
+    private final StoreAvailability contact;
     private final PeerNetwork network;
     private final EventLoop loop;
     private final Consumer<JobProgress> accepted;
@@ -64,12 +64,12 @@
     private record Waiter(HttpExchange exchange, int after, long deadline) {}
 
     JobService(
-            JobInterface jobInterface,
-            JobBook book,
+            JobApi jobInterface,
+            JobRegistry book,
             JobFeed feed,
             JobStorage storage,
             JobSpool spool,
-            StoreContact contact,
+            StoreAvailability contact,
             PeerNetwork network,
             EventLoop loop,
             Consumer<JobProgress> accepted) {
@@ -115,7 +115,7 @@
         }
         List<JobItem> items;
         try {
-            items = jobInterface.items(exchange.body());
+            items = jobInterface.parseItems(exchange.body());
         } catch (IllegalArgumentException e) {
             answer(exchange, BAD_REQUEST, "the job can't be read: " + e.getMessage());
             return;
@@ -140,7 +140,7 @@
         private final HttpExchange exchange;
         private final JobSpec spec;
         private final JobCodec.Header header;
-        private JobStorage.@Nullable Created stored;
+        private JobStorage.@Nullable CreateResult stored;
         private CopyCount.@Nullable Outcome spooled;
         private boolean spooling;
         private boolean answered;
@@ -162,7 +162,7 @@
             long deadline = System.nanoTime() + SUBMIT_BOUND.toNanos();
             storage.createJob(spec.id(), header, header.document(), deadline)
                     .thenAccept(this::onStored);
-            if (contact.answers()) {
+            if (contact.isAvailable()) {
                 loop.schedule(this::spool, SPOOL_AFTER.toNanos(), TimeUnit.NANOSECONDS);
             } else {
                 spool();
@@ -172,15 +172,15 @@
         private void spool() {
             if (!answered && !spooling) {
                 spooling = true;
-                spool.accept(spec.id(), header).thenAccept(this::onSpooled);
+                spool.storeCopies(spec.id(), header).thenAccept(this::onSpooled);
             }
         }
 
-        private void onStored(JobStorage.Created created) {
+        private void onStored(JobStorage.CreateResult created) {
             stored = created;
-            WorkerMetrics.submitted(created.name().toLowerCase(java.util.Locale.ROOT));
-            if (created == JobStorage.Created.EXISTS) {
-                spool.onStored(spec.id());
+            WorkerMetrics.countSubmission(created.name().toLowerCase(java.util.Locale.ROOT));
+            if (created == JobStorage.CreateResult.EXISTS) {
+                spool.onJobStored(spec.id());
                 accept();
             } else {
                 spool();
@@ -191,7 +191,7 @@
         private void onSpooled(CopyCount.Outcome outcome) {
             spooled = outcome;
             if (outcome == CopyCount.Outcome.KEPT) {
-                WorkerMetrics.submitted("spooled");
+                WorkerMetrics.countSubmission("spooled");
                 accept();
             } else {
                 refuseWhereBothFailed();
@@ -209,7 +209,8 @@
                 return;
             }
             boolean mayRun =
-                    stored == JobStorage.Created.UNCLEAR || spooled == CopyCount.Outcome.UNCLEAR;
+                    stored == JobStorage.CreateResult.UNCLEAR
+                            || spooled == CopyCount.Outcome.UNCLEAR;
             if (mayRun) {
                 answerOnce(OUTCOME_UNKNOWN, "the job may have been stored");
             } else {
@@ -264,10 +265,10 @@
         boolean young = now - startedAt < ACQUAINTED.toNanos();
         return spool.isEnabled()
                 && (young
-                        || !network.book().hearsAll(PeerRole.WORKER, now)
-                        || network.book()
-                                .live(PeerRole.WORKER, now)
-                                .anyMatch(peer -> peer.jobs().contains(hash)));
+                        || !network.peers().isEveryPeerLive(PeerRole.WORKER, now)
+                        || network.peers()
+                                .livePeers(PeerRole.WORKER, now)
+                                .anyMatch(peer -> peer.jobHashes().contains(hash)));
     }
 
     private void checkTeam(HttpExchange exchange, JobProgress job, Consumer<JobProgress> action) {
@@ -293,7 +294,7 @@
                             return loadParts(id, 0, parts)
                                     .thenApply(
                                             whole -> {
-                                                book.take(found.object());
+                                                book.apply(found.object());
                                                 boolean known = book.find(id).isPresent();
                                                 return known ? Optional.of(true) : Optional.empty();
                                             });
@@ -308,7 +309,7 @@
                 .thenCompose(
                         result -> {
                             if (result instanceof ReadResult.Found found) {
-                                book.take(found.object());
+                                book.apply(found.object());
                             }
                             return loadParts(id, number + 1, parts);
                         });
@@ -327,8 +328,8 @@
                                     .with("job", id)
                                     .with("stored", created.name())
                                     .info();
-                            if (created == JobStorage.Created.EXISTS) {
-                                book.onEnd(job);
+                            if (created == JobStorage.CreateResult.EXISTS) {
+                                book.onJobEnded(job);
                                 answer(exchange, OK, "ended");
                             } else {
                                 answer(exchange, UNAVAILABLE, "the end could not be stored");
@@ -349,11 +350,11 @@
     private void results(HttpExchange exchange, JobProgress job) {
         int after = (int) number(exchange, JobPaths.AFTER);
         long waitMs = number(exchange, JobPaths.WAIT_MS);
-        if (job.positions() > after) {
+        if (job.filledPositions() > after) {
             answerPage(exchange, job, after);
             return;
         }
-        boolean complete = job.positions() == job.spec().items().size();
+        boolean complete = job.filledPositions() == job.spec().items().size();
         if (complete || waitMs <= 0) {
             answerEmpty(exchange, job, after);
             return;
@@ -366,13 +367,13 @@
     }
 
     /** Positions of a job were filled. */
-    void onChanged(JobProgress job) {
+    void onJobChanged(JobProgress job) {
         List<Waiter> waiting = waiters.get(job.spec().id());
         if (waiting == null) {
             return;
         }
         List<Waiter> due =
-                waiting.stream().filter(waiter -> job.positions() > waiter.after()).toList();
+                waiting.stream().filter(waiter -> job.filledPositions() > waiter.after()).toList();
         due.forEach(waiter -> answerPage(waiter.exchange(), job, waiter.after()));
         waiting.removeAll(due);
         if (waiting.isEmpty()) {
@@ -393,7 +394,7 @@
 
     /** Says that nothing is at a position, once that is certain. */
     private void answerEmpty(HttpExchange exchange, JobProgress job, int after) {
-        boolean complete = job.positions() == job.spec().items().size();
+        boolean complete = job.filledPositions() == job.spec().items().size();
         if (complete || feed.staleNanos() < FRESH.toNanos()) {
             answerPage(exchange, job, after);
             return;
@@ -402,7 +403,7 @@
                 .thenAccept(
                         result -> {
                             if (result instanceof ReadResult.Found found) {
-                                book.take(found.object());
+                                book.apply(found.object());
                                 answerPage(exchange, job, after);
                             } else if (result instanceof ReadResult.Absent) {
                                 answerPage(exchange, job, after);
@@ -418,7 +419,7 @@
         exchange.respond(
                 OK,
                 Map.of("content-type", "application/json"),
-                jobInterface.results(total, after + page.size(), page));
+                jobInterface.formatResults(total, after + page.size(), page));
     }
 
     private static String query(HttpExchange exchange, String name) {
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobSpool.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobSpool.java
@@ -21,7 +21,7 @@
 import org.sardinelift.core.peer.Peer;
 import org.sardinelift.core.peer.PeerRole;
 import org.sardinelift.gateway.SpoolSettings;
-import org.sardinelift.gateway.feed.StoreContact;
+import org.sardinelift.gateway.feed.StoreAvailability;
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
@@ -57,10 +57,10 @@
 
     private final @Nullable SpoolSettings settings;
     private final @Nullable SpoolFolder folder;
-    private final JobInterface jobInterface;
-    private final JobBook book;
+    private final JobApi jobInterface;
+    private final JobRegistry book;
     private final JobStorage storage;
-    private final StoreContact contact;
+    private final StoreAvailability contact;
     private final PeerNetwork network;
     private final HttpClient client;
     private final EventLoop loop;
@@ -80,14 +80,14 @@
 
     /** A job as it is kept: what its header in the store will hold. */
     record Job(String id, JobCodec.Header header) {
-        String text() {
+        String toJson() {
             return MAPPER.createObjectNode()
                     .put("id", id)
                     .put("header", JobCodec.header(header))
                     .toString();
         }
 
-        static Job read(String text) {
+        static Job fromJson(String text) {
             try {
                 JsonNode node = MAPPER.readTree(text);
                 return new Job(
@@ -100,10 +100,10 @@
 
     JobSpool(
             @Nullable SpoolSettings settings,
-            JobInterface jobInterface,
-            JobBook book,
+            JobApi jobInterface,
+            JobRegistry book,
             JobStorage storage,
-            StoreContact contact,
+            StoreAvailability contact,
             PeerNetwork network,
             HttpClient client,
             EventLoop loop) {
@@ -141,7 +141,7 @@
 
     private void takeUp(String text, Duration keep) {
         try {
-            takeUp(Job.read(text), keep);
+            takeUp(Job.fromJson(text), keep);
         } catch (IllegalArgumentException e) {
             // The file stays for an operator to look at; the other jobs must not wait for it.
             Event.of("spool.unreadable").with("reason", e.getMessage()).error();
@@ -191,7 +191,7 @@
                 header.route(),
                 header.host(),
                 header.submittedMs(),
-                jobInterface.items(header.document().getBytes(StandardCharsets.UTF_8)));
+                jobInterface.parseItems(header.document().getBytes(StandardCharsets.UTF_8)));
     }
 
     /**
@@ -199,18 +199,18 @@
      *
      * @return what became of it, once enough disks hold it or no more answers are to come
      */
-    CompletableFuture<CopyCount.Outcome> accept(String id, JobCodec.Header header) {
+    CompletableFuture<CopyCount.Outcome> storeCopies(String id, JobCodec.Header header) {
         if (settings == null || entries.size() >= MAX_JOBS) {
             return CompletableFuture.completedFuture(CopyCount.Outcome.NOT_KEPT);
         }
         Job job = new Job(id, header);
-        List<Peer> others = network.book().live(PeerRole.WORKER, System.nanoTime()).toList();
-        CopyCount count = CopyCount.of(settings.copies(), others.size() + 1);
+        List<Peer> others = network.peers().livePeers(PeerRole.WORKER, System.nanoTime()).toList();
+        CopyCount count = CopyCount.of(settings.requiredCopies(), others.size() + 1);
         CompletableFuture<CopyCount.Outcome> outcome = new CompletableFuture<>();
         if (!count.canSuffice()) {
             return CompletableFuture.completedFuture(CopyCount.Outcome.NOT_KEPT);
         }
-        folder().write(id, job.text())
+        folder().write(id, job.toJson())
                 .thenAcceptAsync(
                         written -> {
                             count.onAnswer(written);
@@ -234,8 +234,8 @@
                     Event.of("job.spooled")
                             .with("job", id)
                             .with("outcome", result.name())
-                            .with("copies", count.held())
-                            .with("wanted", settings.copies())
+                            .with("copies", count.copies())
+                            .with("wanted", settings.requiredCopies())
                             .with("asked", others.size())
                             .info();
                     return result;
@@ -244,7 +244,7 @@
 
     /** True where the peer holds the job, false where it doesn't, empty where nobody can tell. */
     private CompletableFuture<Optional<Boolean>> copyTo(Peer peer, Job job) {
-        byte[] body = job.text().getBytes(StandardCharsets.UTF_8);
+        byte[] body = job.toJson().getBytes(StandardCharsets.UTF_8);
         HttpCall call =
                 HttpCall.of(peer.host(), peer.port(), "POST", PATH, Map.of(), body, COPY_TIMEOUT);
         return client.call(call)
@@ -275,9 +275,9 @@
             return true;
         }
         try {
-            Job job = Job.read(exchange.bodyText());
+            Job job = Job.fromJson(exchange.bodyText());
             spec(job);
-            folder.write(job.id(), job.text())
+            folder.write(job.id(), job.toJson())
                     .thenAcceptAsync(written -> onCopyWritten(exchange, job, written), loop);
         } catch (IllegalArgumentException e) {
             exchange.respondJson(BAD_REQUEST, "{\"detail\":\"the copy can't be read\"}");
@@ -293,7 +293,7 @@
     }
 
     /** The job is in the store: here it need be kept no longer. */
-    void onStored(String job) {
+    void onJobStored(String job) {
         if (entries.remove(job) != null) {
             folder().delete(job);
             Event.of("spool.stored").with("job", job).with("left", entries.size()).info();
@@ -302,10 +302,10 @@
 
     private void flush() {
         loop.schedule(this::flush, FLUSH_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
-        if (!contact.answers()) {
+        if (!contact.isAvailable()) {
             return;
         }
-        boolean leftToFirst = contact.sinceRegainedNanos() < LEFT_TO_FIRST.toNanos();
+        boolean leftToFirst = contact.nanosSinceRegained() < LEFT_TO_FIRST.toNanos();
         Collection<Entry> due =
                 entries.values().stream()
                         .filter(entry -> !entry.storing)
@@ -322,8 +322,8 @@
                 .thenAccept(
                         created -> {
                             entry.storing = false;
-                            if (created == JobStorage.Created.EXISTS) {
-                                onStored(entry.job.id());
+                            if (created == JobStorage.CreateResult.EXISTS) {
+                                onJobStored(entry.job.id());
                             }
                         });
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobStorage.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobStorage.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.sardinelift.core.joblog.ItemResult;
-import org.sardinelift.gateway.feed.StoreContact;
+import org.sardinelift.gateway.feed.StoreAvailability;
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.ReadResult;
@@ -19,10 +19,10 @@
 
     private final ObjectStore store;
     private final EventLoop loop;
-    private final StoreContact contact;
+    private final StoreAvailability contact;
 
     /** What became of a creation. */
-    enum Created {
+    enum CreateResult {
         /** The object is there, created now or before. */
         EXISTS,
         /** The object is not there and won't be. */
@@ -31,18 +31,19 @@
         UNCLEAR
     }
 
-    JobStorage(ObjectStore store, EventLoop loop, StoreContact contact) {
+    JobStorage(ObjectStore store, EventLoop loop, StoreAvailability contact) {
         this.store = store;
         this.loop = loop;
         this.contact = contact;
     }
 
     /** Stores a job; it is accepted once the last of its objects is there. */
-    CompletableFuture<Created> createJob(
+    CompletableFuture<CreateResult> createJob(
             String job, JobCodec.Header header, String document, long deadline) {
         List<String> pieces = pieces(document);
         int parts = pieces.size() - 1;
-        CompletableFuture<Created> stored = CompletableFuture.completedFuture(Created.EXISTS);
+        CompletableFuture<CreateResult> stored =
+                CompletableFuture.completedFuture(CreateResult.EXISTS);
         for (int i = 0; i < parts; i++) {
             ObjectKey key = new JobObject.Part(job, i).key();
             String piece = pieces.get(i);
@@ -60,17 +61,17 @@
                 before ->
                         // Without all of its parts the job was not accepted, whatever became of
                         // the one that is unclear.
-                        before == Created.EXISTS
+                        before == CreateResult.EXISTS
                                 ? create(
                                         new JobObject.Header(job).key(),
                                         JobCodec.header(whole),
                                         deadline)
-                                : CompletableFuture.completedFuture(Created.NOT_CREATED));
+                                : CompletableFuture.completedFuture(CreateResult.NOT_CREATED));
     }
 
-    private CompletableFuture<Created> createAfter(
-            Created before, ObjectKey key, String value, long deadline) {
-        return before == Created.EXISTS
+    private CompletableFuture<CreateResult> createAfter(
+            CreateResult before, ObjectKey key, String value, long deadline) {
+        return before == CreateResult.EXISTS
                 ? create(key, value, deadline)
                 : CompletableFuture.completedFuture(before);
     }
@@ -78,21 +79,21 @@
     private static List<String> pieces(String document) {
         List<String> pieces = new ArrayList<>();
         int from = 0;
-        while (document.length() - from > JobCodec.MAX_DOCUMENT_CHARS) {
-            pieces.add(document.substring(from, from + JobCodec.MAX_DOCUMENT_CHARS));
-            from += JobCodec.MAX_DOCUMENT_CHARS;
+        while (document.length() - from > JobCodec.MAX_DOCUMENT_PART_CHARS) {
+            pieces.add(document.substring(from, from + JobCodec.MAX_DOCUMENT_PART_CHARS));
+            from += JobCodec.MAX_DOCUMENT_PART_CHARS;
         }
         pieces.add(document.substring(from));
         return pieces;
     }
 
-    CompletableFuture<Created> createEnd(String job, long deadline) {
+    CompletableFuture<CreateResult> createEnd(String job, long deadline) {
         return create(new JobObject.End(job).key(), "{}", deadline);
     }
 
     /** Creates an object, again after failures until the deadline. */
-    private CompletableFuture<Created> create(ObjectKey key, String value, long deadline) {
-        CompletableFuture<Created> done = new CompletableFuture<>();
+    private CompletableFuture<CreateResult> create(ObjectKey key, String value, long deadline) {
+        CompletableFuture<CreateResult> done = new CompletableFuture<>();
         create(key, value, deadline, false, done);
         return done;
     }
@@ -102,20 +103,21 @@
             String value,
             long deadline,
             boolean unclearBefore,
-            CompletableFuture<Created> done) {
+            CompletableFuture<CreateResult> done) {
         store.write(key, ObjectStore.ABSENT, value)
                 .thenAcceptAsync(
                         result -> {
-                            contact.note(result);
+                            contact.onResult(result);
                             boolean unclear =
                                     unclearBefore || result instanceof WriteResult.Unclear;
                             boolean exists =
                                     result instanceof WriteResult.Written
                                             || result instanceof WriteResult.Conflict;
                             if (exists) {
-                                done.complete(Created.EXISTS);
+                                done.complete(CreateResult.EXISTS);
                             } else if (System.nanoTime() + RETRY.toNanos() >= deadline) {
-                                done.complete(unclear ? Created.UNCLEAR : Created.NOT_CREATED);
+                                done.complete(
+                                        unclear ? CreateResult.UNCLEAR : CreateResult.NOT_CREATED);
                             } else {
                                 loop.schedule(
                                         () -> create(key, value, deadline, unclear, done),
@@ -134,7 +136,7 @@
                         JobCodec.record(results))
                 .thenApplyAsync(
                         result -> {
-                            contact.note(result);
+                            contact.onResult(result);
                             return result;
                         },
                         loop);
@@ -144,7 +146,7 @@
         return store.read(object.key())
                 .thenApplyAsync(
                         result -> {
-                            contact.note(result);
+                            contact.onResult(result);
                             return result;
                         },
                         loop);
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobSweeper.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobSweeper.java
@@ -26,7 +26,7 @@
     private static final Duration FORGET_LATER = Duration.ofSeconds(60);
 
     private final String instance;
-    private final JobBook book;
+    private final JobRegistry book;
     private final JobStorage storage;
     private final PeerNetwork network;
     private final EventLoop loop;
@@ -35,7 +35,7 @@
 
     JobSweeper(
             String instance,
-            JobBook book,
+            JobRegistry book,
             JobStorage storage,
             PeerNetwork network,
             EventLoop loop,
@@ -64,8 +64,8 @@
             String id = job.spec().id();
             long own = Rendezvous.weight(id, instance);
             boolean first =
-                    network.book()
-                            .live(PeerRole.WORKER, now)
+                    network.peers()
+                            .livePeers(PeerRole.WORKER, now)
                             .allMatch(peer -> Rendezvous.weight(id, peer.name()) < own);
             if (first && !removing.contains(job)) {
                 removing.add(job);
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobWorker.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobWorker.java
@@ -4,14 +4,14 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import org.sardinelift.core.joblog.JobProgress;
-import org.sardinelift.core.peer.PeerBook.Succession;
 import org.sardinelift.core.peer.PeerRole;
-import org.sardinelift.gateway.Adapter;
+import org.sardinelift.core.peer.PeerTable.SuccessorState;
 import org.sardinelift.gateway.NodeSettings;
+import org.sardinelift.gateway.PlatformAdapter;
 import org.sardinelift.gateway.WorkerSettings;
 import org.sardinelift.gateway.call.TargetTable;
 import org.sardinelift.gateway.feed.PlanFeed;
-import org.sardinelift.gateway.feed.StoreContact;
+import org.sardinelift.gateway.feed.StoreAvailability;
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.http.HttpExchange;
@@ -31,20 +31,20 @@
 
     private JobWorker(
             WorkerSettings settings,
-            Adapter adapter,
+            PlatformAdapter adapter,
             EventLoop loop,
             ControlThread control,
             HttpClient targetClient,
             HttpClient storeClient,
             ObjectStore store,
-            StoreContact contact,
+            StoreAvailability contact,
             TargetTable table,
             PeerNetwork network,
             PlanFeed plans) {
         NodeSettings node = settings.node();
-        JobInterface jobs = adapter.jobs();
-        keep = settings.keepJobs();
-        JobBook book = new JobBook(jobs);
+        JobApi jobs = adapter.jobs();
+        keep = settings.jobRetention();
+        JobRegistry book = new JobRegistry(jobs);
         JobStorage storage = new JobStorage(store, loop, contact);
         feed = new JobFeed(book, store, loop, contact);
         spool =
@@ -62,7 +62,7 @@
                         targetClient,
                         loop,
                         plans,
-                        adapter.headers());
+                        adapter.headerNames());
         service =
                 new JobService(
                         jobs, book, feed, storage, spool, contact, network, loop, runner::claim);
@@ -76,15 +76,15 @@
                         control,
                         contact,
                         new Retiring(loop, network));
-        book.listenToStored(spool::onStored);
-        book.listen(this::onJobChanged);
-        network.listen(runner);
-        network.listen(spool);
-        network.reportJobs(runner::reportedJobs);
+        book.setStoredListener(spool::onJobStored);
+        book.setChangeListener(this::onJobChanged);
+        network.addListener(runner);
+        network.addListener(spool);
+        network.setAssignedJobsSupplier(runner::assignedJobHashes);
     }
 
     /** Hands the jobs of this worker over before its instance is taken away. */
-    private final class Retiring implements RetirementWatch.Work {
+    private final class Retiring implements RetirementWatch.Workload {
         private final EventLoop loop;
         private final PeerNetwork network;
 
@@ -94,26 +94,26 @@
         }
 
         @Override
-        public CompletableFuture<Succession> succession() {
+        public CompletableFuture<SuccessorState> succession() {
             return CompletableFuture.supplyAsync(
-                    () -> network.book().succession(PeerRole.WORKER, System.nanoTime()), loop);
+                    () -> network.peers().successorState(PeerRole.WORKER, System.nanoTime()), loop);
         }
 
         @Override
         public void handOver() {
             loop.execute(
                     () -> {
-                        network.leave();
-                        runner.leave();
+                        network.announceLeaving();
+                        runner.handOverJobs();
                     });
         }
 
         @Override
-        public void takeBack() {
+        public void resume() {
             loop.execute(
                     () -> {
-                        network.stay();
-                        runner.stay();
+                        network.announceStaying();
+                        runner.resumeJobs();
                     });
         }
 
@@ -124,8 +124,8 @@
     }
 
     private void onJobChanged(JobProgress job) {
-        service.onChanged(job);
-        runner.pump();
+        service.onJobChanged(job);
+        runner.reschedule();
     }
 
     /**
@@ -146,13 +146,13 @@
      */
     public static JobWorker create(
             WorkerSettings settings,
-            Adapter adapter,
+            PlatformAdapter adapter,
             EventLoop loop,
             ControlThread control,
             HttpClient targetClient,
             HttpClient storeClient,
             ObjectStore store,
-            StoreContact contact,
+            StoreAvailability contact,
             TargetTable table,
             PeerNetwork network,
             PlanFeed plans) {
@@ -189,13 +189,13 @@
     }
 
     /** Something changed that may let items start. */
-    public void onChanged() {
-        runner.pump();
+    public void onPlanOrTargetsChanged() {
+        runner.reschedule();
     }
 
     /** Hands all jobs to other workers; on the event loop. */
-    public void leave() {
-        runner.leave();
+    public void handOverJobs() {
+        runner.handOverJobs();
     }
 
     /**
--- a/gateway/src/main/java/org/sardinelift/gateway/job/RetirementWatch.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/RetirementWatch.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.sardinelift.core.peer.PeerBook.Succession;
 import org.sardinelift.core.peer.PeerRole;
-import org.sardinelift.gateway.Adapter;
+import org.sardinelift.core.peer.PeerTable.SuccessorState;
 import org.sardinelift.gateway.NodeSettings;
-import org.sardinelift.gateway.feed.StoreContact;
+import org.sardinelift.gateway.PlatformAdapter;
+import org.sardinelift.gateway.feed.StoreAvailability;
 import org.sardinelift.http.HttpAnswer;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
@@ -29,40 +29,40 @@
     private static final Duration RETRY = Duration.ofMillis(400);
     private static final int OK = 200;
 
-    private final Adapter adapter;
+    private final PlatformAdapter adapter;
     private final NodeSettings settings;
     private final ObjectStore store;
     private final HttpClient client;
     private final ControlThread control;
-    private final StoreContact contact;
-    private final Work work;
+    private final StoreAvailability contact;
+    private final Workload work;
     private boolean asked;
     private boolean handedOver;
     private boolean startReported;
 
     /** What is to be handed over. */
-    interface Work {
+    interface Workload {
         /** Who can take the work. */
-        CompletableFuture<Succession> succession();
+        CompletableFuture<SuccessorState> succession();
 
         /** Leaves the work to others. */
         void handOver();
 
         /** Takes work again, since nobody else would. */
-        void takeBack();
+        void resume();
 
         /** Whether nothing is left here that must last. */
         boolean isEmpty();
     }
 
     RetirementWatch(
-            Adapter adapter,
+            PlatformAdapter adapter,
             NodeSettings settings,
             ObjectStore store,
             HttpClient client,
             ControlThread control,
-            StoreContact contact,
-            Work work) {
+            StoreAvailability contact,
+            Workload work) {
         this.adapter = adapter;
         this.settings = settings;
         this.store = store;
@@ -81,7 +81,7 @@
         store.read(key)
                 .thenAcceptAsync(
                         result -> {
-                            contact.note(result);
+                            contact.onResult(result);
                             if (result instanceof ReadResult.Found) {
                                 onAsked(key);
                             } else {
@@ -99,18 +99,21 @@
         work.succession().thenAcceptAsync(found -> step(key, found), control::execute);
     }
 
-    private void step(ObjectKey key, Succession succession) {
+    private void step(ObjectKey key, SuccessorState succession) {
         boolean wasHandedOver = handedOver;
-        handedOver = handedOver ? succession != Succession.ALONE : succession == Succession.SECURED;
+        handedOver =
+                handedOver
+                        ? succession != SuccessorState.NONE
+                        : succession == SuccessorState.PRESENT;
         if (handedOver != wasHandedOver) {
             Event.of(handedOver ? "retirement.handing_over" : "retirement.stays").info();
             if (handedOver) {
                 work.handOver();
             } else {
-                work.takeBack();
+                work.resume();
             }
         }
-        boolean isDone = wasHandedOver && succession == Succession.SECURED && work.isEmpty();
+        boolean isDone = wasHandedOver && succession == SuccessorState.PRESENT && work.isEmpty();
         if (!startReported) {
             report(key, false);
         } else if (isDone) {
@@ -121,11 +124,11 @@
     }
 
     private void report(ObjectKey key, boolean done) {
-        var request = adapter.retirementReport(key, done);
+        var request = adapter.retirementStatusRequest(key, done);
         HttpCall call =
                 HttpCall.of(
-                        settings.store().host(),
-                        settings.store().port(),
+                        settings.storeAddress().host(),
+                        settings.storeAddress().port(),
                         request.method(),
                         request.uri(),
                         Map.of("content-type", "application/json"),
--- a/gateway/src/main/java/org/sardinelift/gateway/job/WorkerMetrics.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/WorkerMetrics.java
@@ -34,19 +34,19 @@
 
     private WorkerMetrics() {}
 
-    static void running(int items) {
+    static void setRunningItems(int items) {
         RUNNING.set(items);
     }
 
-    static void runEnded(String end) {
+    static void countRun(String end) {
         RUNS.labelValues(end).inc();
     }
 
-    static void submitted(String stored) {
+    static void countSubmission(String stored) {
         JOBS.labelValues(stored).inc();
     }
 
-    static void recorded(long ageMs) {
+    static void observeResultAge(long ageMs) {
         RECORDED.observe(ageMs / MILLIS_PER_SECOND);
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/peer/PeerMetrics.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/peer/PeerMetrics.java
@@ -13,7 +13,7 @@
 
     private PeerMetrics() {}
 
-    static void sent(boolean sameZone) {
+    static void countSent(boolean sameZone) {
         REPORTS.labelValues(sameZone ? "own_zone" : "other_zone").inc();
     }
 
--- a/gateway/src/main/java/org/sardinelift/gateway/peer/PeerNetwork.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/peer/PeerNetwork.java
@@ -19,11 +19,11 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 import org.jspecify.annotations.Nullable;
-import org.sardinelift.core.load.LoadBoard;
-import org.sardinelift.core.load.Use;
+import org.sardinelift.core.load.LoadTracker;
+import org.sardinelift.core.load.TargetCalls;
 import org.sardinelift.core.peer.Peer;
-import org.sardinelift.core.peer.PeerBook;
 import org.sardinelift.core.peer.PeerRole;
+import org.sardinelift.core.peer.PeerTable;
 import org.sardinelift.core.quota.FleetQuota;
 import org.sardinelift.core.quota.QuotaBounds;
 import org.sardinelift.gateway.Endpoint;
@@ -75,11 +75,12 @@
 
     private final NodeSettings settings;
     private final EventLoop loop;
-    private final PeerBook book;
-    private final LoadBoard board = LoadBoard.create(SILENCE.multipliedBy(2), FOREIGN_LOAD_LIFE);
+    private final PeerTable peers;
+    private final LoadTracker targetLoads =
+            LoadTracker.create(SILENCE.multipliedBy(2), FOREIGN_LOAD_LIFE);
     private final FleetQuota quota =
             FleetQuota.create(new QuotaBounds(SILENCE, YOUNG), System.nanoTime());
-    private final ReportWriter writer;
+    private final ReportBuilder writer;
     private final ReportRelay relay;
     private final ReportChannel channel;
     private final Set<String> liveNames = new HashSet<>();
@@ -95,7 +96,7 @@
     private volatile boolean targetsReadByOther;
 
     /** What this instance knows from the store, for its reports; safe for any thread. */
-    public interface Knowledge {
+    public interface StoreReadState {
         /**
          * Version of the configuration in force.
          *
@@ -122,7 +123,7 @@
          *
          * @return a revision of the store
          */
-        long targetsChanged();
+        long targetsRevision();
     }
 
     /** Hears what reports tell; on the event loop. */
@@ -141,24 +142,25 @@
          * @param request hash of the request that the target ran
          * @param target life of the target that ended
          */
-        default void onDeath(long request, String target) {}
+        default void onTargetDeath(long request, String target) {}
 
         /** Loads may have changed, or time has passed. */
-        default void onLoads() {}
+        default void onLoadsUpdated() {}
     }
 
-    private PeerNetwork(NodeSettings settings, PeerRole role, EventLoop loop, Knowledge knowledge)
+    private PeerNetwork(
+            NodeSettings settings, PeerRole role, EventLoop loop, StoreReadState knowledge)
             throws BindException {
         this.settings = settings;
         this.loop = loop;
-        this.book = PeerBook.create(settings.instance(), SILENCE, FORGET);
-        this.writer = new ReportWriter(settings, role, knowledge, book, board, quota);
-        this.relay = new ReportRelay(settings, role, book, loop, this::sendRelayed);
+        this.peers = PeerTable.create(settings.instance(), SILENCE, FORGET);
+        this.writer = new ReportBuilder(settings, role, knowledge, peers, targetLoads, quota);
+        this.relay = new ReportRelay(settings, role, peers, loop, this::sendRelayed);
         this.channel =
                 ReportChannel.bind(
                         loop,
-                        settings.internal().host(),
-                        settings.internal().port(),
+                        settings.internalAddress().host(),
+                        settings.internalAddress().port(),
                         this::onDatagram);
     }
 
@@ -173,7 +175,7 @@
      * @throws BindException where the port is taken
      */
     public static PeerNetwork bind(
-            NodeSettings settings, PeerRole role, EventLoop loop, Knowledge knowledge)
+            NodeSettings settings, PeerRole role, EventLoop loop, StoreReadState knowledge)
             throws BindException {
         return new PeerNetwork(settings, role, loop, knowledge);
     }
@@ -193,7 +195,7 @@
      *
      * @param listener the listener
      */
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
@@ -202,8 +204,8 @@
      *
      * @param running gives hashes of the jobs' names
      */
-    public void reportJobs(Supplier<Collection<Long>> running) {
-        writer.reportJobs(running);
+    public void setAssignedJobsSupplier(Supplier<Collection<Long>> running) {
+        writer.setAssignedJobsSupplier(running);
     }
 
     /**
@@ -211,8 +213,8 @@
      *
      * @return the book
      */
-    public PeerBook book() {
-        return book;
+    public PeerTable peers() {
+        return peers;
     }
 
     /**
@@ -220,8 +222,8 @@
      *
      * @return the board
      */
-    public LoadBoard board() {
-        return board;
+    public LoadTracker targetLoads() {
+        return targetLoads;
     }
 
     /**
@@ -234,7 +236,7 @@
     }
 
     /** Something that the others are to know soon has changed. */
-    public void changed() {
+    public void onLocalChange() {
         flushWithin(GATHER);
     }
 
@@ -242,7 +244,7 @@
      * A slot of a target has come free. Another instance that doesn't know of it yet sends its call
      * elsewhere, which costs less than one that doesn't know of a slot taken.
      */
-    public void freed() {
+    public void onSlotFreed() {
         flushWithin(GATHER_FREED);
     }
 
@@ -255,7 +257,7 @@
             flushDue = due;
             flush = loop.schedule(this::flush, bound.toNanos(), TimeUnit.NANOSECONDS);
         }
-        relay.onOwnChange();
+        relay.onLocalChange();
     }
 
     private void flush() {
@@ -263,20 +265,20 @@
             flush.cancel(false);
             flush = null;
         }
-        sendTo(writer.changes(), peer -> peer.zone().equals(settings.zone()));
+        sendTo(writer.buildIncremental(), peer -> peer.zone().equals(settings.zone()));
         sentAt = System.nanoTime();
     }
 
     /** This instance is about to stop. */
-    public void leave() {
-        writer.leaving(true);
-        changed();
+    public void announceLeaving() {
+        writer.setLeaving(true);
+        onLocalChange();
     }
 
     /** This instance stays after all. */
-    public void stay() {
-        writer.leaving(false);
-        changed();
+    public void announceStaying() {
+        writer.setLeaving(false);
+        onLocalChange();
     }
 
     /**
@@ -285,9 +287,9 @@
      * @param request hash of the request that the target ran
      * @param target life of the target that ended
      */
-    public void reportDeath(long request, String target) {
-        writer.onDeath(request, target);
-        changed();
+    public void reportTargetDeath(long request, String target) {
+        writer.onTargetDeath(request, target);
+        onLocalChange();
     }
 
     /**
@@ -297,30 +299,31 @@
      * @param peerRole what it does
      * @param address where it takes reports
      */
-    public void onInstance(String name, PeerRole peerRole, Endpoint address) {
+    public void onInstanceRegistered(String name, PeerRole peerRole, Endpoint address) {
         long now = System.nanoTime();
         if (name.equals(settings.instance())) {
             return;
         }
         if (peerRole == PeerRole.GATEWAY) {
-            quota.onMember(name, now);
+            quota.onPeerAdded(name, now);
         }
-        if (book.onAddress(name, address.host(), address.port(), now)) {
+        if (peers.onAddress(name, address.host(), address.port(), now)) {
             introduceTo(address.host(), address.port());
         }
     }
 
     private void introduceToSeeds() {
-        PeerReport report = writer.changes();
+        PeerReport report = writer.buildIncremental();
         report.setIntroduce(true);
         byte[] bytes = channel.bytes(report);
-        settings.seeds().stream()
-                .filter(host -> !host.equals(settings.internal().host()))
+        settings.seedHosts().stream()
+                .filter(host -> !host.equals(settings.internalAddress().host()))
                 .forEach(
                         host ->
                                 channel.send(
                                         bytes,
-                                        new InetSocketAddress(host, settings.internal().port())));
+                                        new InetSocketAddress(
+                                                host, settings.internalAddress().port())));
     }
 
     private void tick() {
@@ -329,10 +332,10 @@
         long now = System.nanoTime();
         noticePause(now);
         noteReaders(now);
-        quota.noticeSilence(now);
-        board.expire(now);
-        for (String gone : book.forgetSilent(now)) {
-            quota.onGone(gone);
+        quota.detectSilentPeers(now);
+        targetLoads.expire(now);
+        for (String gone : peers.removeSilent(now)) {
+            quota.onPeerRemoved(gone);
             Event.of("peer.forgotten").with("peer", gone).info();
         }
         noticeLost(now);
@@ -341,16 +344,16 @@
         } else if (now - sentAt >= HEARTBEAT.toNanos()) {
             flush();
         }
-        if (book.all().isEmpty()) {
+        if (peers.all().isEmpty()) {
             introduceToSeeds();
         }
-        listeners.forEach(Listener::onLoads);
+        listeners.forEach(Listener::onLoadsUpdated);
     }
 
     private void noteReaders(long now) {
         String zone = settings.zone();
-        planReadByOther = book.isReadByOther(zone, Peer::planReadAt, PLAN_READ, now);
-        targetsReadByOther = book.isReadByOther(zone, Peer::targetsReadAt, TARGETS_READ, now);
+        planReadByOther = peers.isReadByOther(zone, Peer::planReadAt, PLAN_READ, now);
+        targetsReadByOther = peers.isReadByOther(zone, Peer::targetsReadAt, TARGETS_READ, now);
     }
 
     /**
@@ -358,7 +361,7 @@
      *
      * @return false while another one of its zone does; safe for any thread
      */
-    public boolean readsPlan() {
+    public boolean isPlanReader() {
         return !planReadByOther;
     }
 
@@ -367,7 +370,7 @@
      *
      * @return false while another one of its zone does; safe for any thread
      */
-    public boolean readsTargets() {
+    public boolean isTargetsReader() {
         return !targetsReadByOther;
     }
 
@@ -386,8 +389,8 @@
 
     private void noticeLost(long now) {
         List<String> lost =
-                book.all().stream()
-                        .filter(peer -> liveNames.contains(peer.name()) && !book.isLive(peer, now))
+                peers.all().stream()
+                        .filter(peer -> liveNames.contains(peer.name()) && !peers.isLive(peer, now))
                         .map(Peer::name)
                         .toList();
         lost.forEach(
@@ -403,17 +406,17 @@
         if (full) {
             sentFullAt = now;
         }
-        sendTo(full ? writer.full() : writer.changes(), peer -> true);
+        sendTo(full ? writer.buildFull() : writer.buildIncremental(), peer -> true);
         sentAt = now;
         sentFarAt = now;
     }
 
     private void sendTo(PeerReport report, Predicate<Peer> chosen) {
-        send(report, book.all().stream().filter(chosen).toList());
+        send(report, peers.all().stream().filter(chosen).toList());
     }
 
     private void sendRelayed(List<byte[]> reports, Collection<Peer> receivers) {
-        PeerReport report = writer.changes();
+        PeerReport report = writer.buildIncremental();
         report.setRelayed(reports.stream().map(ByteBuffer::wrap).toList());
         send(report, receivers);
     }
@@ -426,7 +429,7 @@
         receivers.forEach(
                 peer -> {
                     channel.send(bytes, new InetSocketAddress(peer.host(), peer.port()));
-                    PeerMetrics.sent(peer.zone().equals(settings.zone()));
+                    PeerMetrics.countSent(peer.zone().equals(settings.zone()));
                 });
     }
 
@@ -449,7 +452,7 @@
                                         peer, relayed.isEmpty() ? bytes : channel.bytes(report)));
         boolean fromOwnZone = report.getZone().equals(settings.zone());
         relayed.forEach(each -> onRelayed(each, fromOwnZone));
-        listeners.forEach(Listener::onLoads);
+        listeners.forEach(Listener::onLoadsUpdated);
     }
 
     private void onRelayed(ByteBuffer each, boolean fromOwnZone) {
@@ -466,11 +469,11 @@
     private Optional<Peer> onReport(PeerReport report) {
         long now = System.nanoTime();
         Peer peer = peer(report, now);
-        PeerBook.News news = book.onReport(peer);
-        if (news == PeerBook.News.STALE) {
+        PeerTable.ReportResult news = peers.onReport(peer);
+        if (news == PeerTable.ReportResult.STALE) {
             return Optional.empty();
         }
-        boolean joined = news == PeerBook.News.JOINED;
+        boolean joined = news == PeerTable.ReportResult.JOINED;
         if (liveNames.add(peer.name()) || joined) {
             Event.of("peer.joined")
                     .with("peer", peer.name())
@@ -480,7 +483,7 @@
         if (report.isSetMembers()) {
             report.getMembers().forEach(member -> onMember(member, now));
         }
-        board.onReport(peer.name(), uses(report), now);
+        targetLoads.onReport(peer.name(), uses(report), now);
         if (peer.role() == PeerRole.GATEWAY) {
             onCounts(peer, report, now);
         }
@@ -493,7 +496,7 @@
                             death ->
                                     listeners.forEach(
                                             it ->
-                                                    it.onDeath(
+                                                    it.onTargetDeath(
                                                             death.getRequest(),
                                                             death.getTarget())));
         }
@@ -505,7 +508,7 @@
     }
 
     private void onMember(PeerAddress member, long now) {
-        if (book.onAddress(member.getInstance(), member.getHost(), member.getPort(), now)) {
+        if (peers.onAddress(member.getInstance(), member.getHost(), member.getPort(), now)) {
             introduceTo(member.getHost(), member.getPort());
         }
     }
@@ -523,16 +526,16 @@
     }
 
     private void introduceTo(String host, int port) {
-        channel.send(channel.bytes(writer.full()), new InetSocketAddress(host, port));
+        channel.send(channel.bytes(writer.buildFull()), new InetSocketAddress(host, port));
     }
 
-    private static Map<String, Use> uses(PeerReport report) {
+    private static Map<String, TargetCalls> uses(PeerReport report) {
         return report.getUses().stream()
                 .collect(
                         Collectors.toMap(
                                 TargetUse::getTarget,
-                                use -> new Use(use.getOnline(), use.getBatch()),
-                                Use::plus));
+                                use -> new TargetCalls(use.getOnline(), use.getBatch()),
+                                TargetCalls::plus));
     }
 
     private static Peer peer(PeerReport report, long now) {
@@ -541,7 +544,7 @@
                 report.getHost(),
                 report.getPort(),
                 report.getZone(),
-                PeerRole.labelled(report.getRole()).orElse(PeerRole.GATEWAY),
+                PeerRole.fromLabel(report.getRole()).orElse(PeerRole.GATEWAY),
                 report.getIncarnation(),
                 report.getSequence(),
                 report.getPlanVersion(),
--- a/gateway/src/main/java/org/sardinelift/gateway/peer/ReportWriter.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/peer/ReportBuilder.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.sardinelift.core.load.LoadBoard;
-import org.sardinelift.core.peer.PeerBook;
+import org.sardinelift.core.load.LoadTracker;
 import org.sardinelift.core.peer.PeerRole;
+import org.sardinelift.core.peer.PeerTable;
 import org.sardinelift.core.quota.FleetQuota;
 import org.sardinelift.gateway.NodeSettings;
 import org.sardinelift.protocol.generated.PeerAddress;
@@ -20,7 +20,7 @@
 import org.sardinelift.protocol.generated.TeamCount;
 
 /** Writes the reports of this instance; on the event loop. */
-final class ReportWriter {
+final class ReportBuilder {
     /**
      * Time for which a change is named again, for those that missed a report: more than two
      * heartbeats to the instances of other zones.
@@ -32,9 +32,9 @@
 
     private final NodeSettings settings;
     private final PeerRole role;
-    private final PeerNetwork.Knowledge knowledge;
-    private final PeerBook book;
-    private final LoadBoard board;
+    private final PeerNetwork.StoreReadState knowledge;
+    private final PeerTable book;
+    private final LoadTracker board;
     private final FleetQuota quota;
     private final long incarnation = System.currentTimeMillis();
     private final long startedAt = System.nanoTime();
@@ -43,14 +43,14 @@
     private final Map<TargetDeath, Long> deaths = new LinkedHashMap<>();
     private Supplier<Collection<Long>> jobs = List::of;
     private long sequence;
-    private boolean leaving;
+    private boolean setLeaving;
 
-    ReportWriter(
+    ReportBuilder(
             NodeSettings settings,
             PeerRole role,
-            PeerNetwork.Knowledge knowledge,
-            PeerBook book,
-            LoadBoard board,
+            PeerNetwork.StoreReadState knowledge,
+            PeerTable book,
+            LoadTracker board,
             FleetQuota quota) {
         this.settings = settings;
         this.role = role;
@@ -61,27 +61,27 @@
     }
 
     /** Sets who tells which jobs run here. */
-    void reportJobs(Supplier<Collection<Long>> running) {
+    void setAssignedJobsSupplier(Supplier<Collection<Long>> running) {
         jobs = running;
     }
 
     /** Sets whether this instance is about to stop. */
-    void leaving(boolean isLeaving) {
-        leaving = isLeaving;
+    void setLeaving(boolean isLeaving) {
+        setLeaving = isLeaving;
     }
 
     /** A target died, of which the next reports tell. */
-    void onDeath(long request, String target) {
+    void onTargetDeath(long request, String target) {
         deaths.put(new TargetDeath(request, target), System.nanoTime());
     }
 
     /** What changes often. */
-    PeerReport changes() {
+    PeerReport buildIncremental() {
         return report(false);
     }
 
     /** The same with all teams and all members. */
-    PeerReport full() {
+    PeerReport buildFull() {
         PeerReport report = report(true);
         report.setMembers(
                 book.all().stream()
@@ -100,15 +100,15 @@
         report.setAgeMs(TimeUnit.NANOSECONDS.toMillis(now - startedAt));
         report.setZone(settings.zone());
         report.setRole(role.label());
-        report.setHost(settings.internal().host());
-        report.setPort(settings.internal().port());
+        report.setHost(settings.internalAddress().host());
+        report.setPort(settings.internalAddress().port());
         report.setPlanVersion(knowledge.planVersion());
         report.setPlanAgeMs(ageMs(knowledge.planReadAt(), now));
         report.setTargetsAgeMs(ageMs(knowledge.targetsReadAt(), now));
-        report.setTargetsChanged(knowledge.targetsChanged());
-        report.setLeaving(leaving);
+        report.setTargetsChanged(knowledge.targetsRevision());
+        report.setLeaving(setLeaving);
         report.setUses(
-                board.ownUses().entrySet().stream()
+                board.ownCallsByTarget().entrySet().stream()
                         .map(
                                 use ->
                                         new TargetUse(
@@ -128,7 +128,7 @@
     }
 
     private List<TeamCount> counts(boolean all, long now) {
-        quota.admitted()
+        quota.admittedCounts()
                 .forEach(
                         (team, count) -> {
                             if (!count.equals(reportedCounts.put(team, count))) {
--- a/gateway/src/main/java/org/sardinelift/gateway/peer/ReportRelay.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/peer/ReportRelay.java
@@ -8,8 +8,8 @@
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
 import org.sardinelift.core.peer.Peer;
-import org.sardinelift.core.peer.PeerBook;
 import org.sardinelift.core.peer.PeerRole;
+import org.sardinelift.core.peer.PeerTable;
 import org.sardinelift.core.peer.RelayBuffer;
 import org.sardinelift.gateway.NodeSettings;
 
@@ -30,7 +30,7 @@
 
     private final NodeSettings settings;
     private final PeerRole role;
-    private final PeerBook book;
+    private final PeerTable book;
     private final EventLoop loop;
     private final BiConsumer<List<byte[]>, Collection<Peer>> sender;
     private final RelayBuffer forOtherZones = RelayBuffer.create(MAX_BYTES);
@@ -46,7 +46,7 @@
     ReportRelay(
             NodeSettings settings,
             PeerRole role,
-            PeerBook book,
+            PeerTable book,
             EventLoop loop,
             BiConsumer<List<byte[]>, Collection<Peer>> sender) {
         this.settings = settings;
@@ -61,7 +61,7 @@
     }
 
     /** This instance has something new to report. */
-    void onOwnChange() {
+    void onLocalChange() {
         if (isRelay()) {
             ownChanged = true;
             flushLater();
@@ -98,7 +98,7 @@
         ownChanged = false;
         List<Peer> zone =
                 Stream.of(PeerRole.values())
-                        .flatMap(each -> book.live(each, now))
+                        .flatMap(each -> book.livePeers(each, now))
                         .filter(peer -> peer.zone().equals(settings.zone()))
                         .toList();
         inward.forEach(reports -> sender.accept(reports, zone));
--- a/gateway/src/test/java/org/sardinelift/gateway/peer/PeerNetworkTest.java
+++ b/gateway/src/test/java/org/sardinelift/gateway/peer/PeerNetworkTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.core.load.Use;
+import org.sardinelift.core.load.TargetCalls;
 import org.sardinelift.core.peer.PeerRole;
 import org.sardinelift.gateway.Endpoint;
 import org.sardinelift.gateway.NodeSettings;
@@ -31,7 +31,7 @@
     private static final int INSTANCES = ZONES.size() * PER_ZONE;
     private static final Duration PATIENCE = Duration.ofSeconds(20);
 
-    private static final PeerNetwork.Knowledge NOTHING = new Nothing();
+    private static final PeerNetwork.StoreReadState NOTHING = new Nothing();
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -86,16 +86,16 @@
         return networks.stream()
                 .allMatch(
                         network ->
-                                network.book().all().stream()
-                                                .filter(peer -> network.book().isLive(peer, now))
+                                network.peers().all().stream()
+                                                .filter(peer -> network.peers().isLive(peer, now))
                                                 .count()
                                         == INSTANCES - 1);
     }
 
-    private long countThatSee(String target, Use use) {
+    private long countThatSee(String target, TargetCalls use) {
         long now = System.nanoTime();
         return networks.stream()
-                .filter(network -> network.board().use(target, now).equals(use))
+                .filter(network -> network.targetLoads().knownCalls(target, now).equals(use))
                 .count();
     }
 
@@ -106,11 +106,16 @@
             String target = "target-" + i;
             loop.execute(
                     () -> {
-                        sender.board().onOwn(target, new Use(1, 0));
-                        sender.changed();
+                        sender.targetLoads().onOwnCallsChanged(target, new TargetCalls(1, 0));
+                        sender.onLocalChange();
                     });
             await().atMost(PATIENCE)
-                    .until(() -> onLoop(() -> countThatSee(target, new Use(1, 0)) == INSTANCES));
+                    .until(
+                            () ->
+                                    onLoop(
+                                            () ->
+                                                    countThatSee(target, new TargetCalls(1, 0))
+                                                            == INSTANCES));
         }
         assertTrue(onLoop(this::allKnowAll));
     }
@@ -134,8 +139,8 @@
         assertTrue(sent < 0.5 * 100 * INSTANCES * others);
     }
 
-    private static Use busyUse() {
-        return new Use(100 * INSTANCES, 0);
+    private static TargetCalls busyUse() {
+        return new TargetCalls(100 * INSTANCES, 0);
     }
 
     private void changeEverywhere(long afterMs) {
@@ -143,8 +148,9 @@
                 () ->
                         networks.forEach(
                                 network -> {
-                                    network.board().onOwn("busy", new Use(1, 0));
-                                    network.changed();
+                                    network.targetLoads()
+                                            .onOwnCallsChanged("busy", new TargetCalls(1, 0));
+                                    network.onLocalChange();
                                 }),
                 afterMs,
                 TimeUnit.MILLISECONDS);
@@ -158,8 +164,8 @@
         PeerNetwork sender = networks.get(INSTANCES - 1);
         loop.execute(
                 () -> {
-                    sender.board().onOwn("late", new Use(2, 0));
-                    sender.changed();
+                    sender.targetLoads().onOwnCallsChanged("late", new TargetCalls(2, 0));
+                    sender.onLocalChange();
                 });
 
         await().atMost(PATIENCE)
@@ -167,9 +173,9 @@
                         () ->
                                 onLoop(
                                         () ->
-                                                countThatSee("late", new Use(2, 0))
+                                                countThatSee("late", new TargetCalls(2, 0))
                                                         == INSTANCES - ZONES.size()));
-        assertEquals(0, onLoop(() -> networks.get(0).board().use("late", 0).total()));
+        assertEquals(0, onLoop(() -> networks.get(0).targetLoads().knownCalls("late", 0).total()));
     }
 
     @Test
@@ -183,7 +189,7 @@
         // Neither was started, so that no heartbeat comes in between.
         loop.execute(
                 () ->
-                        first.onInstance(
+                        first.onInstanceRegistered(
                                 "instance-101", PeerRole.GATEWAY, new Endpoint(host(101), port)));
 
         await().atMost(PATIENCE).until(() -> onLoop(() -> isLive(first, "instance-101")));
@@ -195,10 +201,10 @@
         PeerNetwork failing = networks.get(0);
         onLoop(
                 () -> {
-                    failing.listen(
+                    failing.addListener(
                             new PeerNetwork.Listener() {
                                 @Override
-                                public void onLoads() {
+                                public void onLoadsUpdated() {
                                     throw new IllegalStateException("thrown by the test");
                                 }
                             });
@@ -215,21 +221,21 @@
         return new NodeSettings(
                 usual.instance(),
                 usual.zone(),
-                usual.internal(),
+                usual.internalAddress(),
                 List.of(),
-                usual.store(),
+                usual.storeAddress(),
                 usual.storeTimeout(),
                 usual.storeCallsPerSecond(),
-                usual.grace());
+                usual.gracePeriod());
     }
 
     private static boolean isLive(PeerNetwork network, String name) {
         long now = System.nanoTime();
-        return network.book().all().stream()
-                .anyMatch(peer -> peer.name().equals(name) && network.book().isLive(peer, now));
+        return network.peers().all().stream()
+                .anyMatch(peer -> peer.name().equals(name) && network.peers().isLive(peer, now));
     }
 
-    private static final class Nothing implements PeerNetwork.Knowledge {
+    private static final class Nothing implements PeerNetwork.StoreReadState {
         @Override
         public long planVersion() {
             return 0;
@@ -246,7 +252,7 @@
         }
 
         @Override
-        public long targetsChanged() {
+        public long targetsRevision() {
             return 0;
         }
     }
--- a/objects/src/main/java/org/sardinelift/objects/kinds/ConfigCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/ConfigCodec.java
@@ -88,11 +88,11 @@
         } else if (item instanceof KeyEntry key) {
             node.put("team", key.team());
             node.put("digest", key.digest());
-            node.put("withdrawn", key.withdrawn());
+            node.put("withdrawn", key.isWithdrawn());
         } else if (item instanceof ServiceSpec service) {
-            node.put("engine", service.engine());
+            node.put("engine", service.isEngine());
             texts(node, "models", service.models());
-            node.put("open", service.open());
+            node.put("open", service.isOpen());
             texts(node, "repeatableMethods", service.repeatableMethods());
             node.put("checksFence", service.checksFence());
         }
--- a/objects/src/main/java/org/sardinelift/objects/kinds/RolloutCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/RolloutCodec.java
@@ -89,14 +89,14 @@
         node.put("revision", String.valueOf(state.spec().revision()));
         node.put("fence", String.valueOf(state.fence()));
         node.put("phase", state.phase().name());
-        text(node, "reason", state.reason());
-        text(node, "trouble", state.trouble());
+        text(node, "reason", state.rollbackReason());
+        text(node, "trouble", state.problem());
         ArrayNode steps = node.putArray("steps");
         state.steps()
                 .forEach(
                         (target, step) -> {
                             ObjectNode one = steps.addObject().put("target", target);
-                            text(one, "previous", step.previous());
+                            text(one, "previous", step.previousValue());
                             one.put("state", step.state().name());
                         });
         return node.toString();
@@ -158,7 +158,7 @@
         } else {
             node.put("model", spec.goal().model()).put("version", spec.goal().wanted());
         }
-        return node.put("leastServing", spec.leastServing()).put("stopped", spec.stopped());
+        return node.put("leastServing", spec.minServingFraction()).put("stopped", spec.isStopped());
     }
 
     private static RolloutState state(String name, SettingsNode node) {
--- a/objects/src/main/java/org/sardinelift/objects/kinds/SharesCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/SharesCodec.java
@@ -22,7 +22,7 @@
     private static final String REMEDY =
             "Delete the object while every entry is stopped, and start them after the longest time"
                     + " that a team's rate takes to fill its burst.";
-    private static final int TOTAL = (int) Shares.TOTAL;
+    private static final int TOTAL = (int) Shares.TOTAL_UNITS;
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
     private SharesCodec() {}
@@ -45,7 +45,7 @@
                                         .put("instance", id.instance())
                                         .put("incarnation", id.incarnation())
                                         .put("units", member.units())
-                                        .put("joined", member.joined()));
+                                        .put("joined", member.joinedVersion()));
         return node.toString();
     }
 
@@ -70,8 +70,8 @@
                             .toList());
         }
         Value value = ((SettingsResult.Sound<Value>) result).settings();
-        if (value.total() != Shares.TOTAL) {
-            return unsound("", Shares.TOTAL + " units in all", value.total() + " units");
+        if (value.total() != Shares.TOTAL_UNITS) {
+            return unsound("", Shares.TOTAL_UNITS + " units in all", value.total() + " units");
         }
         if (value.fresh() > value.pool()) {
             return unsound(
--- a/objects/src/test/java/org/sardinelift/objects/kinds/SharesCodecTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/kinds/SharesCodecTest.java
@@ -12,14 +12,14 @@
     @Test
     void whatIsWrittenIsReadBack() {
         MemberId id = new MemberId("e/1", "i-1");
-        Shares shares = Shares.initial().join(id, 3).take(id, 1_000);
+        Shares shares = Shares.initial().addMember(id, 3).transferFromPool(id, 1_000);
         assertEquals(new KindResult.Sound<>(shares), SharesCodec.read(SharesCodec.write(shares)));
     }
 
     @Test
     void unitsAreNotFreshWhereNothingSaysSo() {
         KindResult<Shares> read = SharesCodec.read("{\"pool\": 720720, \"members\": []}");
-        assertEquals(new KindResult.Sound<>(new Shares(Shares.TOTAL, 0, Map.of())), read);
+        assertEquals(new KindResult.Sound<>(new Shares(Shares.TOTAL_UNITS, 0, Map.of())), read);
     }
 
     @Test
--- a/protocol/src/main/java/org/sardinelift/protocol/ChannelConnection.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ChannelConnection.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
-import org.sardinelift.core.fleet.PathStep;
-import org.sardinelift.core.fleet.PathWatch;
+import org.sardinelift.core.fleet.HeartbeatAction;
+import org.sardinelift.core.fleet.HeartbeatMonitor;
 import org.sardinelift.protocol.generated.Frame;
 import org.sardinelift.protocol.generated.Heartbeat;
 import org.sardinelift.protocol.generated.HeartbeatAck;
@@ -29,10 +29,10 @@
     private volatile boolean closing;
     private boolean up;
     private String reason = "closed by the peer";
-    private final PathWatch watch;
+    private final HeartbeatMonitor watch;
 
     private ChannelConnection(
-            Channel channel, Supplier<Hello> self, PathWatch watch, FrameListener listener) {
+            Channel channel, Supplier<Hello> self, HeartbeatMonitor watch, FrameListener listener) {
         this.channel = channel;
         this.self = self;
         this.watch = watch;
@@ -42,15 +42,16 @@
     /** The end that opened the channel: it sends the heartbeats. */
     static ChannelConnection ofOpener(
             Channel channel, Supplier<Hello> self, LinkTimings timings, FrameListener listener) {
-        PathWatch watch =
-                PathWatch.ofOpener(timings.heartbeat(), timings.silence(), System.nanoTime());
+        HeartbeatMonitor watch =
+                HeartbeatMonitor.ofOpener(
+                        timings.heartbeat(), timings.silence(), System.nanoTime());
         return new ChannelConnection(channel, self, watch, listener);
     }
 
     /** The end that accepted the channel: it answers the heartbeats. */
     static ChannelConnection ofAcceptor(
             Channel channel, Supplier<Hello> self, LinkTimings timings, FrameListener listener) {
-        PathWatch watch = PathWatch.ofAcceptor(timings.silence(), System.nanoTime());
+        HeartbeatMonitor watch = HeartbeatMonitor.ofAcceptor(timings.silence(), System.nanoTime());
         return new ChannelConnection(channel, self, watch, listener);
     }
 
@@ -59,7 +60,7 @@
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) {
-                if (message instanceof ByteBuf && !watch.onBytes(System.nanoTime())) {
+                if (message instanceof ByteBuf && !watch.onBytesReceived(System.nanoTime())) {
                     shut("bytes came after a silence");
                 }
                 if (closing) {
@@ -93,7 +94,8 @@
                             Frame.heartbeatAck(
                                     new HeartbeatAck(frame.getHeartbeat().getSequence())));
             case HEARTBEAT_ACK ->
-                    watch.onAnswer(frame.getHeartbeatAck().getSequence(), System.nanoTime());
+                    watch.onHeartbeatAnswered(
+                            frame.getHeartbeatAck().getSequence(), System.nanoTime());
             default -> listener.onFrame(this, frame);
         }
     }
@@ -173,19 +175,22 @@
 
     private void scheduleCheck() {
         channel.eventLoop()
-                .schedule(this::check, watch.dueInNanos(System.nanoTime()), TimeUnit.NANOSECONDS);
+                .schedule(
+                        this::check,
+                        watch.nextCheckInNanos(System.nanoTime()),
+                        TimeUnit.NANOSECONDS);
     }
 
     private void check() {
         if (closing || !channel.isActive()) {
             return;
         }
-        PathStep step = watch.check(System.nanoTime());
-        if (step instanceof PathStep.Silent silent) {
+        HeartbeatAction step = watch.check(System.nanoTime());
+        if (step instanceof HeartbeatAction.Close silent) {
             shut(silent.reason());
             return;
         }
-        if (step instanceof PathStep.Heartbeat heartbeat && up) {
+        if (step instanceof HeartbeatAction.SendHeartbeat heartbeat && up) {
             sendHeartbeat(heartbeat.sequence());
         }
         scheduleCheck();
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStartCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStartCommand.java
@@ -96,7 +96,7 @@
         }
         boolean taken =
                 state.filter(known -> known.spec().id().equals(spec.get().id())).isPresent();
-        return taken ? !state.get().phase().terminal() : !spec.get().stopped();
+        return taken ? !state.get().phase().isTerminal() : !spec.get().isStopped();
     }
 
     private static RolloutGoal goal(CommandContext context) throws ParseException {
@@ -139,7 +139,7 @@
                     StoreOutcomes.invalid(((KindResult.Unsound<ConfigItem>) item).problems()));
         }
         ServiceSpec spec = (ServiceSpec) sound.item();
-        if (!spec.engine()) {
+        if (!spec.isEngine()) {
             return Optional.of(
                     RolloutObjects.invalid(
                             "rollout/service",
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStatusCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStatusCommand.java
@@ -88,7 +88,7 @@
         Optional<RolloutState> state =
                 Optional.ofNullable(decided)
                         .flatMap(object -> sound(RolloutCodec.readState(name, object.value())));
-        spec.ifPresent(known -> node.put("wanted", text(known)).put("stopped", known.stopped()));
+        spec.ifPresent(known -> node.put("wanted", text(known)).put("stopped", known.isStopped()));
         Optional<RolloutState> own =
                 state.filter(
                         known ->
@@ -97,7 +97,7 @@
         own.ifPresent(
                 known -> {
                     node.put("fence", known.fence());
-                    node.put("reason", known.reason()).put("trouble", known.trouble());
+                    node.put("reason", known.rollbackReason()).put("trouble", known.problem());
                     ObjectNode steps = node.putObject("steps");
                     Arrays.stream(StepState.values())
                             .forEach(at -> steps.put(at.name(), count(known, at)));
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStopCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStopCommand.java
@@ -38,7 +38,13 @@
         RolloutSpec held = read.value().get();
         return objects.write(
                 new RolloutSpec(
-                        name, held.id(), 0, held.service(), held.goal(), held.leastServing(), true),
+                        name,
+                        held.id(),
+                        0,
+                        held.service(),
+                        held.goal(),
+                        held.minServingFraction(),
+                        true),
                 read.version(),
                 "stopped");
     }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/TeamsCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/TeamsCommand.java
@@ -51,7 +51,7 @@
     private static Outcome show(StoredConfig config) {
         Map<String, Long> keys =
                 items(config, ConfigKind.KEY, KeyEntry.class).stream()
-                        .filter(key -> !key.withdrawn())
+                        .filter(key -> !key.isWithdrawn())
                         .collect(Collectors.groupingBy(KeyEntry::team, Collectors.counting()));
         ObjectNode json = Json.object();
         ArrayNode list = json.putArray("teams");
@@ -62,7 +62,7 @@
             long count = keys.getOrDefault(team.name(), 0L);
             ObjectNode node = list.addObject().put("name", team.name());
             node.put("template", team.template()).put("keys", count);
-            Optional<TeamPlan> plan = template(config, team).map(team::over);
+            Optional<TeamPlan> plan = template(config, team).map(team::resolve);
             plan.ifPresent(due -> describe(node, due));
             table.row(
                     team.name(),
--- a/sardinelift/src/main/java/org/sardinelift/server/Role.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/Role.java
@@ -24,7 +24,7 @@
                 EntryProcess process = EntryProcess.start(settings);
                 return new Instance(
                         process.readyLine(),
-                        process.drainAsked(),
+                        process.drainRequested(),
                         () -> process.drain().join(),
                         process);
             };
@@ -38,7 +38,7 @@
             return () -> {
                 CompanionProcess process = CompanionProcess.start(settings);
                 return new Instance(
-                        process.readyLine(), process.drainAsked(), process::drain, process);
+                        process.readyLine(), process.drainRequested(), process::drain, process);
             };
         }
     },
@@ -51,7 +51,7 @@
                 GatewayProcess process =
                         GatewayProcess.start(settings, PotRegistryAdapter.create());
                 return new Instance(
-                        process.readyLine(), process.drainAsked(), process::drain, process);
+                        process.readyLine(), process.drainRequested(), process::drain, process);
             };
         }
     },
@@ -63,7 +63,7 @@
             return () -> {
                 WorkerProcess process = WorkerProcess.start(settings, PotRegistryAdapter.create());
                 return new Instance(
-                        process.readyLine(), process.drainAsked(), process::drain, process);
+                        process.readyLine(), process.drainRequested(), process::drain, process);
             };
         }
     };
@@ -89,13 +89,13 @@
      * A running instance.
      *
      * @param readyLine machine-readable line for standard output
-     * @param drainAsked completes once an operator asks for a drain
+     * @param drainRequested completes once an operator asks for a drain
      * @param drain finishes what runs and takes nothing new; returns when done
      * @param resources closed after the drain
      */
     record Instance(
             String readyLine,
-            CompletableFuture<Void> drainAsked,
+            CompletableFuture<Void> drainRequested,
             Runnable drain,
             AutoCloseable resources) {}
 }
--- a/sardinelift/src/main/java/org/sardinelift/server/Sardinelift.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/Sardinelift.java
@@ -122,7 +122,7 @@
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(instance, stopped)));
             out.println(instance.readyLine());
             out.flush();
-            instance.drainAsked().join();
+            instance.drainRequested().join();
             stop(instance, stopped);
             return ExitCode.OK;
         } catch (Exception e) {
