--- a/core/src/main/java/org/sardinelift/core/limit/AbsenceTracker.java
+++ b/core/src/main/java/org/sardinelift/core/limit/AbsenceTracker.java
@@ -6,8 +6,9 @@
 import java.util.Set;
 
 /**
- * Since when other entries are missing from the platform's list, and since when lives of an
- * instance are known to be replaced by a newer one. Times are nanoseconds.
+ * Tracks since when other entries have been missing from the platform's list, and since when
+ * incarnations of an instance have been known to be superseded by a newer one. Times are
+ * nanoseconds.
  */
 final class AbsenceTracker {
     private final Map<String, Long> missingSince = new HashMap<>();
@@ -17,8 +18,8 @@
     private Set<String> listed = Set.of();
     private long listedAt;
     private long selfMissingSince;
-    private boolean selfMissing;
-    private boolean listKnown;
+    private boolean isSelfUnlisted;
+    private boolean isListKnown;
     private Set<String> connected = Set.of();
 
     AbsenceTracker(String self, LimitBounds bounds) {
@@ -26,23 +27,26 @@
         contactBoundNanos = bounds.contactBound().toNanos();
     }
 
-    /** While the list couldn't be read nothing was missing: the time starts anew after a gap. */
+    /**
+     * Records the platform's list. After a gap in which the list could not be read, absence times
+     * start again, since nothing was seen to be missing in between.
+     */
     void onListed(Set<String> instances, long now) {
         if (now - listedAt > contactBoundNanos) {
             missingSince.clear();
         }
         boolean missing = !instances.isEmpty() && !instances.contains(self);
-        if (missing && !selfMissing) {
+        if (missing && !isSelfUnlisted) {
             selfMissingSince = now;
         }
-        selfMissing = missing;
-        listKnown = true;
+        isSelfUnlisted = missing;
+        isListKnown = true;
         listedAt = now;
         listed = Set.copyOf(instances);
         missingSince.keySet().removeAll(listed);
     }
 
-    /** Notes the open connections; whether any is new. */
+    /** Records the open connections and returns whether any of them is new. */
     boolean onConnected(Set<String> instances) {
         boolean anyNew = !connected.containsAll(instances);
         connected = Set.copyOf(instances);
@@ -50,12 +54,16 @@
         return anyNew;
     }
 
-    /** Forgets every time; called after a pause, in which nothing was seen. */
+    /**
+     * Clears the recorded times; called after a pause of this process, during which nothing was
+     * observed.
+     */
     void clearTimes() {
         missingSince.clear();
         supersededSince.clear();
     }
 
+    /** Updates the times of the members of the shares and drops those of former members. */
     void update(Shares shares, long now) {
         Set<String> present = new HashSet<>();
         for (MemberId id : shares.members().keySet()) {
@@ -73,26 +81,27 @@
         supersededSince.keySet().retainAll(shares.members().keySet());
     }
 
+    /** Whether a member has been missing or superseded for long enough to reclaim its units. */
     boolean isReclaimable(MemberId id, LimitBounds bounds, long now) {
         Long missing = missingSince.get(id.instance());
         Long superseded = supersededSince.get(id);
-        boolean fresh = now - listedAt <= contactBoundNanos;
-        return (fresh && missing != null && now - missing >= bounds.reclaimDelay().toNanos())
+        boolean isListRecent = now - listedAt <= contactBoundNanos;
+        return (isListRecent && missing != null && now - missing >= bounds.reclaimDelay().toNanos())
                 || (superseded != null && now - superseded >= bounds.restartDelay().toNanos());
     }
 
-    /** Whether others that read the same list would leave this entry its units. */
+    /** Whether this entry may acquire units: others that read the same list don't reclaim them. */
     boolean mayAcquireUnits() {
-        return listKnown && !selfMissing;
+        return isListKnown && !isSelfUnlisted;
     }
 
     boolean isSelfMissing(long now) {
-        return selfMissing && now - selfMissingSince > contactBoundNanos;
+        return isSelfUnlisted && now - selfMissingSince > contactBoundNanos;
     }
 
-    /** When this entry will have been missing for too long, unless the list shows it before. */
+    /** Time from which this entry counts as missing, unless the list shows it before. */
     long selfMissingDeadline() {
-        return selfMissing ? selfMissingSince + contactBoundNanos + 1 : Long.MAX_VALUE;
+        return isSelfUnlisted ? selfMissingSince + contactBoundNanos + 1 : Long.MAX_VALUE;
     }
 
     int listedCount() {
--- a/core/src/main/java/org/sardinelift/core/limit/Admission.java
+++ b/core/src/main/java/org/sardinelift/core/limit/Admission.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Answer of a team's limit. */
+/** Decision of a team's rate limit on one request. */
 public sealed interface Admission {
 
     /** The request is within the team's rate and burst and has been counted. */
@@ -11,7 +11,7 @@
     /**
      * The request is over the team's rate and burst and has not been counted.
      *
-     * @param retryAfter when a request of a team that stays within its rate is admitted
+     * @param retryAfter time after which a request is admitted if the team stays within its rate
      */
     record Refused(Duration retryAfter) implements Admission {}
 }
--- a/core/src/main/java/org/sardinelift/core/limit/BorrowedLoan.java
+++ b/core/src/main/java/org/sardinelift/core/limit/BorrowedLoan.java
@@ -1,6 +1,6 @@
 package org.sardinelift.core.limit;
 
-/** What is left of a loan at its borrower: tokens, and the time at which they expire. */
+/** A loan as its borrower holds it: the tokens not yet spent, and the time at which they expire. */
 record BorrowedLoan(String peer, long loanId, double tokens, long expiresNanos) {
 
     BorrowedLoan minus(double part) {
--- a/core/src/main/java/org/sardinelift/core/limit/BorrowedLoans.java
+++ b/core/src/main/java/org/sardinelift/core/limit/BorrowedLoans.java
@@ -8,11 +8,11 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Tokens of one team that peers have lent, oldest loan first, and the settlements to be sent for
- * loans that are over. Times are nanoseconds. Not safe for use by several threads.
+ * Loans of one team's tokens from peers, oldest first, and the settlements to be sent for ended
+ * loans. Times are nanoseconds. Not safe for use by several threads.
  */
 final class BorrowedLoans {
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private final String team;
     private final Deque<BorrowedLoan> loans = new ArrayDeque<>();
@@ -30,7 +30,7 @@
         return loans.isEmpty();
     }
 
-    /** Tokens on loan, expired ones included until {@link #dropExpired}. */
+    /** Borrowed tokens; expired ones count until {@link #dropExpired} is called. */
     double tokens() {
         double total = 0;
         for (BorrowedLoan loan : loans) {
@@ -39,7 +39,7 @@
         return total;
     }
 
-    /** When the first loan expires, {@link Long#MAX_VALUE} where none is held. */
+    /** Time at which the first loan expires, {@link Long#MAX_VALUE} if there is none. */
     long firstExpiry() {
         return loans.stream().mapToLong(BorrowedLoan::expiresNanos).min().orElse(Long.MAX_VALUE);
     }
@@ -47,11 +47,11 @@
     /** Spends the same part of each loan and returns the tokens spent. */
     double spend(double part) {
         double total = 0;
-        for (int left = loans.size(); left > 0; left--) {
+        for (int remaining = loans.size(); remaining > 0; remaining--) {
             BorrowedLoan loan = loans.poll();
             double spent = loan.tokens() * part;
             total += spent;
-            if (loan.tokens() - spent > ROUNDING) {
+            if (loan.tokens() - spent > ROUNDING_TOLERANCE) {
                 loans.add(loan.minus(spent));
             } else {
                 settle(loan, 0);
@@ -60,38 +60,38 @@
         return total;
     }
 
-    /** Gives back tokens beyond a number, the newest loan first. */
+    /** Returns tokens in excess of a number to their lenders, the newest loan first. */
     void returnExcess(double keep) {
-        double held = tokens();
-        while (held > keep + ROUNDING) {
+        double borrowedTokens = tokens();
+        while (borrowedTokens > keep + ROUNDING_TOLERANCE) {
             BorrowedLoan loan = loans.pollLast();
-            held -= loan.tokens();
+            borrowedTokens -= loan.tokens();
             settle(loan, loan.tokens());
         }
     }
 
-    /** Gives back what is left of loans that expire before a time. */
+    /** Returns the remaining tokens of loans that expire before a time to their lenders. */
     void returnExpiring(long beforeNanos) {
-        end(beforeNanos, BorrowedLoan::tokens);
+        removeExpiringBefore(beforeNanos, BorrowedLoan::tokens);
     }
 
-    /** Drops loans that have expired; nothing of them goes back. */
+    /** Drops expired loans; none of their tokens is returned. */
     void dropExpired(long nowNanos) {
-        end(nowNanos + 1, loan -> 0);
+        removeExpiringBefore(nowNanos + 1, loan -> 0);
     }
 
-    private void end(long beforeNanos, ToDoubleFunction<BorrowedLoan> unspent) {
-        Iterator<BorrowedLoan> each = loans.iterator();
-        while (each.hasNext()) {
-            BorrowedLoan loan = each.next();
+    private void removeExpiringBefore(long beforeNanos, ToDoubleFunction<BorrowedLoan> unspent) {
+        Iterator<BorrowedLoan> iterator = loans.iterator();
+        while (iterator.hasNext()) {
+            BorrowedLoan loan = iterator.next();
             if (loan.expiresNanos() - beforeNanos < 0) {
-                each.remove();
+                iterator.remove();
                 settle(loan, unspent.applyAsDouble(loan));
             }
         }
     }
 
-    /** Notes that a loan is over. */
+    /** Records the settlement of an ended loan. */
     void settle(BorrowedLoan loan, double unspent) {
         settlements.add(new Settlement(loan.peer(), loan.loanId(), team, unspent));
     }
@@ -100,13 +100,13 @@
         return !settlements.isEmpty();
     }
 
-    /** Takes the settlements since the last call. */
+    /** Removes and returns the settlements since the last call. */
     List<Settlement> pollSettlements() {
         if (settlements.isEmpty()) {
             return List.of();
         }
-        List<Settlement> taken = List.copyOf(settlements);
+        List<Settlement> polled = List.copyOf(settlements);
         settlements.clear();
-        return taken;
+        return polled;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/limit/ContactTracker.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ContactTracker.java
@@ -3,12 +3,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** When the platform and the peers were last heard. Times are nanoseconds. */
+/**
+ * Tracks when this entry last had contact with the platform and with its peers. Times are
+ * nanoseconds.
+ */
 final class ContactTracker {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final LimitBounds bounds;
-    private final Map<String, Word> peers = new HashMap<>();
+    private final Map<String, PlatformContact> peers = new HashMap<>();
     private long platformAt = NEVER;
     private long peerAt = NEVER;
 
@@ -22,7 +25,7 @@
 
     void onPeerReport(String peer, long platformAge, long now) {
         peerAt = now;
-        peers.put(peer, new Word(now - platformAge));
+        peers.put(peer, new PlatformContact(now - platformAge));
     }
 
     void onPeerDown(String peer) {
@@ -33,29 +36,31 @@
         return now - platformAt;
     }
 
-    /** When nobody has been heard for too long, unless somebody is heard before. */
+    /** Time from which this entry counts as isolated, unless it has contact with anyone before. */
     long isolationDeadline() {
         return Math.max(platformAt, peerAt) + bounds.isolationBound().toNanos() + 1;
     }
 
-    /** When the platform has not been reached for too long, unless it is reached before. */
+    /** Time from which the platform counts as lost, unless it is reached before. */
     long platformContactDeadline() {
         return platformAt + bounds.contactBound().toNanos() + 1;
     }
 
     /**
-     * Whether others may have taken this entry's units without its knowing: it hears nobody, or it
-     * can't reach the platform while a peer can.
+     * Whether others may have reclaimed this entry's units unnoticed: it has no contact with the
+     * platform or any peer, or it can't reach the platform while a peer can.
      */
     boolean mayHaveLostUnits(long now) {
-        boolean silent = now - Math.max(platformAt, peerAt) > bounds.isolationBound().toNanos();
+        boolean isIsolated = now - Math.max(platformAt, peerAt) > bounds.isolationBound().toNanos();
         long contactBound = bounds.contactBound().toNanos();
-        boolean cutOff =
+        boolean isCutOff =
                 now - platformAt > contactBound
                         && peers.values().stream()
-                                .anyMatch(word -> word.platformAt() - platformAt > contactBound);
-        return silent || cutOff;
+                                .anyMatch(
+                                        contact ->
+                                                contact.platformAt() - platformAt > contactBound);
+        return isIsolated || isCutOff;
     }
 
-    private record Word(long platformAt) {}
+    private record PlatformContact(long platformAt) {}
 }
--- a/core/src/main/java/org/sardinelift/core/limit/FleetLimit.java
+++ b/core/src/main/java/org/sardinelift/core/limit/FleetLimit.java
@@ -10,40 +10,42 @@
 import org.sardinelift.core.catalog.TeamPlan;
 
 /**
- * Limits of all teams at one entry: its share of them, its accounts and its loans.
+ * Rate limits of all teams at one entry: this entry's share of the limits, an account for each
+ * team, and loans between entries.
  *
- * <p>{@link #tryAdmit} may be called by any thread; it serves requests from this entry's own
- * tokens. All other methods belong to one thread. Times are nanoseconds of a monotonic clock.
+ * <p>{@link #tryAdmit}, which uses only tokens that this entry has, and {@link #hasPendingMessages}
+ * may be called by any thread. All other methods must be called by one thread. Times are
+ * nanoseconds of a monotonic clock.
  */
 public final class FleetLimit {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final long LEAST_STEP_NANOS = 10 * NANOS_PER_MILLI;
-    private static final int STEPS_IN_PAUSE_BOUND = 8;
+    private static final long MIN_TICK_INTERVAL_NANOS = 10 * NANOS_PER_MILLI;
+    private static final int TICKS_PER_PAUSE_BOUND = 8;
 
     private final MemberId self;
     private final LimitBounds bounds;
     private final ShareLedger ledger;
-    private final TokenBorrower desk;
+    private final TokenBorrower borrower;
     private final Map<String, TeamAccount> accounts = new ConcurrentHashMap<>();
-    private final Set<String> holding = new HashSet<>();
-    private final Set<String> due = ConcurrentHashMap.newKeySet();
-    private long returnAt = Long.MAX_VALUE;
+    private final Set<String> teamsWithLoans = new HashSet<>();
+    private final Set<String> teamsWithMessages = ConcurrentHashMap.newKeySet();
+    private long loanReturnAt = Long.MAX_VALUE;
     private long tickedAt;
-    private boolean ticked;
-    private final Object opening = new Object();
+    private boolean hasTicked;
+    private final Object historyLock = new Object();
     private Set<String> connected = Set.of();
     private final ShareHistory history = new ShareHistory();
-    private long units;
-    private long balanceAt;
-    private volatile long steppedAt;
-    private volatile boolean stepped;
+    private long appliedUnits;
+    private long balancedAt;
+    private volatile long shareCheckedAt;
+    private volatile boolean isShareChecked;
 
     private FleetLimit(MemberId self, LimitBounds bounds, RandomGenerator random) {
         this.self = self;
         this.bounds = bounds;
         this.ledger = ShareLedger.create(self, bounds, random);
-        this.desk =
+        this.borrower =
                 new TokenBorrower(
                         self.instance(),
                         bounds,
@@ -52,11 +54,11 @@
     }
 
     /**
-     * Limits of a new life of an entry, which holds no share yet.
+     * Creates the limits of a new incarnation of an entry, which has no share yet.
      *
      * @param self this entry
      * @param bounds intervals and bounds
-     * @param random for jitter and choice
+     * @param random source of jitter and of the order of peers
      * @return the limits
      */
     public static FleetLimit create(MemberId self, LimitBounds bounds, RandomGenerator random) {
@@ -64,198 +66,199 @@
     }
 
     /**
-     * Admits a request from this entry's own tokens. Safe for any thread.
+     * Admits a request if this entry has a token for it. Safe for use by any thread.
      *
      * @param plan the team's plan
-     * @param now the time
-     * @return whether it was admitted; otherwise {@link #admit} decides
+     * @param now current time
+     * @return whether it was admitted; if not, {@link #admit} decides
      */
     public boolean tryAdmit(TeamPlan plan, long now) {
-        boolean paused = !stepped || now - steppedAt > bounds.pauseBound().toNanos();
-        if (paused) {
+        boolean isPaused = !isShareChecked || now - shareCheckedAt > bounds.pauseBound().toNanos();
+        if (isPaused) {
             return false;
         }
         TeamAccount account = account(plan, now);
         account.updatePlan(plan, now);
-        boolean taken = account.tryAcquire(now);
-        noteDue(plan.name(), account);
-        return taken;
+        boolean isAdmitted = account.tryAcquire(now);
+        recordPendingMessages(plan.name(), account);
+        return isAdmitted;
     }
 
-    private void noteDue(String team, @Nullable TeamAccount account) {
+    private void recordPendingMessages(String team, @Nullable TeamAccount account) {
         if (account != null && account.hasPendingMessages()) {
-            due.add(team);
+            teamsWithMessages.add(team);
         }
     }
 
     /**
-     * Whether requests have left something to be sent to peers. Safe for any thread.
+     * Whether messages to peers are waiting to be sent. Safe for use by any thread.
      *
-     * @return true until the next {@link #tick}
+     * @return true until the next {@link #tick} sends them
      */
     public boolean hasPendingMessages() {
-        return !due.isEmpty();
+        return !teamsWithMessages.isEmpty();
     }
 
     /**
-     * When {@link #tick} must be called next, at the latest, unless something happens before.
+     * Returns the latest time for the next call of {@link #tick}, unless an event comes before.
      *
-     * @param now the time
+     * @param now current time
      * @return that time, or one that has passed
      */
     public long nextTickAt(long now) {
-        if (!ticked) {
+        if (!hasTicked) {
             return now;
         }
-        long soonest = tickedAt + LEAST_STEP_NANOS;
-        if (hasPendingMessages() || !desk.waitingTeams().isEmpty() || hasNewShare()) {
+        long soonest = tickedAt + MIN_TICK_INTERVAL_NANOS;
+        if (hasPendingMessages() || !borrower.waitingTeams().isEmpty() || hasNewShare()) {
             return soonest;
         }
-        long latest = tickedAt + bounds.pauseBound().toNanos() / STEPS_IN_PAUSE_BOUND;
-        long balance = balanceAt + bounds.balanceInterval().toNanos();
-        long own = Math.min(Math.min(latest, balance), returnAt);
-        return Math.max(soonest, Math.min(own, ledger.dueAt(now)));
+        long latest = tickedAt + bounds.pauseBound().toNanos() / TICKS_PER_PAUSE_BOUND;
+        long nextBalance = balancedAt + bounds.balanceInterval().toNanos();
+        long ownWork = Math.min(Math.min(latest, nextBalance), loanReturnAt);
+        return Math.max(soonest, Math.min(ownWork, ledger.dueAt(now)));
     }
 
     /**
-     * Admits a request from own tokens or, after asking peers, from theirs.
+     * Admits a request from this entry's tokens or, if it lacks them, from tokens borrowed from
+     * peers.
      *
      * @param plan the team's plan
-     * @param ticket number of the request, named in the answer
-     * @param now the time
-     * @param out takes the answer, now or later, and messages to peers
+     * @param requestId number of the request, repeated in the answer
+     * @param now current time
+     * @param out receives the answer, now or later, and messages to peers
      */
-    public void admit(TeamPlan plan, long ticket, long now, LimitActions out) {
-        step(now);
+    public void admit(TeamPlan plan, long requestId, long now, LimitActions out) {
+        checkShare(now);
         TeamAccount account = account(plan, now);
         account.updatePlan(plan, now);
         if (account.tryAcquire(now)) {
-            out.answer(ticket, new Admission.Admitted());
+            out.answer(requestId, new Admission.Admitted());
         } else {
-            desk.submit(plan.name(), account, ticket, now, out);
+            borrower.submit(plan.name(), account, requestId, now, out);
         }
         settle(plan.name(), account, out);
     }
 
     /**
-     * A peer asks for tokens.
+     * Handles a peer's request for tokens.
      *
-     * @param peer its name
-     * @param exchange number of the loan
+     * @param peer name of the peer
+     * @param loanId number of the loan
      * @param plan the team's plan
-     * @param tokens tokens wanted
-     * @param now the time
-     * @param out takes the answer
+     * @param tokens tokens requested
+     * @param now current time
+     * @param out receives the answer
      */
     public void onBorrow(
-            String peer, long exchange, TeamPlan plan, double tokens, long now, LimitActions out) {
-        step(now);
+            String peer, long loanId, TeamPlan plan, double tokens, long now, LimitActions out) {
+        checkShare(now);
         long ttl = bounds.loanTtl().toNanos();
         long until = now + ttl + bounds.loanMargin().toNanos();
         TeamAccount account = account(plan, now);
         account.updatePlan(plan, now);
         double lent =
-                desk.hasPriorityOver(plan.name(), peer)
+                borrower.hasPriorityOver(plan.name(), peer)
                         ? 0
-                        : account.lend(peer, exchange, tokens, now, until);
-        out.lend(peer, exchange, plan.name(), lent, ttl / NANOS_PER_MILLI);
+                        : account.lend(peer, loanId, tokens, now, until);
+        out.lend(peer, loanId, plan.name(), lent, ttl / NANOS_PER_MILLI);
     }
 
     /**
-     * A peer has answered or has settled a loan.
+     * Handles a peer's answer to a request for tokens, or its settlement of a loan.
      *
-     * @param peer its name
-     * @param exchange number of the loan
+     * @param peer name of the peer
+     * @param loanId number of the loan
      * @param team the team
      * @param tokens tokens lent or returned
-     * @param ttlMs 0 where a borrower settles, otherwise how long the tokens may be spent from the
-     *     sending of the request, milliseconds
-     * @param now the time
-     * @param out takes answers and messages
+     * @param ttlMs 0 for a settlement by the borrower; otherwise the time for which the tokens may
+     *     be spent, counted from the sending of the request, milliseconds
+     * @param now current time
+     * @param out receives answers and messages
      */
     public void onLend(
             String peer,
-            long exchange,
+            long loanId,
             String team,
             double tokens,
             long ttlMs,
             long now,
             LimitActions out) {
-        step(now);
+        checkShare(now);
         TeamAccount account = accounts.get(team);
         if (account == null) {
             return;
         }
         if (ttlMs == 0) {
-            account.onLoanReturned(peer, exchange, tokens, now);
+            account.onLoanReturned(peer, loanId, tokens, now);
         } else {
-            holding.add(team);
-            desk.onLend(peer, exchange, account, tokens, ttlMs * NANOS_PER_MILLI, now, out);
+            teamsWithLoans.add(team);
+            borrower.onLend(peer, loanId, account, tokens, ttlMs * NANOS_PER_MILLI, now, out);
             settle(team, account, out);
-            returnAt = Math.min(returnAt, returnAt(account));
+            loanReturnAt = Math.min(loanReturnAt, loanReturnAt(account));
         }
     }
 
     /**
-     * The set of peers with an open connection has changed.
+     * Handles a change of the set of connected peers.
      *
-     * @param peers their names
+     * @param peers names of the peers with an open connection
      */
     public void onConnected(Set<String> peers) {
         connected.stream().filter(peer -> !peers.contains(peer)).forEach(ledger::onPeerDown);
         connected = Set.copyOf(peers);
         ledger.onConnected(connected);
-        desk.onConnected(peers.stream().sorted().toList());
+        borrower.onConnected(peers.stream().sorted().toList());
     }
 
     /**
-     * Does what is due: calls of the platform, ends of waits, returns of loans, balancing.
+     * Does the work that is due: calls to the platform, timeouts of waiting requests, returns of
+     * loans and balancing of the shares.
      *
-     * @param now the time
-     * @param out takes calls, answers and messages
+     * @param now current time
+     * @param out receives calls, answers and messages
      */
     public void tick(long now, LimitActions out) {
         tickedAt = now;
-        ticked = true;
-        step(now);
-        balance(now);
+        hasTicked = true;
+        checkShare(now);
+        balanceShare(now);
         ledger.tick(now).ifPresent(out::callPlatform);
         applyShare(now);
-        List<String> gathering = desk.waitingTeams();
-        desk.tick(accounts, now, out);
-        gathering.forEach(team -> noteDue(team, accounts.get(team)));
-        List.copyOf(due).forEach(team -> send(team, now, out));
-        long soon = now + returnedBefore();
-        holding.removeIf(team -> !lookAfter(team, soon, now, out));
-        returnAt =
-                holding.stream()
-                        .mapToLong(team -> returnAt(accounts.get(team)))
+        List<String> waitingTeams = borrower.waitingTeams();
+        borrower.tick(accounts, now, out);
+        waitingTeams.forEach(team -> recordPendingMessages(team, accounts.get(team)));
+        List.copyOf(teamsWithMessages).forEach(team -> sendPendingMessages(team, now, out));
+        long returnBefore = now + loanReturnLead();
+        teamsWithLoans.removeIf(team -> !returnLoans(team, returnBefore, now, out));
+        loanReturnAt =
+                teamsWithLoans.stream()
+                        .mapToLong(team -> loanReturnAt(accounts.get(team)))
                         .min()
                         .orElse(Long.MAX_VALUE);
     }
 
-    /** Sends what requests have left to be sent for a team. */
-    private void send(String team, long now, LimitActions out) {
-        due.remove(team);
+    private void sendPendingMessages(String team, long now, LimitActions out) {
+        teamsWithMessages.remove(team);
         TeamAccount account = accounts.get(team);
         if (account != null) {
-            desk.borrowOverpaid(team, account, ledger::unitsOf, now, out);
+            borrower.borrowOverpaid(team, account, ledger::unitsOf, now, out);
             settle(team, account, out);
         }
     }
 
-    private long returnedBefore() {
+    private long loanReturnLead() {
         return bounds.loanTtl().toNanos() / 2;
     }
 
-    /** When the first loan of an account is to be returned. */
-    private long returnAt(TeamAccount account) {
+    /** Time at which the first loan of an account is to be returned. */
+    private long loanReturnAt(TeamAccount account) {
         long expiry = account.firstExpiryNanos();
-        return expiry == Long.MAX_VALUE ? expiry : expiry - returnedBefore() + 1;
+        return expiry == Long.MAX_VALUE ? expiry : expiry - loanReturnLead() + 1;
     }
 
-    /** Returns and settles a team's loans; whether it holds any still. */
-    private boolean lookAfter(String team, long returnBefore, long now, LimitActions out) {
+    /** Returns and settles a team's loans that expire soon; returns whether it has any left. */
+    private boolean returnLoans(String team, long returnBefore, long now, LimitActions out) {
         TeamAccount account = accounts.get(team);
         if (account == null) {
             return false;
@@ -266,27 +269,27 @@
     }
 
     /**
-     * The ledger, for outcomes of its calls and for evidence of other entries. After each event
-     * {@link #tick} makes it count.
+     * Returns the ledger, which must be notified of the outcomes of its calls and of contact with
+     * other entries. Such an event takes effect at the next {@link #tick}.
      *
-     * @return this entry's ledger
+     * @return the ledger of this entry
      */
     public ShareLedger ledger() {
         return ledger;
     }
 
     /**
-     * Forgets teams that are gone.
+     * Removes the accounts of teams that no longer exist.
      *
-     * @param teams names of the teams there are
+     * @param teams names of the existing teams
      */
     public void retainTeams(Set<String> teams) {
         accounts.keySet().retainAll(teams);
-        desk.retainTeams(teams);
+        borrower.retainTeams(teams);
     }
 
     /**
-     * This entry.
+     * Returns the identity of this entry.
      *
      * @return its name and incarnation
      */
@@ -294,17 +297,17 @@
         return self;
     }
 
-    /** Tokens of a team that could be spent here now. */
+    /** Tokens of a team that this entry could spend now. */
     double available(String team, long now) {
         TeamAccount account = accounts.get(team);
         return account == null ? 0 : account.available(now);
     }
 
-    private void step(long now) {
+    private void checkShare(long now) {
         ledger.checkValidity(now);
         applyShare(now);
-        steppedAt = now;
-        stepped = true;
+        shareCheckedAt = now;
+        isShareChecked = true;
     }
 
     private void applyShare(long now) {
@@ -312,9 +315,9 @@
             return;
         }
         long fresh = ledger.pollFreshUnits();
-        synchronized (opening) {
-            units = ledger.usableUnits();
-            double fraction = fraction(units);
+        synchronized (historyLock) {
+            appliedUnits = ledger.usableUnits();
+            double fraction = fraction(appliedUnits);
             double freshFraction = fraction(fresh);
             history.add(fraction, freshFraction, now);
             accounts.values()
@@ -323,7 +326,7 @@
     }
 
     private boolean hasNewShare() {
-        return ledger.usableUnits() != units || ledger.hasFreshUnits();
+        return ledger.usableUnits() != appliedUnits || ledger.hasFreshUnits();
     }
 
     private static double fraction(long units) {
@@ -331,44 +334,45 @@
     }
 
     private TeamAccount account(TeamPlan plan, long now) {
-        TeamAccount held = accounts.get(plan.name());
-        if (held != null) {
-            return held;
+        TeamAccount existing = accounts.get(plan.name());
+        if (existing != null) {
+            return existing;
         }
-        synchronized (opening) {
+        synchronized (historyLock) {
             return accounts.computeIfAbsent(plan.name(), name -> history.openAccount(plan));
         }
     }
 
-    private void balance(long now) {
+    private void balanceShare(long now) {
         long interval = bounds.balanceInterval().toNanos();
-        if (now - balanceAt < interval) {
+        if (now - balancedAt < interval) {
             return;
         }
-        double window = Math.min(now - balanceAt, 2 * interval) / NANOS_PER_SECOND;
-        balanceAt = now;
+        double window = Math.min(now - balancedAt, 2 * interval) / NANOS_PER_SECOND;
+        balancedAt = now;
         double net = 0;
         double rates = 0;
         for (TeamAccount account : accounts.values()) {
             net += account.pollNetLent();
             rates += account.isActive() ? account.ratePerSecond() : 0;
         }
-        double part = rates > 0 ? net / rates / window : 0;
-        boolean small = Math.abs(part) < bounds.balanceThreshold();
-        ledger.updateDemand(small ? 0 : Math.round(-part / 2 * Shares.TOTAL_UNITS), now);
+        double netFraction = rates > 0 ? net / rates / window : 0;
+        boolean isBelowThreshold = Math.abs(netFraction) < bounds.balanceThreshold();
+        ledger.updateDemand(
+                isBelowThreshold ? 0 : Math.round(-netFraction / 2 * Shares.TOTAL_UNITS), now);
     }
 
     private void settle(String team, TeamAccount account, LimitActions out) {
-        for (Settlement done : account.pollSettlements()) {
-            out.lend(done.peer(), done.loanId(), team, done.unspentTokens(), 0);
+        for (Settlement settlement : account.pollSettlements()) {
+            out.lend(settlement.peer(), settlement.loanId(), team, settlement.unspentTokens(), 0);
         }
-        noteDue(team, account);
+        recordPendingMessages(team, account);
     }
 
     /**
-     * Names of the teams that have an account here.
+     * Returns the teams that have an account at this entry.
      *
-     * @return team names
+     * @return names of the teams
      */
     public Set<String> teams() {
         return new HashSet<>(accounts.keySet());
--- a/core/src/main/java/org/sardinelift/core/limit/LimitActions.java
+++ b/core/src/main/java/org/sardinelift/core/limit/LimitActions.java
@@ -1,42 +1,42 @@
 package org.sardinelift.core.limit;
 
-/** What the limits of one entry ask its driver to do. */
+/** Receives the answers, messages and platform calls that {@link FleetLimit} produces. */
 public interface LimitActions {
 
     /**
      * Answers a request.
      *
-     * @param ticket the request's number
+     * @param requestId number of the request
      * @param admission the answer
      */
-    void answer(long ticket, Admission admission);
+    void answer(long requestId, Admission admission);
 
     /**
-     * Asks a peer for tokens.
+     * Sends a peer a request for tokens.
      *
      * @param peer the peer
-     * @param exchange number of the loan
+     * @param loanId number of the loan
      * @param team the team
-     * @param tokens tokens wanted
+     * @param tokens tokens requested
      */
-    void borrow(String peer, long exchange, String team, double tokens);
+    void borrow(String peer, long loanId, String team, double tokens);
 
     /**
-     * Answers a peer that asked for tokens, or settles a loan of its own.
+     * Sends a peer the answer to its request for tokens, or the settlement of a loan from it.
      *
      * @param peer the peer
-     * @param exchange number of the loan
+     * @param loanId number of the loan
      * @param team the team
      * @param tokens tokens lent or returned
-     * @param ttlMs time for which lent tokens may be spent from the sending of the request,
-     *     milliseconds; 0 where a borrower settles the loan
+     * @param ttlMs time for which lent tokens may be spent, counted from the sending of the
+     *     request, milliseconds; 0 for a settlement by the borrower
      */
-    void lend(String peer, long exchange, String team, double tokens, long ttlMs);
+    void lend(String peer, long loanId, String team, double tokens, long ttlMs);
 
     /**
-     * Reads or writes the shares.
+     * Reads or writes the shares at the platform.
      *
-     * @param call the call
+     * @param call the read or write
      */
     void callPlatform(ShareCall call);
 }
--- a/core/src/main/java/org/sardinelift/core/limit/LimitBounds.java
+++ b/core/src/main/java/org/sardinelift/core/limit/LimitBounds.java
@@ -5,28 +5,31 @@
 /**
  * Intervals and bounds of the fleet-wide limits.
  *
- * @param loanTtl time for which borrowed tokens may be spent, from the sending of the request
- * @param loanMargin time past the ttl after which a lender takes a loan as expired
+ * @param loanTtl time for which borrowed tokens may be spent, counted from the sending of the
+ *     request
+ * @param loanMargin time beyond {@code loanTtl} after which the lender treats a loan as expired
  * @param gatherBound longest time for which a request waits for loans
- * @param gatherPass time after which peers that had nothing are asked once more
- * @param fanOut peers that are asked at once
- * @param prefetch time of the team's rate that is borrowed beyond the need
- * @param maxWaiting requests of one team that may wait for loans
- * @param minGatherPause shortest time between two rounds of borrowing for one team
+ * @param gatherPass time to wait for the answers of one round, and pause before peers that had
+ *     nothing are asked once more
+ * @param fanOut number of peers that are asked at once
+ * @param prefetch time for which tokens at the team's rate are borrowed beyond the need
+ * @param maxWaiting maximum number of requests of one team that wait for loans
+ * @param minGatherPause shortest pause after an unsuccessful gathering of loans for one team
  * @param readInterval interval of reading the shares
- * @param callTimeout longest time for which an answer of the platform counts
+ * @param callTimeout longest time for which an answer of the platform is accepted
  * @param retry pause after a failed call
- * @param pauseBound time without a control step after which the share must be confirmed again
- * @param contactBound time without the platform, while a peer reaches it, after which the share
+ * @param pauseBound time without a tick after which the share must be confirmed again
+ * @param contactBound time without contact with the platform, while a peer has it, after which the
+ *     share isn't used
+ * @param isolationBound time without contact with the platform and all peers after which the share
  *     isn't used
- * @param isolationBound time without platform and peers after which the share isn't used
- * @param restartDelay time for which a newer life of an instance must be known before the units of
- *     the older one are reclaimed
+ * @param restartDelay time for which a newer incarnation of an instance must be known before the
+ *     units of the older one are reclaimed
  * @param reclaimDelay time for which an instance must be missing from the list before its units are
  *     reclaimed; longer than every bound above
- * @param balanceInterval interval at which units are moved to where they are used
- * @param balanceThreshold smallest fraction of the rates, lent or borrowed on balance, at which
- *     units are moved
+ * @param balanceInterval interval at which units are moved to the entries that use them
+ * @param balanceThreshold smallest net amount lent or borrowed, as a fraction of the rates, at
+ *     which units are moved
  */
 public record LimitBounds(
         Duration loanTtl,
@@ -49,9 +52,9 @@
         double balanceThreshold) {
 
     /**
-     * Bounds that suit one region.
+     * Returns the defaults, which suit entries within one region.
      *
-     * @return the defaults
+     * @return default bounds
      */
     public static LimitBounds defaults() {
         return new LimitBounds(
@@ -76,20 +79,21 @@
     }
 
     /**
-     * The longest time for which an entry that others no longer see may use its units or tokens
-     * lent from them.
+     * Returns the longest time for which an entry that lost contact with others may use its units,
+     * or others may use tokens that it lent.
      *
-     * @return the sum of the bounds after which it stops, and of a loan's life
+     * @return the longest bound after which the entry stops, plus the call timeout and the lifetime
+     *     of a loan
      */
     public Duration longestUseAfterContactLoss() {
-        Duration stop = max(max(isolationBound, contactBound), pauseBound);
-        return stop.plus(callTimeout).plus(loanTtl).plus(loanMargin);
+        Duration untilStopped = max(max(isolationBound, contactBound), pauseBound);
+        return untilStopped.plus(callTimeout).plus(loanTtl).plus(loanMargin);
     }
 
     /**
-     * Whether units are reclaimed only after their holder has stopped using them.
+     * Whether units are reclaimed only after their owner has stopped using them.
      *
-     * @return true where the bounds fit
+     * @return true if the bounds ensure it
      */
     public boolean isReclaimSafe() {
         return reclaimDelay.compareTo(longestUseAfterContactLoss()) > 0;
--- a/core/src/main/java/org/sardinelift/core/limit/LoanGathering.java
+++ b/core/src/main/java/org/sardinelift/core/limit/LoanGathering.java
@@ -5,28 +5,31 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Requests of one team that wait for loans, and the loans asked for. Times are nanoseconds. */
+/**
+ * State of gathering loans for the waiting requests of one team. A pass asks every peer, in rounds
+ * of a few at once. Times are nanoseconds.
+ */
 final class LoanGathering {
     private static final int MAX_DOUBLINGS = 8;
 
     private final Deque<Long> waitingRequests = new ArrayDeque<>();
-    private final Map<Long, String> asked = new HashMap<>();
+    private final Map<Long, String> openRequests = new HashMap<>();
     private Deque<String> peersToAsk = new ArrayDeque<>();
-    private boolean active;
+    private boolean isActive;
     private long startedAt;
     private long passEndedAt;
-    private long roundAt;
+    private long roundStartedAt;
     private int pass;
     private long notBefore;
     private long retryAt;
-    private int vain;
+    private int failures;
 
     boolean isActive() {
-        return active;
+        return isActive;
     }
 
     void start(Deque<String> peers, long now) {
-        active = true;
+        isActive = true;
         startedAt = now;
         pass = 0;
         nextPass(peers);
@@ -35,68 +38,68 @@
     void nextPass(Deque<String> peers) {
         pass++;
         passEndedAt = 0;
-        asked.clear();
+        openRequests.clear();
         peersToAsk = peers;
     }
 
     void stop(long noGatherBefore) {
-        active = false;
-        asked.clear();
+        isActive = false;
+        openRequests.clear();
         notBefore = noGatherBefore;
     }
 
     void resetBackoff() {
-        vain = 0;
+        failures = 0;
     }
 
-    /** The pause after one more vain round, twice that after the round before. */
+    /** Counts one more failed gathering and returns the pause after it, twice the one before. */
     long nextBackoff(long least) {
-        vain = Math.min(vain + 1, MAX_DOUBLINGS);
-        return least << vain;
+        failures = Math.min(failures + 1, MAX_DOUBLINGS);
+        return least << failures;
     }
 
     void retryAt(long time) {
         retryAt = time;
     }
 
-    /** When the fleet must have a token, as of the last vain round. */
+    /** Time by which the fleet must have a token, as computed when the last gathering failed. */
     long retryAt() {
         return retryAt;
     }
 
-    void recordRequest(long exchange, String peer) {
-        asked.put(exchange, peer);
+    void recordRequest(long loanId, String peer) {
+        openRequests.put(loanId, peer);
     }
 
-    /** Notes that a peer has answered; whether it was asked in this pass. */
-    boolean recordAnswer(long exchange) {
-        return asked.remove(exchange) != null;
+    /** Records the answer to a request; returns whether it was sent in this pass. */
+    boolean recordAnswer(long loanId) {
+        return openRequests.remove(loanId) != null;
     }
 
     void onPeerDown(String peer) {
-        asked.values().removeIf(peer::equals);
+        openRequests.values().removeIf(peer::equals);
         peersToAsk.remove(peer);
     }
 
     void startRound(long now) {
-        roundAt = now;
+        roundStartedAt = now;
     }
 
-    /** Whether all peers asked in this round have answered or had the time for it. */
-    boolean isRoundAnsweredOrTimedOut(long patienceNanos, long now) {
-        return asked.isEmpty() || now - roundAt >= patienceNanos;
+    /** Whether all peers asked in this round have answered or the timeout has passed. */
+    boolean isRoundAnsweredOrTimedOut(long timeoutNanos, long now) {
+        return openRequests.isEmpty() || now - roundStartedAt >= timeoutNanos;
     }
 
     boolean isRoundAnswered() {
-        return asked.isEmpty();
+        return openRequests.isEmpty();
     }
 
     boolean isPassOver(long now) {
-        boolean over = asked.isEmpty() && peersToAsk.isEmpty();
-        if (over && passEndedAt == 0) {
+        boolean isOver = openRequests.isEmpty() && peersToAsk.isEmpty();
+        if (isOver && passEndedAt == 0) {
             passEndedAt = now;
         }
-        return over;
+        return isOver;
     }
 
     long nanosSincePass(long now) {
--- a/core/src/main/java/org/sardinelift/core/limit/MemberId.java
+++ b/core/src/main/java/org/sardinelift/core/limit/MemberId.java
@@ -1,7 +1,7 @@
 package org.sardinelift.core.limit;
 
 /**
- * One life of an entry, as it holds a share of the limits.
+ * Identifies one incarnation of an entry as a member of {@link Shares}.
  *
  * @param instance instance name
  * @param incarnation unique to this start of the process
--- a/core/src/main/java/org/sardinelift/core/limit/Settlement.java
+++ b/core/src/main/java/org/sardinelift/core/limit/Settlement.java
@@ -1,11 +1,11 @@
 package org.sardinelift.core.limit;
 
 /**
- * Word to a lender that nothing of a loan is held any more.
+ * Notice to a lender that a loan has ended.
  *
  * @param peer the lender
- * @param exchange number of the loan
+ * @param loanId number of the loan
  * @param team the team
- * @param unspentTokens tokens that go back unspent
+ * @param unspentTokens tokens that are returned unspent
  */
 public record Settlement(String peer, long loanId, String team, double unspentTokens) {}
--- a/core/src/main/java/org/sardinelift/core/limit/ShareBalancer.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ShareBalancer.java
@@ -1,52 +1,56 @@
 package org.sardinelift.core.limit;
 
-/** How many units one entry should hold, give and take, by what the shares and the list show. */
+/**
+ * Computes how many units one entry should acquire or release, from the shares, the platform's list
+ * and the entry's own demand.
+ */
 final class ShareBalancer {
-    private static final int LEAST_PARTS = 4;
-    private static final int STARVING_PARTS = 8;
+    private static final int MIN_SHARE_DIVISOR = 4;
+    private static final int STARVED_SHARE_DIVISOR = 8;
 
     private final MemberId self;
     private final AbsenceTracker absences;
-    private long updateDemand;
+    private long demand;
 
     ShareBalancer(MemberId self, AbsenceTracker absences) {
         this.self = self;
         this.absences = absences;
     }
 
-    /** Sets the units that this entry lacks, negative for units to spare. */
+    /** Sets the number of units that this entry lacks, negative for a surplus. */
     void updateDemand(long units) {
-        updateDemand = units;
+        demand = units;
     }
 
-    /** Units that this entry can do without while it keeps a least part. */
+    /** Units that this entry doesn't need; it keeps at least a part of an equal share. */
     long surplusUnits(Shares shares, long usable) {
-        return Math.min(-updateDemand, usable - equal(shares) / LEAST_PARTS);
+        return Math.min(-demand, usable - equalShare(shares) / MIN_SHARE_DIVISOR);
     }
 
-    /** Units to give to entries that hold hardly any, where the pool can't give them. */
+    /** Units to release for entries that have hardly any, as far as the pool can't provide them. */
     long unitsForStarvedMembers(Shares shares, long usable) {
-        long equal = equal(shares);
-        long lacking = shares.shortfall(equal / STARVING_PARTS, equal) - shares.pool();
-        return Math.min(usable - equal, lacking);
+        long equalShare = equalShare(shares);
+        long shortfall =
+                shares.shortfall(equalShare / STARVED_SHARE_DIVISOR, equalShare) - shares.pool();
+        return Math.min(usable - equalShare, shortfall);
     }
 
     /**
-     * Units to take from the pool of the next shares; a part of it also without need once units
-     * have rested there.
+     * Units to acquire from the pool of the next shares. Once units have been idle in the pool, a
+     * part of them is acquired even without need.
      */
-    long unitsWanted(Shares shares, Shares next, boolean rested) {
-        long lacking = Math.max(0, equal(shares) - next.units(self));
-        long part = rested ? next.pool() / count(shares) + 1 : 0;
-        long needed = updateDemand < 0 ? part : Math.max(Math.max(updateDemand, lacking), part);
+    long unitsWanted(Shares shares, Shares next, boolean isPoolIdle) {
+        long shortfall = Math.max(0, equalShare(shares) - next.units(self));
+        long poolPart = isPoolIdle ? next.pool() / entryCount(shares) + 1 : 0;
+        long needed = demand < 0 ? poolPart : Math.max(Math.max(demand, shortfall), poolPart);
         return Math.min(next.pool(), needed);
     }
 
-    private long equal(Shares shares) {
-        return Shares.TOTAL_UNITS / count(shares);
+    private long equalShare(Shares shares) {
+        return Shares.TOTAL_UNITS / entryCount(shares);
     }
 
-    private int count(Shares shares) {
+    private int entryCount(Shares shares) {
         return Math.max(1, Math.max(absences.listedCount(), shares.members().size()));
     }
 }
--- a/core/src/main/java/org/sardinelift/core/limit/ShareCall.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ShareCall.java
@@ -1,27 +1,29 @@
 package org.sardinelift.core.limit;
 
-/** A call to the platform that {@link ShareLedger} asks for; its outcome names its number. */
+/**
+ * A call to the platform requested by {@link ShareLedger}; its outcome is reported with its number.
+ */
 public sealed interface ShareCall {
 
     /**
-     * The number that the outcome must name.
+     * Returns the number with which the outcome must be reported.
      *
-     * @return number, growing
+     * @return number, increasing with each call
      */
     long number();
 
     /**
-     * Read the shares.
+     * A read of the shares.
      *
      * @param number number of the call
      */
     record Read(long number) implements ShareCall {}
 
     /**
-     * Write the shares where they still have the expected version.
+     * A conditional write: takes effect only if the shares have the expected version.
      *
      * @param number number of the call
-     * @param expectedVersion version that must be there, 0 to create
+     * @param expectedVersion version that the object must have, 0 to create it
      * @param shares new value
      */
     record Write(long number, long expectedVersion, Shares shares) implements ShareCall {}
--- a/core/src/main/java/org/sardinelift/core/limit/ShareCallScheduler.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ShareCallScheduler.java
@@ -4,99 +4,99 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Paces the calls for the shares: one at a time, numbered, with jittered pauses between them. A
- * lost answer is noticed after a few times what answers take, not after the whole timeout. Times
- * are nanoseconds. Not safe for use by several threads.
+ * Schedules the calls that read and write the shares: one at a time, numbered, with jittered pauses
+ * between them. The timeout adapts to a few times the observed latency, so that a lost answer is
+ * detected before the longest timeout. Times are nanoseconds. Not safe for use by several threads.
  */
 final class ShareCallScheduler {
     private static final double JITTER = 0.25;
-    private static final int PATIENCE_FACTOR = 4;
-    private static final int LEAST_PATIENCE_PARTS = 8;
+    private static final int TIMEOUT_LATENCY_FACTOR = 4;
+    private static final int MIN_TIMEOUT_DIVISOR = 8;
 
     private final RandomGenerator random;
     private final Duration retry;
-    private final long longestPatience;
-    private long patience;
+    private final long maxTimeout;
+    private long timeout;
     private long number;
-    private boolean waiting;
+    private boolean isInFlight;
     private long sentAt;
     private long nextAt;
 
     ShareCallScheduler(LimitBounds bounds, RandomGenerator random) {
         this.random = random;
         this.retry = bounds.retry();
-        this.longestPatience = bounds.callTimeout().toNanos();
-        this.patience = leastPatience();
+        this.maxTimeout = bounds.callTimeout().toNanos();
+        this.timeout = minTimeout();
     }
 
-    /** Whether the call under way has gone without an answer for too long; the next may longer. */
+    /** Whether the call in flight has timed out; if so, doubles the timeout of the next one. */
     boolean hasTimedOut(long now) {
-        boolean over = waiting && now - sentAt > patience;
-        patience = over ? Math.min(2 * patience, longestPatience) : patience;
-        return over;
+        boolean isOver = isInFlight && now - sentAt > timeout;
+        timeout = isOver ? Math.min(2 * timeout, maxTimeout) : timeout;
+        return isOver;
     }
 
     boolean isDue(long now) {
-        return !waiting && now >= nextAt;
+        return !isInFlight && now >= nextAt;
     }
 
-    /** When {@link #hasTimedOut} or {@link #isDue} is true next. */
+    /** Time at which {@link #hasTimedOut} or {@link #isDue} becomes true. */
     long dueAt() {
-        return waiting ? sentAt + patience + 1 : nextAt;
+        return isInFlight ? sentAt + timeout + 1 : nextAt;
     }
 
-    /** Begins a call and returns its number. */
+    /** Starts a call and returns its number. */
     long begin(long now) {
-        waiting = true;
+        isInFlight = true;
         sentAt = now;
         return ++number;
     }
 
-    /** Whether this is the call under way. */
+    /** Whether this call is in flight. */
     boolean isInFlight(long call) {
-        return waiting && call == number;
+        return isInFlight && call == number;
     }
 
-    /** When the latest call was sent. */
+    /** Time at which the latest call was sent. */
     long sentAt() {
         return sentAt;
     }
 
-    /** Learns from an answer how long answers take. */
+    /** Adapts the timeout to the latency of the answer that has just arrived. */
     void recordLatency(long now) {
-        long enough = Math.max(leastPatience(), PATIENCE_FACTOR * (now - sentAt));
-        patience = Math.min(longestPatience, enough);
+        long newTimeout = Math.max(minTimeout(), TIMEOUT_LATENCY_FACTOR * (now - sentAt));
+        timeout = Math.min(maxTimeout, newTimeout);
     }
 
-    /** Ends the call; the next one comes at once. */
+    /** Ends the call; the next one is due at once. */
     void end(long now) {
-        waiting = false;
+        isInFlight = false;
         nextAt = now;
     }
 
-    /** Ends the call; the next one comes after about a pause. */
+    /** Ends the call; the next one is due after a jittered pause. */
     void end(Duration pause, long now) {
         end(now + jittered(pause));
     }
 
-    /** Gives the call up: a late answer to it counts no more. */
+    /** Abandons the call; a late answer to it is ignored. */
     void abandon(long now) {
         number++;
         end(retry, now);
     }
 
-    /** Has the next call come no later than this. */
+    /** Makes the next call due no later than at a time. */
     void scheduleNoLaterThan(long at) {
         nextAt = Math.min(nextAt, at);
     }
 
-    /** Has the next call come no later than about a retry from now. */
+    /** Makes the next call due no later than after a jittered retry pause. */
     void scheduleWithinRetryPause(long now) {
         scheduleNoLaterThan(now + jittered(retry));
     }
 
-    private long leastPatience() {
-        return longestPatience / LEAST_PATIENCE_PARTS;
+    private long minTimeout() {
+        return maxTimeout / MIN_TIMEOUT_DIVISOR;
     }
 
     private long jittered(Duration pause) {
--- a/core/src/main/java/org/sardinelift/core/limit/ShareHistory.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ShareHistory.java
@@ -5,29 +5,29 @@
 import org.sardinelift.core.catalog.TeamPlan;
 
 /**
- * What this entry has held of all limits, for accounts that are opened later: an account of a team
- * without requests so far is what it would be if it had been there from the start. Only the latest
- * changes are kept; an account starts empty at the oldest of them, which is never too much. Times
+ * History of this entry's fraction of all limits. An account that is opened later replays it, and
+ * so has the tokens that it would have if it had existed from the start. Only the latest changes
+ * are kept; an account starts empty at the oldest of them, so it never has too many tokens. Times
  * are nanoseconds. Not safe for use by several threads.
  */
 final class ShareHistory {
-    private static final int MAX_STEPS = 256;
+    private static final int MAX_CHANGES = 256;
 
-    private final Deque<Step> steps = new ArrayDeque<>();
+    private final Deque<Change> changes = new ArrayDeque<>();
     private double fraction;
 
     /**
-     * Notes a change.
+     * Records a change.
      *
      * @param newFraction this entry's fraction of all limits from now on
-     * @param freshFraction the part of it that came with full buckets
-     * @param now the time
+     * @param freshFraction the part of it that was added with full buckets
+     * @param now current time
      */
     void add(double newFraction, double freshFraction, long now) {
         fraction = newFraction;
-        steps.add(new Step(newFraction, freshFraction, now));
-        if (steps.size() > MAX_STEPS) {
-            steps.remove();
+        changes.add(new Change(newFraction, freshFraction, now));
+        if (changes.size() > MAX_CHANGES) {
+            changes.remove();
         }
     }
 
@@ -36,13 +36,16 @@
         return fraction;
     }
 
-    /** Opens the account of a team from which nothing was taken here so far. */
+    /** Opens the account of a team from which no token was taken at this entry so far. */
     TeamAccount openAccount(TeamPlan plan) {
-        long since = steps.isEmpty() ? 0 : steps.peek().at();
+        long since = changes.isEmpty() ? 0 : changes.peek().at();
         TeamAccount account = TeamAccount.open(plan, 0, since);
-        steps.forEach(step -> account.updateFraction(step.fraction(), step.fresh(), step.at()));
+        changes.forEach(
+                change ->
+                        account.updateFraction(
+                                change.fraction(), change.freshFraction(), change.at()));
         return account;
     }
 
-    private record Step(double fraction, double fresh, long at) {}
+    private record Change(double fraction, double freshFraction, long at) {}
 }
--- a/core/src/main/java/org/sardinelift/core/limit/ShareLedger.java
+++ b/core/src/main/java/org/sardinelift/core/limit/ShareLedger.java
@@ -5,62 +5,64 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One entry's hold on its units of {@link Shares}.
+ * Decides which units of {@link Shares} one entry may use, and reads and writes the shares.
  *
- * <p>What it rests on. Only an entry itself raises its units in the platform's object, and it uses
- * a raise only after its own conditional write was confirmed in time; before it gives units away it
- * stops using them and waits until its loans have expired. A write without an answer is settled by
- * reading the object and writing it once more from the version read: the condition holds only where
- * the read was current, so neither a lost answer nor a stale read leads to a raise. Others take an
- * entry's units only when the platform's list has missed it for {@link LimitBounds#reclaimDelay()}
- * and no connection to it is open, or when a newer life of the same instance has been known for
- * {@link LimitBounds#restartDelay()}. An entry that was paused, hears nobody, can't reach the
- * platform while a peer can, or misses itself in the list, stops using its units well before that
- * and starts again only after a confirmed write. While the platform is away for all, nobody can
- * take units, and all go on. What remains is an entry that the platform lists as gone though it
- * runs, while it and every peer that it hears are cut off from the platform and an entry that it
- * doesn't hear is not: the list is trusted not to drop a running instance for the whole delay.
+ * <p>The following rules ensure that no unit is used by two entries. Only an entry itself raises
+ * its units in the platform's object, and it uses a raise only after its own conditional write was
+ * confirmed in time. Before it releases units it stops using them and waits until its loans have
+ * expired. A write without an answer is resolved by reading the object and writing it once more at
+ * the version read; the condition holds only if the read was current, so neither a lost answer nor
+ * a stale read leads to a raise. Others reclaim an entry's units only after the platform's list has
+ * lacked it for {@link LimitBounds#reclaimDelay()} while no connection to it is open, or after a
+ * newer incarnation of the same instance has been known for {@link LimitBounds#restartDelay()}. An
+ * entry that was paused, has no contact with anyone, can't reach the platform while a peer can, or
+ * is missing from the list stops using its units well before that, and resumes only after a
+ * confirmed write. While no entry can reach the platform, none can reclaim units, and all continue.
+ *
+ * <p>One case is not covered: the platform's list lacks a running entry, which is cut off from the
+ * platform along with all peers connected to it, while an entry that isn't connected to it can
+ * reach the platform. The list is trusted not to drop a running instance for the whole delay.
  *
  * <p>Times are nanoseconds of a monotonic clock. Not safe for use by several threads.
  */
 public final class ShareLedger {
     private final MemberId self;
     private final LimitBounds bounds;
-    private final ShareCallScheduler calls;
+    private final ShareCallScheduler scheduler;
     private final AbsenceTracker absences;
-    private final ShareBalancer parts;
+    private final ShareBalancer balancer;
     private final ContactTracker contact;
     private Shares shares = Shares.initial();
     private long version;
-    private boolean known;
-    private boolean current;
+    private boolean hasRead;
+    private boolean isCurrent;
     private long usableUnits;
-    private long fresh;
-    private long giving;
-    private long giveAt;
-    private boolean giveTried;
-    private long poolSince;
-    private boolean leaving;
-    private long lastTick;
-    private boolean ticked;
-    private boolean confirmable;
-    private Shares writing = shares;
+    private long freshUnits;
+    private long unitsToRelease;
+    private long releaseAt;
+    private boolean isReleaseSent;
+    private long pooledSince;
+    private boolean isLeaving;
+    private long lastCheckAt;
+    private boolean hasChecked;
+    private boolean mayConfirm;
+    private Shares pendingWrite = shares;
 
     private ShareLedger(MemberId self, LimitBounds bounds, RandomGenerator random) {
         this.self = self;
         this.bounds = bounds;
-        this.calls = new ShareCallScheduler(bounds, random);
+        this.scheduler = new ShareCallScheduler(bounds, random);
         this.absences = new AbsenceTracker(self.instance(), bounds);
-        this.parts = new ShareBalancer(self, absences);
+        this.balancer = new ShareBalancer(self, absences);
         this.contact = new ContactTracker(bounds);
     }
 
     /**
-     * A new life of an entry, without units.
+     * Creates the ledger of a new incarnation of an entry, which has no units.
      *
      * @param self this entry
      * @param bounds intervals and bounds
-     * @param random for jitter
+     * @param random source of jitter
      * @return the ledger
      */
     public static ShareLedger create(MemberId self, LimitBounds bounds, RandomGenerator random) {
@@ -68,218 +70,226 @@
     }
 
     /**
-     * Checks what may still be used, and decides whether a call is due.
+     * Checks which units may still be used, and decides whether a call is due.
      *
-     * @param now the time
-     * @return the call to make, empty to wait
+     * @param now current time
+     * @return the call to make, empty if none is due
      */
     public Optional<ShareCall> tick(long now) {
         checkValidity(now);
-        if (calls.hasTimedOut(now)) {
-            failed(now);
+        if (scheduler.hasTimedOut(now)) {
+            abandonCall(now);
         }
-        if (!calls.isDue(now)) {
+        if (!scheduler.isDue(now)) {
             return Optional.empty();
         }
-        confirmable = true;
-        long number = calls.begin(now);
-        if (!known || !current) {
+        mayConfirm = true;
+        long number = scheduler.begin(now);
+        if (!hasRead || !isCurrent) {
             return Optional.of(new ShareCall.Read(number));
         }
         absences.update(shares, now);
-        Shares next = plan(now);
-        if (next == shares && next.units(self) == usableUnits + giving) {
-            current = false;
+        Shares next = planShares(now);
+        if (next == shares && next.units(self) == usableUnits + unitsToRelease) {
+            isCurrent = false;
             return Optional.of(new ShareCall.Read(number));
         }
-        writing = next;
-        giveTried |= giving > 0 && now >= giveAt;
+        pendingWrite = next;
+        isReleaseSent |= unitsToRelease > 0 && now >= releaseAt;
         return Optional.of(new ShareCall.Write(number, version, next));
     }
 
     /**
-     * When {@link #tick} has something to do next, unless something happens before.
+     * Returns the time for the next call of {@link #tick}, unless an event comes before.
      *
-     * @param now the time
+     * @param now current time
      * @return that time, or one that has passed
      */
     public long dueAt(long now) {
-        long call = calls.dueAt();
-        if (usableUnits == 0 && giving == 0) {
-            return call;
+        long callAt = scheduler.dueAt();
+        if (usableUnits == 0 && unitsToRelease == 0) {
+            return callAt;
         }
-        long stop = Math.min(contact.isolationDeadline(), absences.selfMissingDeadline());
-        long keep = isGivingUntouched() ? contact.platformContactDeadline() : Long.MAX_VALUE;
-        return contact.mayHaveLostUnits(now) ? now : Math.min(Math.min(call, keep), stop);
+        long stopAt = Math.min(contact.isolationDeadline(), absences.selfMissingDeadline());
+        long cancelReleaseAt =
+                canCancelRelease() ? contact.platformContactDeadline() : Long.MAX_VALUE;
+        return contact.mayHaveLostUnits(now)
+                ? now
+                : Math.min(Math.min(callAt, cancelReleaseAt), stopAt);
     }
 
-    /** Whether units that are to be given away haven't been written yet and may still be kept. */
-    private boolean isGivingUntouched() {
-        return giving > 0 && !leaving && !giveTried;
+    /**
+     * Whether there are units to release whose release hasn't been written yet and may still be
+     * cancelled.
+     */
+    private boolean canCancelRelease() {
+        return unitsToRelease > 0 && !isLeaving && !isReleaseSent;
     }
 
     /**
-     * Stops the use of units where others may have taken them.
+     * Stops the use of units if others may have reclaimed them.
      *
-     * @param now the time
+     * @param now current time
      */
     public void checkValidity(long now) {
-        boolean paused = ticked && now - lastTick > bounds.pauseBound().toNanos();
-        lastTick = now;
-        ticked = true;
-        if (paused) {
+        boolean isPaused = hasChecked && now - lastCheckAt > bounds.pauseBound().toNanos();
+        lastCheckAt = now;
+        hasChecked = true;
+        if (isPaused) {
             absences.clearTimes();
         }
-        if (paused || contact.mayHaveLostUnits(now) || absences.isSelfMissing(now)) {
+        if (isPaused || contact.mayHaveLostUnits(now) || absences.isSelfMissing(now)) {
             suspend(now);
         }
-        if (isGivingUntouched() && contact.platformAge(now) > bounds.contactBound().toNanos()) {
-            usableUnits += giving;
-            giving = 0;
+        if (canCancelRelease() && contact.platformAge(now) > bounds.contactBound().toNanos()) {
+            usableUnits += unitsToRelease;
+            unitsToRelease = 0;
         }
     }
 
     /**
-     * The shares were read.
+     * Handles the answer to a read.
      *
      * @param call number of the call
-     * @param readVersion version of the object, 0 where there is none
-     * @param read what it holds, {@link Shares#initial()} where there is none
-     * @param now the time
+     * @param readVersion version of the object, 0 if it doesn't exist
+     * @param readShares its value, {@link Shares#initial()} if it doesn't exist
+     * @param now current time
      */
-    public void onRead(long call, long readVersion, Shares read, long now) {
-        if (!calls.isInFlight(call)) {
+    public void onRead(long call, long readVersion, Shares readShares, long now) {
+        if (!scheduler.isInFlight(call)) {
             return;
         }
         onAnswer(now);
         if (readVersion < version) {
-            failed(now);
+            abandonCall(now);
             return;
         }
-        take(readVersion, read, now);
+        updateShares(readVersion, readShares, now);
         absences.update(shares, now);
-        giveAway(parts.unitsForStarvedMembers(shares, usableUnits), now);
-        boolean settled = plan(now) == shares && shares.units(self) == usableUnits + giving;
-        current = !settled;
-        endRead(settled, now);
+        releaseUnits(balancer.unitsForStarvedMembers(shares, usableUnits), now);
+        boolean isSettled =
+                planShares(now) == shares && shares.units(self) == usableUnits + unitsToRelease;
+        isCurrent = !isSettled;
+        endRead(isSettled, now);
     }
 
     /**
-     * The write took effect.
+     * Handles the confirmation of a write.
      *
      * @param call number of the call
-     * @param newVersion the object's version
-     * @param now the time
+     * @param newVersion new version of the object
+     * @param now current time
      */
     public void onWritten(long call, long newVersion, long now) {
-        if (!calls.isInFlight(call)) {
+        if (!scheduler.isInFlight(call)) {
             return;
         }
         onAnswer(now);
-        long freshTaken = shares.fresh() - writing.fresh();
-        take(newVersion, writing, now);
-        if (confirmable && !leaving && !absences.isSelfMissing(now)) {
-            usableUnits = Math.max(0, shares.units(self) - giving);
-            fresh += freshTaken;
+        long freshAcquired = shares.fresh() - pendingWrite.fresh();
+        updateShares(newVersion, pendingWrite, now);
+        if (mayConfirm && !isLeaving && !absences.isSelfMissing(now)) {
+            usableUnits = Math.max(0, shares.units(self) - unitsToRelease);
+            freshUnits += freshAcquired;
         }
-        current = true;
-        calls.end(bounds.retry(), now);
+        isCurrent = true;
+        scheduler.end(bounds.retry(), now);
     }
 
     /**
-     * A call had no clear or no good outcome: the shares are read again.
+     * Handles a call that failed or whose outcome is unclear: the shares are read again.
      *
      * @param call number of the call
-     * @param now the time
+     * @param now current time
      */
     public void onFailed(long call, long now) {
-        if (calls.isInFlight(call)) {
-            failed(now);
+        if (scheduler.isInFlight(call)) {
+            abandonCall(now);
         }
     }
 
     /**
-     * The platform's list was read.
+     * Handles a read of the platform's list.
      *
-     * @param entries instances that it shows
-     * @param now the time
+     * @param instances names of the listed entries
+     * @param now current time
      */
-    public void onListed(Set<String> entries, long now) {
-        absences.onListed(entries, now);
+    public void onListed(Set<String> instances, long now) {
+        absences.onListed(instances, now);
         contact.onPlatformContact(now);
     }
 
     /**
-     * The set of peers with an open connection has changed. The shares are read again soon after a
-     * new one, which may need units.
+     * Handles a change of the set of connected peers. If a peer is new, the shares are read again
+     * soon, since it may need units.
      *
-     * @param peers their names
+     * @param peers names of the peers with an open connection
      */
     public void onConnected(Set<String> peers) {
         if (absences.onConnected(peers)) {
-            calls.scheduleWithinRetryPause(lastTick);
+            scheduler.scheduleWithinRetryPause(lastCheckAt);
         }
     }
 
     /**
-     * A peer has said when it last reached the platform.
+     * Handles a peer's report of when it last had contact with the platform.
      *
-     * @param peer its name
-     * @param platformAgeNanos time since then
-     * @param now the time
+     * @param peer name of the peer
+     * @param platformAgeNanos time since that contact
+     * @param now current time
      */
     public void onPeerReport(String peer, long platformAgeNanos, long now) {
         contact.onPeerReport(peer, platformAgeNanos, now);
     }
 
     /**
-     * The connection to a peer was lost.
+     * Handles the loss of the connection to a peer.
      *
-     * @param peer its name
+     * @param peer name of the peer
      */
     public void onPeerDown(String peer) {
         contact.onPeerDown(peer);
     }
 
     /**
-     * Tells how many units this entry lacks, or could do without, by what it borrowed and lent.
+     * Sets how many units this entry lacks or has to spare, as judged by what it borrowed and lent.
      *
-     * @param units units lacking, negative for units to spare
-     * @param now the time
+     * @param units units lacking, negative for a surplus
+     * @param now current time
      */
     public void updateDemand(long units, long now) {
-        parts.updateDemand(units);
-        giveAway(parts.surplusUnits(shares, usableUnits), now);
+        balancer.updateDemand(units);
+        releaseUnits(balancer.surplusUnits(shares, usableUnits), now);
     }
 
-    private void giveAway(long units, long now) {
-        boolean inTouch = contact.platformAge(now) <= bounds.contactBound().toNanos();
-        if (units > 0 && giving == 0 && !leaving && inTouch) {
-            give(units, now);
+    private void releaseUnits(long units, long now) {
+        boolean hasPlatformContact = contact.platformAge(now) <= bounds.contactBound().toNanos();
+        if (units > 0 && unitsToRelease == 0 && !isLeaving && hasPlatformContact) {
+            startRelease(units, now);
         }
     }
 
     /**
-     * Gives all units back, since this entry is about to stop.
+     * Starts to release all units, since this entry is about to stop.
      *
-     * @param now the time
+     * @param now current time
      */
     public void leave(long now) {
-        leaving = true;
-        give(usableUnits, now);
+        isLeaving = true;
+        startRelease(usableUnits, now);
     }
 
     /**
-     * Whether this entry is leaving and the shares, as last read or written, no longer list it.
+     * Whether this entry is leaving and is no longer a member of the shares, as last read or
+     * written.
      *
-     * @return true once the platform has confirmed that all units were given back
+     * @return true once the platform has confirmed that all units were released
      */
     public boolean hasLeft() {
-        return leaving && known && usableUnits == 0 && !shares.members().containsKey(self);
+        return isLeaving && hasRead && usableUnits == 0 && !shares.members().containsKey(self);
     }
 
     /**
-     * Units that may be used now.
+     * Returns the units that this entry may use now.
      *
      * @return units of {@link Shares#TOTAL_UNITS}
      */
@@ -288,28 +298,28 @@
     }
 
     /**
-     * Whether units came with full buckets that {@link #pollFreshUnits} would return.
+     * Whether {@link #pollFreshUnits} would return any units.
      *
-     * @return true where there are some
+     * @return true if there are some
      */
     public boolean hasFreshUnits() {
-        return fresh > 0;
+        return freshUnits > 0;
     }
 
     /**
-     * Takes the units that came with full buckets: those that no entry had held before a confirmed
-     * write of this one took them. After an unclear outcome there are none.
+     * Removes and returns the units that were acquired with full buckets: those that no entry had
+     * before a confirmed write gave them to this one. After an unclear outcome there are none.
      *
      * @return such units since the last call
      */
     public long pollFreshUnits() {
-        long taken = fresh;
-        fresh = 0;
-        return taken;
+        long polled = freshUnits;
+        freshUnits = 0;
+        return polled;
     }
 
     /**
-     * Units that this entry may use and that connected peers hold, as last read.
+     * Returns the units that this entry may use plus those that connected peers have, as last read.
      *
      * @param peers names of connected peers
      * @return units of {@link Shares#TOTAL_UNITS}
@@ -319,85 +329,89 @@
     }
 
     /**
-     * Units that a peer holds, as last read.
+     * Returns the units of a peer, as last read.
      *
-     * @param peer its name
+     * @param peer name of the peer
      * @return units of {@link Shares#TOTAL_UNITS}
      */
     public long unitsOf(String peer) {
         return shares.unitsOf(Set.of(peer));
     }
 
-    private void give(long units, long now) {
+    private void startRelease(long units, long now) {
         usableUnits -= units;
-        giving += units;
-        giveTried = false;
-        giveAt = now + bounds.loanTtl().plus(bounds.loanMargin()).toNanos();
-        calls.scheduleNoLaterThan(giveAt);
+        unitsToRelease += units;
+        isReleaseSent = false;
+        releaseAt = now + bounds.loanTtl().plus(bounds.loanMargin()).toNanos();
+        scheduler.scheduleNoLaterThan(releaseAt);
     }
 
     private void suspend(long now) {
-        confirmable = false;
-        fresh = 0;
-        if (usableUnits > 0 || giving > 0) {
+        mayConfirm = false;
+        freshUnits = 0;
+        if (usableUnits > 0 || unitsToRelease > 0) {
             usableUnits = 0;
-            giving = 0;
-            current = false;
-            calls.scheduleNoLaterThan(now);
+            unitsToRelease = 0;
+            isCurrent = false;
+            scheduler.scheduleNoLaterThan(now);
         }
     }
 
-    private void take(long newVersion, Shares newShares, long now) {
-        if (!known || newShares.pool() == 0 || shares.pool() == 0) {
-            poolSince = now;
+    private void updateShares(long newVersion, Shares newShares, long now) {
+        if (!hasRead || newShares.pool() == 0 || shares.pool() == 0) {
+            pooledSince = now;
         }
         version = newVersion;
         shares = newShares;
-        known = true;
-        long held = shares.units(self);
-        usableUnits = Math.min(usableUnits, held);
-        giving = Math.max(0, Math.min(giving, held - usableUnits));
+        hasRead = true;
+        long ownUnits = shares.units(self);
+        usableUnits = Math.min(usableUnits, ownUnits);
+        unitsToRelease = Math.max(0, Math.min(unitsToRelease, ownUnits - usableUnits));
     }
 
     private void onAnswer(long now) {
-        contact.onPlatformContact(calls.sentAt());
-        calls.recordLatency(now);
+        contact.onPlatformContact(scheduler.sentAt());
+        scheduler.recordLatency(now);
     }
 
-    private void failed(long now) {
-        current = false;
-        calls.abandon(now);
+    private void abandonCall(long now) {
+        isCurrent = false;
+        scheduler.abandon(now);
     }
 
-    /** The shares as they should be, the same object where nothing is to be changed. */
-    private Shares plan(long now) {
-        Shares next = leaving ? shares : shares.addMember(self, version + 1);
+    /** Returns the shares as they should be, the same object if nothing needs to change. */
+    private Shares planShares(long now) {
+        Shares next = isLeaving ? shares : shares.addMember(self, version + 1);
         for (MemberId other : shares.members().keySet()) {
             if (!other.equals(self) && absences.isReclaimable(other, bounds, now)) {
                 next = next.removeMember(other);
             }
         }
-        if (giving > 0 && now >= giveAt) {
-            next = next.transferFromPool(self, -giving);
+        if (unitsToRelease > 0 && now >= releaseAt) {
+            next = next.transferFromPool(self, -unitsToRelease);
         }
-        if (leaving
+        if (isLeaving
                 && usableUnits == 0
                 && next.units(self) == 0
                 && next.members().containsKey(self)) {
             return next.removeMember(self);
         }
-        boolean taking = absences.mayAcquireUnits() && !leaving && giving == 0;
-        boolean rested = now - poolSince > bounds.balanceInterval().toNanos();
-        long wanted = taking ? parts.unitsWanted(shares, next, rested) : 0;
+        boolean mayAcquire = absences.mayAcquireUnits() && !isLeaving && unitsToRelease == 0;
+        boolean isPoolIdle = now - pooledSince > bounds.balanceInterval().toNanos();
+        long wanted = mayAcquire ? balancer.unitsWanted(shares, next, isPoolIdle) : 0;
         return wanted > 0 ? next.transferFromPool(self, wanted) : next;
     }
 
-    /** The next read comes after a pause, shorter for an entry that holds nothing yet. */
-    private void endRead(boolean settled, long now) {
-        if (settled) {
-            calls.end(usableUnits + giving == 0 ? bounds.retry() : bounds.readInterval(), now);
+    /**
+     * Schedules the next read after a pause, which is shorter for an entry that has no units yet.
+     */
+    private void endRead(boolean isSettled, long now) {
+        if (isSettled) {
+            scheduler.end(
+                    usableUnits + unitsToRelease == 0 ? bounds.retry() : bounds.readInterval(),
+                    now);
         } else {
-            calls.end(now);
+            scheduler.end(now);
         }
     }
 }
--- a/core/src/main/java/org/sardinelift/core/limit/TeamAccount.java
+++ b/core/src/main/java/org/sardinelift/core/limit/TeamAccount.java
@@ -7,40 +7,40 @@
 import org.sardinelift.core.catalog.TeamPlan;
 
 /**
- * What one entry may spend for one team: a token bucket with this entry's fraction of the team's
- * rate and burst, less what is lent, and the tokens borrowed from peers.
+ * Tokens that one entry may spend for one team: a token bucket with this entry's fraction of the
+ * team's rate and burst, reduced by what is lent, plus the tokens borrowed from peers.
  *
- * <p>Over the fleet the tokens in buckets, on loan and under way never exceed the burst, and all
- * buckets together fill at the rate at most, so that in every window of time t the fleet spends at
- * most burst + rate x t. To that end a raise of the fraction adds no tokens; lent tokens leave the
- * bucket and lower its capacity until they are returned or have certainly expired; and expired
- * loans are dropped at the moment of use. Times are nanoseconds of a monotonic clock. Safe for use
- * by several threads.
+ * <p>Over the fleet, the tokens in buckets, on loan and in transit never exceed the burst, and all
+ * buckets together fill at most at the rate, so that in every window of time t the fleet spends at
+ * most burst + rate x t. To ensure this, a raise of the fraction adds no tokens; lent tokens leave
+ * the bucket and reduce its capacity until they are returned or have certainly expired; and expired
+ * loans are dropped before each use. Times are nanoseconds of a monotonic clock. Safe for use by
+ * several threads.
  */
 public final class TeamAccount {
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double LONGEST_WAIT_SECONDS = 3_600;
-    private static final double ROUNDING = 1e-9;
-    private static final int MAX_LOANS_OUT = 256;
-    private static final double LEVELLING_FRACTION = 1.0 / 16;
+    private static final double MAX_WAIT_SECONDS = 3_600;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
+    private static final int MAX_OPEN_LOANS = 256;
+    private static final double LEVELLING_BURST_FRACTION = 1.0 / 16;
 
-    private final BorrowedLoans addLoan;
+    private final BorrowedLoans borrowed;
     private final Map<LoanKey, LentLoan> lent = new HashMap<>();
     private double ratePerSecond;
     private double burst;
     private double fraction;
     private double level;
-    private double reserved;
+    private double lentTokens;
     private double overpaid;
-    private double spentOfLoans;
-    private double lentAndSpent;
-    private long admitted;
-    private volatile boolean due;
-    private boolean active;
+    private double spentOfBorrowed;
+    private double spentOfLent;
+    private long admittedCount;
+    private volatile boolean hasMessages;
+    private boolean wasActive;
     private long filledAt;
 
     private TeamAccount(TeamPlan plan, double fraction, long sinceNanos) {
-        this.addLoan = new BorrowedLoans(plan.name());
+        this.borrowed = new BorrowedLoans(plan.name());
         this.ratePerSecond = plan.ratePerSecond();
         this.burst = plan.burst();
         this.fraction = fraction;
@@ -48,11 +48,11 @@
     }
 
     /**
-     * Opens an account, empty at the time since which this entry has held its fraction.
+     * Opens an account that is empty at the time from which this entry has had its fraction.
      *
      * @param plan the team's plan
      * @param fraction this entry's fraction of all limits
-     * @param sinceNanos when the entry came to hold this fraction
+     * @param sinceNanos time from which the entry has had this fraction
      * @return the account
      */
     public static TeamAccount open(TeamPlan plan, double fraction, long sinceNanos) {
@@ -60,12 +60,12 @@
     }
 
     /**
-     * Takes over another fraction. A raise adds no tokens but those of units that no entry had held
-     * before, from which nothing was spent.
+     * Sets a new fraction. A raise adds no tokens except those of units that no entry had before,
+     * from which nothing was spent.
      *
      * @param newFraction this entry's fraction of all limits
-     * @param freshFraction the part of it that no entry had held before
-     * @param nowNanos the time
+     * @param freshFraction the part of it that no entry had before
+     * @param nowNanos current time
      */
     public synchronized void updateFraction(
             double newFraction, double freshFraction, long nowNanos) {
@@ -75,10 +75,10 @@
     }
 
     /**
-     * Takes over changed values of the plan; a raise adds no tokens.
+     * Applies changed values of the plan; a raise adds no tokens.
      *
      * @param plan the team's plan
-     * @param nowNanos the time
+     * @param nowNanos current time
      */
     public synchronized void updatePlan(TeamPlan plan, long nowNanos) {
         if (plan.ratePerSecond() != ratePerSecond || plan.burst() != burst) {
@@ -90,55 +90,56 @@
     }
 
     /**
-     * Takes one token if there is one, from the bucket and from each loan in proportion to what
-     * they hold, so that the buckets of all entries keep the same level and none is full, and stops
-     * filling, before the others.
+     * Acquires one token if there is one, from the bucket and from each loan in proportion to their
+     * tokens. This keeps the buckets of all entries at the same level, so that none is full, and
+     * stops filling, before the others.
      *
-     * @param nowNanos the time
-     * @return whether a token was taken
+     * @param nowNanos current time
+     * @return whether a token was acquired
      */
     public synchronized boolean tryAcquire(long nowNanos) {
-        double there = availableAt(nowNanos);
-        if (there < 1 - ROUNDING) {
+        double available = availableAt(nowNanos);
+        if (available < 1 - ROUNDING_TOLERANCE) {
             return false;
         }
-        double part = Math.min(1, 1 / there);
-        double own = level * part;
-        level -= own;
-        overpaid = Math.max(-burst * fraction, overpaid + own - fraction);
-        due = due || overpaid >= burst * LEVELLING_FRACTION;
-        spentOfLoans += addLoan.spend(part);
-        noteSettlements();
-        admitted++;
+        double spentFraction = Math.min(1, 1 / available);
+        double fromBucket = level * spentFraction;
+        level -= fromBucket;
+        overpaid = Math.max(-burst * fraction, overpaid + fromBucket - fraction);
+        hasMessages = hasMessages || overpaid >= burst * LEVELLING_BURST_FRACTION;
+        spentOfBorrowed += borrowed.spend(spentFraction);
+        checkSettlements();
+        admittedCount++;
         return true;
     }
 
     /**
-     * Whether there is something to send to peers: a settlement, or word that the bucket paid more
-     * than its part.
+     * Whether there is something to send to peers: a settlement, or a request for tokens because
+     * the bucket paid more than its part.
      *
      * @return true until {@link #pollOverpaid} and {@link #pollSettlements} have been called
      */
     public boolean hasPendingMessages() {
-        return due;
+        return hasMessages;
     }
 
     /**
-     * When the first of the loans held expires.
+     * Returns the time at which the first of the borrowed loans expires.
      *
-     * @return the time, {@link Long#MAX_VALUE} where none is held
+     * @return the time, {@link Long#MAX_VALUE} if there is none
      */
     public synchronized long firstExpiryNanos() {
-        return addLoan.firstExpiry();
+        return borrowed.firstExpiry();
     }
 
     /**
-     * Takes how much more than its fraction this entry's bucket has paid of what was spent here.
+     * Returns how much more than its fraction this entry's bucket has paid of what this entry
+     * spent, and resets it.
      *
-     * @return tokens since the last call that returned some, 0 while they aren't worth asking for
+     * @return tokens since the last call that returned some, 0 while they are too few to ask for
      */
     public synchronized double pollOverpaid() {
-        if (overpaid < burst * LEVELLING_FRACTION) {
+        if (overpaid < burst * LEVELLING_BURST_FRACTION) {
             return 0;
         }
         double taken = Math.min(overpaid, Math.max(0, capacity() - level));
@@ -148,30 +149,30 @@
 
     /**
      * Moves tokens that a peer has lent into the bucket as far as it has room, and settles the loan
-     * at once. The lender keeps capacity back until then, so that the tokens are counted once.
+     * at once. The lender's capacity stays reduced until then, so the tokens are counted only once.
      *
      * @param peer the lender
-     * @param exchange number of the loan
-     * @param tokens tokens
-     * @param expiresNanos when they may no longer be used
-     * @param nowNanos the time
+     * @param loanId number of the loan
+     * @param tokens number of tokens
+     * @param expiresNanos time from which they may no longer be used
+     * @param nowNanos current time
      */
     public synchronized void depositLoan(
-            String peer, long exchange, double tokens, long expiresNanos, long nowNanos) {
+            String peer, long loanId, double tokens, long expiresNanos, long nowNanos) {
         fill(nowNanos);
         double room = expiresNanos - nowNanos > 0 ? Math.max(0, capacity() - level) : 0;
-        double moved = Math.min(tokens, room);
-        level += moved;
-        spentOfLoans += moved;
-        addLoan.settle(new BorrowedLoan(peer, exchange, tokens, expiresNanos), tokens - moved);
-        noteSettlements();
+        double deposited = Math.min(tokens, room);
+        level += deposited;
+        spentOfBorrowed += deposited;
+        borrowed.settle(new BorrowedLoan(peer, loanId, tokens, expiresNanos), tokens - deposited);
+        checkSettlements();
     }
 
     /**
-     * Tokens that may be spent now.
+     * Returns the tokens that may be spent now.
      *
-     * @param nowNanos the time
-     * @return tokens in the bucket and on loan from peers
+     * @param nowNanos current time
+     * @return tokens in the bucket and borrowed from peers
      */
     public synchronized double available(long nowNanos) {
         return availableAt(nowNanos);
@@ -181,167 +182,172 @@
      * Lends tokens out of the bucket to a peer.
      *
      * @param peer the borrower
-     * @param exchange number of the loan
-     * @param tokens tokens asked for
-     * @param nowNanos the time
-     * @param untilNanos when the loan has certainly expired
-     * @return tokens lent, 0 for none
+     * @param loanId number of the loan
+     * @param tokens tokens requested
+     * @param nowNanos current time
+     * @param untilNanos time at which the loan has certainly expired
+     * @return tokens lent, possibly 0
      */
     public synchronized double lend(
-            String peer, long exchange, double tokens, long nowNanos, long untilNanos) {
+            String peer, long loanId, double tokens, long nowNanos, long untilNanos) {
         fill(nowNanos);
-        double part = Math.min(level, tokens);
-        LoanKey key = new LoanKey(peer, exchange);
-        if (part <= ROUNDING || lent.size() >= MAX_LOANS_OUT || lent.containsKey(key)) {
+        double granted = Math.min(level, tokens);
+        LoanKey key = new LoanKey(peer, loanId);
+        if (granted <= ROUNDING_TOLERANCE
+                || lent.size() >= MAX_OPEN_LOANS
+                || lent.containsKey(key)) {
             return 0;
         }
-        level -= part;
-        reserved += part;
-        lent.put(key, new LentLoan(part, untilNanos));
-        return part;
+        level -= granted;
+        lentTokens += granted;
+        lent.put(key, new LentLoan(granted, untilNanos));
+        return granted;
     }
 
     /**
-     * A borrower holds nothing of a loan any more. Word on a loan that has expired is ignored.
+     * Handles the end of a loan at its borrower. Ignored if the loan has expired.
      *
      * @param peer the borrower
-     * @param exchange number of the loan
-     * @param tokens tokens that come back unspent
-     * @param nowNanos the time
+     * @param loanId number of the loan
+     * @param tokens tokens that are returned unspent
+     * @param nowNanos current time
      */
     public synchronized void onLoanReturned(
-            String peer, long exchange, double tokens, long nowNanos) {
+            String peer, long loanId, double tokens, long nowNanos) {
         fill(nowNanos);
-        LentLoan loan = lent.remove(new LoanKey(peer, exchange));
+        LentLoan loan = lent.remove(new LoanKey(peer, loanId));
         if (loan != null) {
-            double back = Math.min(loan.tokens(), tokens);
+            double unspent = Math.min(loan.tokens(), tokens);
             release(loan.tokens());
-            lentAndSpent += loan.tokens() - back;
-            level = Math.min(capacity(), level + back);
+            spentOfLent += loan.tokens() - unspent;
+            level = Math.min(capacity(), level + unspent);
         }
     }
 
     /**
-     * Takes in tokens that a peer has lent.
+     * Adds tokens that a peer has lent.
      *
      * @param peer the lender
-     * @param exchange number of the loan
-     * @param tokens tokens
-     * @param expiresNanos when they may no longer be spent
+     * @param loanId number of the loan
+     * @param tokens number of tokens
+     * @param expiresNanos time from which they may no longer be spent
      */
-    public synchronized void addLoan(String peer, long exchange, double tokens, long expiresNanos) {
-        addLoan.add(new BorrowedLoan(peer, exchange, tokens, expiresNanos));
+    public synchronized void addLoan(String peer, long loanId, double tokens, long expiresNanos) {
+        borrowed.add(new BorrowedLoan(peer, loanId, tokens, expiresNanos));
     }
 
     /**
-     * Gives back borrowed tokens beyond a number, the newest first, and drops expired ones.
+     * Returns borrowed tokens in excess of a number to their lenders, the newest first, and drops
+     * expired ones.
      *
-     * @param keep tokens to keep
-     * @param nowNanos the time
+     * @param maxTokens number of tokens to keep
+     * @param nowNanos current time
      */
-    public synchronized void returnExcess(double keep, long nowNanos) {
-        addLoan.dropExpired(nowNanos);
-        addLoan.returnExcess(keep);
-        noteSettlements();
+    public synchronized void returnExcess(double maxTokens, long nowNanos) {
+        borrowed.dropExpired(nowNanos);
+        borrowed.returnExcess(maxTokens);
+        checkSettlements();
     }
 
     /**
-     * Gives back what is left of loans that expire before a time.
+     * Returns the remaining tokens of loans that expire before a time to their lenders.
      *
      * @param beforeNanos that time
-     * @param nowNanos the time now
+     * @param nowNanos current time
      */
     public synchronized void returnExpiring(long beforeNanos, long nowNanos) {
-        addLoan.dropExpired(nowNanos);
-        addLoan.returnExpiring(beforeNanos);
-        noteSettlements();
+        borrowed.dropExpired(nowNanos);
+        borrowed.returnExpiring(beforeNanos);
+        checkSettlements();
     }
 
     /**
-     * Whether borrowed tokens or settlements are held.
+     * Whether there are borrowed tokens or unsent settlements.
      *
-     * @return true while there is something to look after
+     * @return true if there are any
      */
     public synchronized boolean hasLoans() {
-        return !addLoan.isEmpty() || addLoan.hasSettlements();
+        return !borrowed.isEmpty() || borrowed.hasSettlements();
     }
 
     /**
-     * Takes the settlements that are to be sent to lenders.
+     * Removes and returns the settlements to be sent to lenders.
      *
      * @return settlements since the last call
      */
     public synchronized List<Settlement> pollSettlements() {
-        due = overpaid >= burst * LEVELLING_FRACTION;
-        return addLoan.pollSettlements();
+        hasMessages = overpaid >= burst * LEVELLING_BURST_FRACTION;
+        return borrowed.pollSettlements();
     }
 
     /**
-     * How many more tokens peers spent of what this entry lent them than it spent of theirs.
+     * Returns how many more tokens peers spent of what this entry lent them than it spent of
+     * theirs, and resets it.
      *
      * @return tokens since the last call, negative for a net borrower
      */
     public synchronized double pollNetLent() {
-        double net = lentAndSpent - spentOfLoans;
-        active = admitted > 0 || lentAndSpent > 0;
-        admitted = 0;
-        lentAndSpent = 0;
-        spentOfLoans = 0;
+        double net = spentOfLent - spentOfBorrowed;
+        wasActive = admittedCount > 0 || spentOfLent > 0;
+        admittedCount = 0;
+        spentOfLent = 0;
+        spentOfBorrowed = 0;
         return net;
     }
 
     /**
-     * Whether the team was served from here, or from what was lent, in the time that the last call
-     * of {@link #pollNetLent} covered.
+     * Whether requests of the team were served by this entry, or from tokens that it lent, in the
+     * period that the last call of {@link #pollNetLent} covered.
      *
-     * @return true where the team was active
+     * @return true if the team was active
      */
     public synchronized boolean isActive() {
-        return active;
+        return wasActive;
     }
 
     /**
-     * The rate over the whole fleet.
+     * Returns the team's rate over the whole fleet.
      *
-     * @return requests a second
+     * @return requests per second
      */
     public synchronized double ratePerSecond() {
         return ratePerSecond;
     }
 
     /**
-     * Time until the fleet holds a whole token, if what is available here is all that it holds.
-     * While it holds less than one, full buckets that stop filling hold at most one part in burst
-     * of all shares; and after burst over rate every bucket is full.
+     * Returns the time until the fleet has a whole token, assuming that it has no tokens but those
+     * available at this entry. While it has less than one token, the buckets that are full and so
+     * don't fill have at most 1 / burst of all shares; after burst / rate every bucket is full.
      *
-     * @param reachable fraction of all limits that this entry and its peers hold
-     * @param nowNanos the time
+     * @param reachable fraction of all limits that this entry and its peers have
+     * @param nowNanos current time
      * @return nanoseconds, at most an hour
      */
     public synchronized long nanosUntilToken(double reachable, long nowNanos) {
-        double missing = Math.max(0, 1 - availableAt(nowNanos));
-        double filling = ratePerSecond * (reachable - 1 / burst);
-        double toFill = burst / ratePerSecond;
-        double seconds = filling > 0 ? Math.min(missing / filling, toFill) : toFill;
-        return (long) Math.ceil(Math.min(LONGEST_WAIT_SECONDS, seconds) * NANOS_PER_SECOND);
+        double missingTokens = Math.max(0, 1 - availableAt(nowNanos));
+        double fillRate = ratePerSecond * (reachable - 1 / burst);
+        double secondsToFill = burst / ratePerSecond;
+        double seconds =
+                fillRate > 0 ? Math.min(missingTokens / fillRate, secondsToFill) : secondsToFill;
+        return (long) Math.ceil(Math.min(MAX_WAIT_SECONDS, seconds) * NANOS_PER_SECOND);
     }
 
     private double availableAt(long nowNanos) {
         fill(nowNanos);
-        addLoan.dropExpired(nowNanos);
-        noteSettlements();
-        return level + addLoan.tokens();
+        borrowed.dropExpired(nowNanos);
+        checkSettlements();
+        return level + borrowed.tokens();
     }
 
-    private void noteSettlements() {
-        due = due || addLoan.hasSettlements();
+    private void checkSettlements() {
+        hasMessages = hasMessages || borrowed.hasSettlements();
     }
 
     private void fill(long nowNanos) {
         long elapsed = nowNanos - filledAt;
         if (elapsed > 0) {
-            double gain = elapsed / NANOS_PER_SECOND * ratePerSecond * fraction;
-            level = Math.min(capacity(), level + gain);
+            double added = elapsed / NANOS_PER_SECOND * ratePerSecond * fraction;
+            level = Math.min(capacity(), level + added);
             filledAt = nowNanos;
         }
         if (!lent.isEmpty()) {
@@ -356,18 +362,18 @@
             if (loan.expiresNanos() - nowNanos <= 0) {
                 loans.remove();
                 release(loan.tokens());
-                lentAndSpent += loan.tokens();
+                spentOfLent += loan.tokens();
             }
         }
     }
 
     private void release(double tokens) {
-        reserved = lent.isEmpty() ? 0 : reserved - tokens;
+        lentTokens = lent.isEmpty() ? 0 : lentTokens - tokens;
     }
 
     private double capacity() {
-        return Math.max(0, burst * fraction - reserved);
+        return Math.max(0, burst * fraction - lentTokens);
     }
 
-    private record LoanKey(String peer, long exchange) {}
+    private record LoanKey(String peer, long loanId) {}
 }
--- a/core/src/main/java/org/sardinelift/core/limit/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/limit/package-info.java
@@ -1,4 +1,4 @@
-/** Rate and burst of each team over all instances together. */
+/** Limits of each team's rate and burst over all instances together. */
 @NullMarked
 package org.sardinelift.core.limit;
 
--- a/core/src/test/java/org/sardinelift/core/limit/FleetLimitTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/FleetLimitTest.java
@@ -9,11 +9,15 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.core.catalog.TeamPlan;
 
+/**
+ * Guards against an entry that spends more than its part of a burst, or less, after units were
+ * acquired or released, the answer to a write was lost, or the burst was lowered.
+ */
 class FleetLimitTest {
     private static final long SECOND = 1_000_000_000;
     private static final long TICK = SECOND / 100;
     private static final TeamPlan PLAN = new TeamPlan("t", 1, 100, Set.of(), Set.of(), 1, 1);
-    private static final String OTHER = "e2";
+    private static final String PEER = "e2";
 
     private final FleetLimit limit =
             FleetLimit.create(
@@ -23,11 +27,11 @@
     private Shares shares = Shares.initial();
     private long version;
     private long now = SECOND;
-    private Set<String> listed = Set.of("e1", OTHER);
+    private Set<String> listed = Set.of("e1", PEER);
 
     @Test
-    void aTeamSeenForTheFirstTimeAfterUnitsWereGivenAwayHasItsPartOfTheBurst() {
-        shares = held(Shares.TOTAL_UNITS / 2);
+    void newTeamHasItsPartOfTheBurstAfterUnitsWereReleased() {
+        shares = sharesWithFree(Shares.TOTAL_UNITS / 2);
         version = 1;
         run(2 * SECOND);
         assertEquals(Shares.TOTAL_UNITS / 2, limit.ledger().usableUnits());
@@ -38,35 +42,35 @@
     }
 
     @Test
-    void unitsThatWereHeldBeforeComeEmpty() {
-        shares = held(Shares.TOTAL_UNITS / 2);
+    void unitsUsedBeforeStartWithEmptyBuckets() {
+        shares = sharesWithFree(Shares.TOTAL_UNITS / 2);
         version = 1;
         run(2 * SECOND);
         assertEquals(0, admitted());
     }
 
     @Test
-    void unitsOfACreationWhoseAnswerWasLostComeEmpty() {
+    void unitsStartWithEmptyBucketsIfTheAnswerToTheirCreationWasLost() {
         listed = Set.of("e1");
-        platform.lostAnswers = 1;
+        platform.answersToLose = 1;
         run(10 * SECOND);
         assertEquals(Shares.TOTAL_UNITS, limit.ledger().usableUnits());
         assertEquals(9, admitted(), 1);
     }
 
     @Test
-    void unitsThatNobodyHeldComeFull() {
+    void unitsNeverUsedStartWithFullBuckets() {
         listed = Set.of("e1");
         run(2 * SECOND);
         assertEquals(100, admitted());
     }
 
-    private static Shares held(long units) {
-        MemberId other = new MemberId(OTHER, "i1");
+    private static Shares sharesWithFree(long units) {
+        MemberId peer = new MemberId(PEER, "i1");
         return Shares.initial()
-                .addMember(other, 1)
-                .transferFromPool(other, Shares.TOTAL_UNITS)
-                .transferFromPool(other, -units);
+                .addMember(peer, 1)
+                .transferFromPool(peer, Shares.TOTAL_UNITS)
+                .transferFromPool(peer, -units);
     }
 
     private int admitted() {
@@ -78,13 +82,13 @@
     }
 
     @Test
-    void aLowerBurstHoldsForLoansAtOnce() {
+    void loweredBurstLimitsLoansAtOnce() {
         listed = Set.of("e1");
         run(2 * SECOND);
-        limit.onBorrow(OTHER, 1, PLAN, 1, now, platform);
-        TeamPlan lower = new TeamPlan("t", 1, 4, Set.of(), Set.of(), 1, 1);
+        limit.onBorrow(PEER, 1, PLAN, 1, now, platform);
+        TeamPlan lowerPlan = new TeamPlan("t", 1, 4, Set.of(), Set.of(), 1, 1);
 
-        limit.onBorrow(OTHER, 2, lower, 50, now, platform);
+        limit.onBorrow(PEER, 2, lowerPlan, 50, now, platform);
 
         assertEquals(List.of(1.0, 3.0), platform.lent);
     }
@@ -93,22 +97,22 @@
         for (long end = now + nanos; now < end; now += TICK) {
             limit.ledger().onListed(listed, now);
             limit.tick(now, platform);
-            List<ShareCall> due = List.copyOf(calls);
+            List<ShareCall> dueCalls = List.copyOf(calls);
             calls.clear();
-            due.forEach(platform::answer);
+            dueCalls.forEach(platform::answer);
         }
     }
 
-    /** The shares of this entry and of one that does nothing. */
+    /** Stores the shares of this entry and of one that does nothing. */
     private final class Platform implements LimitActions {
-        private int lostAnswers;
+        private int answersToLose;
 
         void answer(ShareCall call) {
             if (call instanceof ShareCall.Write write) {
                 assertEquals(version, write.expectedVersion());
                 shares = write.shares();
                 version++;
-                if (lostAnswers-- > 0) {
+                if (answersToLose-- > 0) {
                     limit.ledger().onFailed(write.number(), now);
                 } else {
                     limit.ledger().onWritten(write.number(), version, now);
@@ -126,13 +130,13 @@
         }
 
         @Override
-        public void answer(long ticket, Admission admission) {}
+        public void answer(long requestId, Admission admission) {}
 
         @Override
-        public void borrow(String peer, long exchange, String team, double tokens) {}
+        public void borrow(String peer, long loanId, String team, double tokens) {}
 
         @Override
-        public void lend(String peer, long exchange, String team, double tokens, long ttlMs) {
+        public void lend(String peer, long loanId, String team, double tokens, long ttlMs) {
             lent.add(tokens);
         }
     }
--- a/core/src/test/java/org/sardinelift/core/limit/LoweredRateTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/LoweredRateTest.java
@@ -9,43 +9,48 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.core.catalog.TeamPlan;
 
-/** A rate and burst that were lowered hold over all entries from then on. */
+/**
+ * Guards against admissions beyond a lowered rate and burst, which happen if entries keep buckets
+ * or loans of the previous plan.
+ */
 class LoweredRateTest {
-    private static final int SECONDS = 10;
-    private static final long GAP = 20 * Simulation.MS;
+    private static final int DURATION_SECONDS = 10;
+    private static final long REQUEST_INTERVAL = 20 * Simulation.MS;
 
     @Test
-    void aLoweredRateHoldsOverAllEntries() {
+    void loweredRateHoldsOverAllEntries() {
         TeamPlan high = plan(1_000, 1_000);
         TeamPlan low = plan(5, 10);
         Map<String, TeamPlan> plans = new HashMap<>(Map.of("t", high));
-        Simulation world = new Simulation(new SplittableRandom(4));
-        ShareFleet fleet = new ShareFleet(world, LimitBounds.defaults(), plans);
+        Simulation simulation = new Simulation(new SplittableRandom(4));
+        ShareFleet fleet = new ShareFleet(simulation, LimitBounds.defaults(), plans);
         for (String node : new String[] {"e1", "e2"}) {
-            world.startListed(node);
+            simulation.startListed(node);
             fleet.start(node);
         }
-        world.runUntil(20 * Simulation.SECOND);
+        simulation.runUntil(20 * Simulation.SECOND);
         for (String node : new String[] {"e1", "e2"}) {
             fleet.request(node, high, admission -> {});
         }
-        world.runUntil(21 * Simulation.SECOND);
+        simulation.runUntil(21 * Simulation.SECOND);
 
         plans.put("t", low);
         Score score = new Score();
-        long end = world.now() + SECONDS * Simulation.SECOND;
-        for (long at = world.now(); at < end; at += GAP) {
-            world.runUntil(at);
-            fleet.request("e1", low, admission -> note(score, admission, low, world));
+        long end = simulation.now() + DURATION_SECONDS * Simulation.SECOND;
+        for (long at = simulation.now(); at < end; at += REQUEST_INTERVAL) {
+            simulation.runUntil(at);
+            fleet.request(
+                    "e1", low, admission -> recordAdmission(score, admission, low, simulation));
         }
-        world.runUntil(end + Simulation.SECOND);
+        simulation.runUntil(end + Simulation.SECOND);
 
         assertTrue(score.overrun() == 0, () -> score.admissions() + " admitted");
     }
 
-    private static void note(Score score, Admission admission, TeamPlan plan, Simulation world) {
+    private static void recordAdmission(
+            Score score, Admission admission, TeamPlan plan, Simulation simulation) {
         if (admission instanceof Admission.Admitted) {
-            score.recordAdmitted(plan, world.now());
+            score.recordAdmitted(plan, simulation.now());
         }
     }
 
--- a/core/src/test/java/org/sardinelift/core/limit/NewEntryTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/NewEntryTest.java
@@ -9,28 +9,32 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** An entry that joins others comes to hold a share of its own within seconds. */
+/**
+ * Guards against an entry that joins others and has no share for long, while the others keep all
+ * units.
+ */
 class NewEntryTest {
-    private static final long FIRST_SHARE = 4 * Simulation.SECOND;
+    private static final long JOIN_TIMEOUT = 4 * Simulation.SECOND;
 
     @Property(seed = "91", tries = 60)
-    void aNewEntryHoldsAShareWithinSeconds(
+    void newEntryHasShareWithinSeconds(
             @ForAll @IntRange(min = 1, max = 6) int running, @ForAll long seed) {
-        Simulation world = new Simulation(new SplittableRandom(seed));
-        ShareFleet fleet = new ShareFleet(world, LimitBounds.defaults(), Map.of());
+        Simulation simulation = new Simulation(new SplittableRandom(seed));
+        ShareFleet fleet = new ShareFleet(simulation, LimitBounds.defaults(), Map.of());
         for (int i = 1; i <= running; i++) {
-            world.startListed("e" + i);
+            simulation.startListed("e" + i);
             fleet.start("e" + i);
         }
-        world.runUntil(40 * Simulation.SECOND + world.random.nextLong(10 * Simulation.SECOND));
+        simulation.runUntil(
+                40 * Simulation.SECOND + simulation.random.nextLong(10 * Simulation.SECOND));
 
-        world.startListed("new");
+        simulation.startListed("new");
         fleet.start("new");
-        world.runUntil(world.now() + FIRST_SHARE);
+        simulation.runUntil(simulation.now() + JOIN_TIMEOUT);
 
         long least = Shares.TOTAL_UNITS / (running + 1) / 8;
         assertTrue(fleet.units("new") >= least, () -> "holds " + fleet.units("new"));
-        world.runUntil(world.now() + 30 * Simulation.SECOND);
+        simulation.runUntil(simulation.now() + 30 * Simulation.SECOND);
         List.of("e1", "new")
                 .forEach(
                         node ->
--- a/core/src/test/java/org/sardinelift/core/limit/OwnerLeaseFleet.java
+++ b/core/src/test/java/org/sardinelift/core/limit/OwnerLeaseFleet.java
@@ -7,20 +7,23 @@
 import java.util.function.Consumer;
 import org.sardinelift.core.catalog.TeamPlan;
 
-/** One owner for each team, chosen by hash, under a lease in the platform; others ask it. */
+/**
+ * Approach in which each team has one owner, chosen by hash under a lease in the platform, which
+ * the other entries ask.
+ */
 final class OwnerLeaseFleet implements SimulatedFleet {
-    private static final long LEASE = 10 * Simulation.SECOND;
-    private static final long MARGIN = 2 * Simulation.SECOND;
-    private static final long ASK_BOUND = 20 * Simulation.MS;
+    private static final long LEASE_DURATION = 10 * Simulation.SECOND;
+    private static final long LEASE_MARGIN = 2 * Simulation.SECOND;
+    private static final long ANSWER_TIMEOUT = 20 * Simulation.MS;
     private static final Admission REFUSED = new Admission.Refused(Duration.ofSeconds(1));
 
-    private final Simulation world;
+    private final Simulation simulation;
     private final Map<String, TeamPlan> plans;
     private final Map<String, Node> nodes = new HashMap<>();
     private final Map<String, Lease> leases = new HashMap<>();
 
-    OwnerLeaseFleet(Simulation world, Map<String, TeamPlan> plans) {
-        this.world = world;
+    OwnerLeaseFleet(Simulation simulation, Map<String, TeamPlan> plans) {
+        this.simulation = simulation;
         this.plans = plans;
     }
 
@@ -28,8 +31,10 @@
     public void start(String name) {
         Node node = new Node(name);
         nodes.put(name, node);
-        world.scheduleEvery(name, 3 * Simulation.SECOND, () -> node.renew(nodes.get(name) == node));
-        world.scheduleAtNode(world.now(), name, () -> node.renew(nodes.get(name) == node));
+        simulation.scheduleEvery(
+                name, 3 * Simulation.SECOND, () -> node.renew(nodes.get(name) == node));
+        simulation.scheduleAtNode(
+                simulation.now(), name, () -> node.renew(nodes.get(name) == node));
     }
 
     @Override
@@ -40,21 +45,21 @@
             answer.accept(node.decide(team));
             return;
         }
-        boolean[] done = new boolean[1];
+        boolean[] isAnswered = new boolean[1];
         Consumer<Admission> once =
                 admission -> {
-                    if (!done[0]) {
-                        done[0] = true;
+                    if (!isAnswered[0]) {
+                        isAnswered[0] = true;
                         answer.accept(admission);
                     }
                 };
-        world.schedule(world.now() + ASK_BOUND, () -> once.accept(REFUSED));
+        simulation.schedule(simulation.now() + ANSWER_TIMEOUT, () -> once.accept(REFUSED));
         if (owner != null) {
-            world.sendMessage(
+            simulation.sendMessage(
                     owner,
                     () -> {
                         Admission admission = nodes.get(owner).decide(team);
-                        world.sendMessage(name, () -> once.accept(admission));
+                        simulation.sendMessage(name, () -> once.accept(admission));
                     });
         }
     }
@@ -64,61 +69,64 @@
     private final class Node {
         private final String name;
         private final Map<String, String> owners = new HashMap<>();
-        private final Map<String, Long> heldUntil = new HashMap<>();
+        private final Map<String, Long> ownedUntil = new HashMap<>();
         private final Map<String, TokenBucket> buckets = new HashMap<>();
 
         Node(String name) {
             this.name = name;
         }
 
-        void renew(boolean current) {
-            if (!current) {
+        void renew(boolean isCurrent) {
+            if (!isCurrent) {
                 return;
             }
-            long sent = world.now();
-            world.callPlatform(name, () -> claim(sent), this::learn, () -> {});
+            long sentAt = simulation.now();
+            simulation.callPlatform(name, () -> claimLeases(sentAt), this::onLeases, () -> {});
         }
 
-        /** Runs at the platform: takes free leases of the teams that hash here. */
-        private Map<String, Lease> claim(long sent) {
-            List<String> listed = world.listed().stream().sorted().toList();
+        /**
+         * Runs at the platform: acquires the free leases of the teams whose hash selects this
+         * entry.
+         */
+        private Map<String, Lease> claimLeases(long sentAt) {
+            List<String> listed = simulation.listed().stream().sorted().toList();
             for (String team : plans.keySet()) {
                 Lease lease = leases.get(team);
-                boolean mine = lease != null && lease.holder() == this;
-                boolean free = lease == null || world.now() > lease.until() + MARGIN;
-                boolean chosen =
+                boolean isOwn = lease != null && lease.holder() == this;
+                boolean isFree = lease == null || simulation.now() > lease.until() + LEASE_MARGIN;
+                boolean isChosen =
                         !listed.isEmpty()
                                 && listed.get(Math.floorMod(team.hashCode(), listed.size()))
                                         .equals(name);
-                if (mine || (free && chosen)) {
-                    leases.put(team, new Lease(this, sent + LEASE));
+                if (isOwn || (isFree && isChosen)) {
+                    leases.put(team, new Lease(this, sentAt + LEASE_DURATION));
                 }
             }
             return Map.copyOf(leases);
         }
 
-        private void learn(Map<String, Lease> read) {
+        private void onLeases(Map<String, Lease> read) {
             read.forEach(
                     (team, lease) -> {
                         owners.put(team, lease.holder().name);
                         if (lease.holder() == this) {
-                            Long held = heldUntil.put(team, lease.until());
-                            if (held == null || held < world.now()) {
-                                TokenBucket meter = new TokenBucket();
-                                meter.empty(world.now());
-                                buckets.put(team, meter);
+                            Long previousUntil = ownedUntil.put(team, lease.until());
+                            if (previousUntil == null || previousUntil < simulation.now()) {
+                                TokenBucket bucket = new TokenBucket();
+                                bucket.empty(simulation.now());
+                                buckets.put(team, bucket);
                             }
                         }
                     });
         }
 
         Admission decide(TeamPlan team) {
-            Long until = heldUntil.get(team.name());
-            if (until == null || world.now() >= until) {
+            Long until = ownedUntil.get(team.name());
+            if (until == null || simulation.now() >= until) {
                 return REFUSED;
             }
             TokenBucket bucket = buckets.get(team.name());
-            bucket.refill(team.ratePerSecond(), team.burst(), world.now());
+            bucket.refill(team.ratePerSecond(), team.burst(), simulation.now());
             return bucket.tryAcquire() ? new Admission.Admitted() : REFUSED;
         }
     }
--- a/core/src/test/java/org/sardinelift/core/limit/Score.java
+++ b/core/src/test/java/org/sardinelift/core/limit/Score.java
@@ -5,32 +5,32 @@
 import org.sardinelift.core.catalog.TeamPlan;
 
 /**
- * Judges a way of limiting by two buckets for each team over the whole fleet: one fed with what was
- * admitted, which shows overrun, and an ideal one fed with what was offered.
+ * Scores an approach to limiting by two buckets for each team over the whole fleet: one charged
+ * with the admitted requests, which shows overrun, and an ideal one charged with all requests.
  */
 final class Score {
-    private final Map<String, TokenBucket> actual = new HashMap<>();
-    private final Map<String, TokenBucket> ideal = new HashMap<>();
-    private final Map<String, Integer> due = new HashMap<>();
-    private final Map<String, Integer> got = new HashMap<>();
+    private final Map<String, TokenBucket> actualBuckets = new HashMap<>();
+    private final Map<String, TokenBucket> idealBuckets = new HashMap<>();
+    private final Map<String, Integer> idealCounts = new HashMap<>();
+    private final Map<String, Integer> admittedCounts = new HashMap<>();
     private int overrun;
-    private int refused;
+    private int refusals;
 
     void recordOffered(TeamPlan team, long now) {
-        if (meter(ideal, team, now).tryAcquire()) {
-            due.merge(team.name(), 1, Integer::sum);
+        if (filledBucket(idealBuckets, team, now).tryAcquire()) {
+            idealCounts.merge(team.name(), 1, Integer::sum);
         }
     }
 
     void recordAdmitted(TeamPlan team, long now) {
-        got.merge(team.name(), 1, Integer::sum);
-        if (!meter(actual, team, now).tryAcquire()) {
+        admittedCounts.merge(team.name(), 1, Integer::sum);
+        if (!filledBucket(actualBuckets, team, now).tryAcquire()) {
             overrun++;
         }
     }
 
-    void refused() {
-        refused++;
+    void recordRefused() {
+        refusals++;
     }
 
     int overrun() {
@@ -38,33 +38,41 @@
     }
 
     int refusals() {
-        return refused;
+        return refusals;
     }
 
     int admissions() {
-        return got.values().stream().mapToInt(Integer::intValue).sum();
+        return admittedCounts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** Requests that the ideal bucket admits and that this way did not, over all teams. */
+    /** Number of requests, over all teams, that the ideal bucket admits and the fleet refused. */
     int wronglyRefused() {
-        return due.keySet().stream().mapToInt(this::wronglyRefused).sum();
+        return idealCounts.keySet().stream().mapToInt(this::wronglyRefused).sum();
     }
 
     int wronglyRefused(String team) {
-        return Math.max(0, due.getOrDefault(team, 0) - got.getOrDefault(team, 0));
+        return Math.max(
+                0, idealCounts.getOrDefault(team, 0) - admittedCounts.getOrDefault(team, 0));
     }
 
-    /** Part of its due that the worst-served team got. */
+    /**
+     * Fraction of the requests admitted by the ideal bucket that the worst-served team got
+     * admitted.
+     */
     double lowestServedFraction() {
-        return due.entrySet().stream()
-                .mapToDouble(team -> got.getOrDefault(team.getKey(), 0) / (double) team.getValue())
+        return idealCounts.entrySet().stream()
+                .mapToDouble(
+                        team ->
+                                admittedCounts.getOrDefault(team.getKey(), 0)
+                                        / (double) team.getValue())
                 .min()
                 .orElse(1);
     }
 
-    private static TokenBucket meter(Map<String, TokenBucket> meters, TeamPlan team, long now) {
-        TokenBucket meter = meters.computeIfAbsent(team.name(), it -> new TokenBucket());
-        meter.refill(team.ratePerSecond(), team.burst(), now);
-        return meter;
+    private static TokenBucket filledBucket(
+            Map<String, TokenBucket> buckets, TeamPlan team, long now) {
+        TokenBucket bucket = buckets.computeIfAbsent(team.name(), name -> new TokenBucket());
+        bucket.refill(team.ratePerSecond(), team.burst(), now);
+        return bucket;
     }
 }
--- a/core/src/test/java/org/sardinelift/core/limit/ShareFleet.java
+++ b/core/src/test/java/org/sardinelift/core/limit/ShareFleet.java
@@ -11,42 +11,46 @@
 import org.sardinelift.core.catalog.TeamPlan;
 
 /**
- * The shipped decision classes: shares and loans. Steps are made when they are due, or every {@link
- * #TICK} where {@link #probing}, which fails where one did something before it was due.
+ * Approach of the production classes: shares and loans. Entries tick when a tick is due, or every
+ * {@link #TICK_INTERVAL} with {@link #withDueTimeCheck}, which fails if an entry does any work
+ * before it is due.
  */
 final class ShareFleet implements SimulatedFleet {
-    private static final long TICK = 10 * Simulation.MS;
+    private static final long TICK_INTERVAL = 10 * Simulation.MS;
 
-    private final Simulation world;
+    private final Simulation simulation;
     private final LimitBounds bounds;
     private final Map<String, TeamPlan> plans;
     private final Map<String, Node> nodes = new HashMap<>();
     private long version;
     private Shares shares = Shares.initial();
     private long previousVersion;
-    private Shares previous = Shares.initial();
-    private int lives;
-    private boolean probing;
+    private Shares previousShares = Shares.initial();
+    private int incarnations;
+    private boolean checksDueTimes;
 
-    ShareFleet(Simulation world, LimitBounds bounds, Map<String, TeamPlan> plans) {
-        this.world = world;
+    ShareFleet(Simulation simulation, LimitBounds bounds, Map<String, TeamPlan> plans) {
+        this.simulation = simulation;
         this.bounds = bounds;
         this.plans = plans;
     }
 
-    /** Has each entry make a step every {@link #TICK}, and checks that none was needed earlier. */
-    ShareFleet probing() {
-        probing = true;
+    /**
+     * Makes each entry tick every {@link #TICK_INTERVAL}, and checks that no tick does work before
+     * it is due.
+     */
+    ShareFleet withDueTimeCheck() {
+        checksDueTimes = true;
         return this;
     }
 
     @Override
     public void start(String name) {
-        Node node = new Node(name, lives++);
+        Node node = new Node(name, incarnations++);
         nodes.put(name, node);
-        world.scheduleEvery(name, TICK, node::look);
-        world.scheduleEvery(name, Simulation.SECOND, node::readList);
-        world.scheduleEvery(name, Simulation.SECOND / 2, node::gossip);
+        simulation.scheduleEvery(name, TICK_INTERVAL, node::updateConnections);
+        simulation.scheduleEvery(name, Simulation.SECOND, node::readList);
+        simulation.scheduleEvery(name, Simulation.SECOND / 2, node::reportToPeers);
     }
 
     @Override
@@ -54,10 +58,10 @@
         nodes.get(node).request(team, answer);
     }
 
-    /** Tokens of a team that could be spent anywhere now, frozen instances included. */
+    /** Tokens of a team that all entries could spend now, frozen ones included. */
     double tokens(String team) {
         return nodes.values().stream()
-                .mapToDouble(node -> node.limit.available(team, world.now()))
+                .mapToDouble(node -> node.limit.available(team, simulation.now()))
                 .sum();
     }
 
@@ -72,179 +76,181 @@
     private final class Node implements LimitActions {
         private final String name;
         private final FleetLimit limit;
-        private final Map<Long, Consumer<Admission>> waiting = new HashMap<>();
+        private final Map<Long, Consumer<Admission>> waitingRequests = new HashMap<>();
         private Set<String> connected = Set.of();
         private long platformAt = Long.MIN_VALUE / 2;
-        private long tickets;
+        private long lastRequestId;
         private long timerAt = Long.MAX_VALUE;
-        private int sent;
+        private int actionCount;
 
-        Node(String name, int life) {
+        Node(String name, int incarnation) {
             this.name = name;
             this.limit =
                     FleetLimit.create(
-                            new MemberId(name, "i" + life),
+                            new MemberId(name, "i" + incarnation),
                             bounds,
-                            new SplittableRandom(world.random.nextLong()));
+                            new SplittableRandom(simulation.random.nextLong()));
         }
 
         boolean isCurrent() {
             return nodes.get(name) == this;
         }
 
-        /** Notices changes of the connections, and probes where that is wanted. */
-        void look() {
+        /** Updates the set of connected peers, and checks due times if enabled. */
+        void updateConnections() {
             if (!isCurrent()) {
                 return;
             }
-            Set<String> peers = new HashSet<>(world.up());
-            peers.removeIf(world::isFrozen);
+            Set<String> peers = new HashSet<>(simulation.runningNodes());
+            peers.removeIf(simulation::isFrozen);
             peers.remove(name);
             if (!peers.equals(connected)) {
                 connected = peers;
                 limit.onConnected(peers);
             }
-            if (probing) {
-                probe();
+            if (checksDueTimes) {
+                tickAndCheckDueTime();
             }
-            arrange();
+            scheduleTick();
         }
 
-        private void probe() {
-            boolean due = limit.nextTickAt(world.now()) <= world.now();
-            int sentBefore = sent;
+        private void tickAndCheckDueTime() {
+            boolean isDue = limit.nextTickAt(simulation.now()) <= simulation.now();
+            int actionsBefore = actionCount;
             long unitsBefore = limit.ledger().usableUnits();
-            limit.tick(world.now(), this);
-            boolean idle = sent == sentBefore && limit.ledger().usableUnits() == unitsBefore;
-            assertTrue(due || idle, () -> name + " had to do something that was not due");
+            limit.tick(simulation.now(), this);
+            boolean isIdle =
+                    actionCount == actionsBefore && limit.ledger().usableUnits() == unitsBefore;
+            assertTrue(isDue || isIdle, () -> name + " did work that was not due");
         }
 
-        private void arrange() {
-            long due = Math.max(world.now(), limit.nextTickAt(world.now()));
-            if (due < timerAt && !probing) {
-                timerAt = due;
-                world.scheduleAtNode(due, name, () -> onTimer(due));
+        private void scheduleTick() {
+            long dueAt = Math.max(simulation.now(), limit.nextTickAt(simulation.now()));
+            if (dueAt < timerAt && !checksDueTimes) {
+                timerAt = dueAt;
+                simulation.scheduleAtNode(dueAt, name, () -> onTimer(dueAt));
             }
         }
 
-        private void onTimer(long due) {
-            if (due == timerAt && isCurrent()) {
+        private void onTimer(long dueAt) {
+            if (dueAt == timerAt && isCurrent()) {
                 timerAt = Long.MAX_VALUE;
-                limit.tick(world.now(), this);
-                arrange();
+                limit.tick(simulation.now(), this);
+                scheduleTick();
             }
         }
 
         void readList() {
             if (isCurrent()) {
-                world.callPlatform(name, world::listed, this::onList, () -> {});
+                simulation.callPlatform(name, simulation::listed, this::onList, () -> {});
             }
         }
 
         private void onList(Set<String> list) {
-            platformAt = world.now();
-            limit.ledger().onListed(list, world.now());
-            arrange();
+            platformAt = simulation.now();
+            limit.ledger().onListed(list, simulation.now());
+            scheduleTick();
         }
 
-        void gossip() {
+        void reportToPeers() {
             if (!isCurrent()) {
                 return;
             }
-            long age = world.now() - platformAt;
+            long age = simulation.now() - platformAt;
             connected.forEach(
                     peer ->
-                            to(
+                            sendTo(
                                     peer,
                                     other ->
                                             other.limit
                                                     .ledger()
-                                                    .onPeerReport(name, age, world.now())));
+                                                    .onPeerReport(name, age, simulation.now())));
         }
 
         void request(TeamPlan team, Consumer<Admission> answer) {
-            long now = world.now();
+            long now = simulation.now();
             if (limit.tryAdmit(team, now)) {
                 answer.accept(new Admission.Admitted());
-                arrange();
+                scheduleTick();
                 return;
             }
-            waiting.put(++tickets, answer);
-            limit.admit(team, tickets, now, this);
-            arrange();
+            waitingRequests.put(++lastRequestId, answer);
+            limit.admit(team, lastRequestId, now, this);
+            scheduleTick();
         }
 
         @Override
-        public void answer(long ticket, Admission admission) {
-            sent++;
-            waiting.remove(ticket).accept(admission);
+        public void answer(long requestId, Admission admission) {
+            actionCount++;
+            waitingRequests.remove(requestId).accept(admission);
         }
 
         @Override
-        public void borrow(String peer, long exchange, String team, double tokens) {
-            sent++;
+        public void borrow(String peer, long loanId, String team, double tokens) {
+            actionCount++;
             TeamPlan plan = plans.get(team);
-            to(
+            sendTo(
                     peer,
                     other ->
-                            other.limit.onBorrow(name, exchange, plan, tokens, world.now(), other));
+                            other.limit.onBorrow(
+                                    name, loanId, plan, tokens, simulation.now(), other));
         }
 
         @Override
-        public void lend(String peer, long exchange, String team, double tokens, long ttlMs) {
-            sent++;
-            to(
+        public void lend(String peer, long loanId, String team, double tokens, long ttlMs) {
+            actionCount++;
+            sendTo(
                     peer,
                     other ->
                             other.limit.onLend(
-                                    name, exchange, team, tokens, ttlMs, world.now(), other));
+                                    name, loanId, team, tokens, ttlMs, simulation.now(), other));
         }
 
         @Override
         public void callPlatform(ShareCall call) {
-            sent++;
+            actionCount++;
             ShareLedger ledger = limit.ledger();
             long number = call.number();
             if (call instanceof ShareCall.Write write) {
-                world.callPlatform(
+                simulation.callPlatform(
                         name,
                         () -> apply(write),
                         written -> {
                             if (written == 0) {
-                                ledger.onFailed(number, world.now());
+                                ledger.onFailed(number, simulation.now());
                             } else {
-                                ledger.onWritten(number, written, world.now());
+                                ledger.onWritten(number, written, simulation.now());
                             }
-                            arrange();
+                            scheduleTick();
                         },
                         () -> onFailed(number));
             } else {
-                boolean stale = world.random.nextDouble() < world.staleReads;
-                world.callPlatform(
+                boolean isStale = simulation.random.nextDouble() < simulation.staleReads;
+                simulation.callPlatform(
                         name,
                         () ->
-                                stale
-                                        ? new Read(previousVersion, previous)
+                                isStale
+                                        ? new Read(previousVersion, previousShares)
                                         : new Read(version, shares),
                         read -> {
-                            ledger.onRead(number, read.version, read.shares, world.now());
-                            arrange();
+                            ledger.onRead(number, read.version, read.shares, simulation.now());
+                            scheduleTick();
                         },
                         () -> onFailed(number));
             }
         }
 
         private void onFailed(long call) {
-            limit.ledger().onFailed(call, world.now());
-            arrange();
+            limit.ledger().onFailed(call, simulation.now());
+            scheduleTick();
         }
 
-        private void to(String peer, Consumer<Node> action) {
-            world.sendMessage(
+        private void sendTo(String peer, Consumer<Node> action) {
+            simulation.sendMessage(
                     peer,
                     () -> {
                         action.accept(nodes.get(peer));
-                        nodes.get(peer).arrange();
+                        nodes.get(peer).scheduleTick();
                     });
         }
     }
@@ -254,7 +260,7 @@
             return 0;
         }
         previousVersion = version;
-        previous = shares;
+        previousShares = shares;
         shares = write.shares();
         return ++version;
     }
--- a/core/src/test/java/org/sardinelift/core/limit/ShareLedgerTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/ShareLedgerTest.java
@@ -8,6 +8,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against units that two entries use at once, after a lost answer, a stale read, a pause or
+ * an early reclaim, and against a call timeout that doesn't fit the latency.
+ */
 class ShareLedgerTest {
     private static final long SECOND = 1_000_000_000;
     private static final MemberId SELF = new MemberId("e1", "i1");
@@ -18,58 +22,58 @@
     private long now = SECOND;
 
     @Test
-    void aRaiseWhoseAnswerWasLostIsUsedOnlyAfterAnotherConfirmedWrite() {
-        list("e1", "e2");
-        ledger.onRead(next(ShareCall.Read.class).number(), 0, Shares.initial(), now);
-        ShareCall.Write lost = next(ShareCall.Write.class);
+    void raiseIsUsedOnlyAfterAnotherConfirmedWriteIfItsAnswerWasLost() {
+        reportList("e1", "e2");
+        ledger.onRead(nextCall(ShareCall.Read.class).number(), 0, Shares.initial(), now);
+        ShareCall.Write lost = nextCall(ShareCall.Write.class);
         assertTrue(lost.shares().units(SELF) > 0);
         ledger.onFailed(lost.number(), now);
-        ledger.onRead(next(ShareCall.Read.class).number(), 1, lost.shares(), now);
+        ledger.onRead(nextCall(ShareCall.Read.class).number(), 1, lost.shares(), now);
         assertEquals(0, ledger.usableUnits());
-        ledger.onWritten(next(ShareCall.Write.class).number(), 2, now);
+        ledger.onWritten(nextCall(ShareCall.Write.class).number(), 2, now);
         assertEquals(lost.shares().units(SELF), ledger.usableUnits());
     }
 
     @Test
-    void afterAPauseAReadThatMayBeStaleDoesNotConfirmTheShare() {
-        Shares held = hold();
+    void staleReadDoesNotConfirmTheShareAfterAPause() {
+        Shares acquired = acquireHalf();
         now += BOUNDS.pauseBound().toNanos() + SECOND;
         ledger.checkValidity(now);
         assertEquals(0, ledger.usableUnits());
-        ledger.onRead(next(ShareCall.Read.class).number(), 1, held, now);
+        ledger.onRead(nextCall(ShareCall.Read.class).number(), 1, acquired, now);
         assertEquals(0, ledger.usableUnits());
-        ShareCall.Write confirm = next(ShareCall.Write.class);
-        assertEquals(held, confirm.shares());
-        ledger.onFailed(confirm.number(), now);
+        ShareCall.Write confirmation = nextCall(ShareCall.Write.class);
+        assertEquals(acquired, confirmation.shares());
+        ledger.onFailed(confirmation.number(), now);
         assertEquals(0, ledger.usableUnits());
     }
 
     @Test
-    void unitsToSpareAreNoLongerUsedBeforeTheWriteThatGivesThem() {
-        Shares held = hold();
+    void surplusUnitsAreNotUsedBeforeTheWriteThatReleasesThem() {
+        Shares acquired = acquireHalf();
         ledger.updateDemand(-1_000, now);
-        assertEquals(held.units(SELF) - 1_000, ledger.usableUnits());
+        assertEquals(acquired.units(SELF) - 1_000, ledger.usableUnits());
         ShareCall.Write write = null;
         while (write == null) {
-            ShareCall call = next(ShareCall.class);
+            ShareCall call = nextCall(ShareCall.class);
             if (call instanceof ShareCall.Write w) {
                 write = w;
             } else {
-                ledger.onRead(call.number(), 1, held, now);
+                ledger.onRead(call.number(), 1, acquired, now);
             }
         }
-        assertEquals(held.units(SELF) - 1_000, write.shares().units(SELF));
-        assertEquals(held.pool() + 1_000, write.shares().pool());
+        assertEquals(acquired.units(SELF) - 1_000, write.shares().units(SELF));
+        assertEquals(acquired.pool() + 1_000, write.shares().pool());
     }
 
     @Test
-    void anotherEntrysUnitsAreReclaimedOnlyAfterTheListMissedItForTheWholeDelay() {
-        Shares held = hold();
+    void unitsAreReclaimedOnlyAfterTheListLackedTheirOwnerForTheWholeDelay() {
+        Shares acquired = acquireHalf();
         long missingSince = now;
         long version = 1;
-        Shares shares = held;
+        Shares shares = acquired;
         while (shares.members().containsKey(OTHER)) {
-            list("e1");
+            reportList("e1");
             ShareCall call = ledger.tick(now).orElse(null);
             if (call instanceof ShareCall.Write write) {
                 shares = write.shares();
@@ -83,21 +87,21 @@
     }
 
     @Test
-    void aLostAnswerIsNoticedWellBeforeTheTimeoutWhereAnswersAreQuick() {
-        hold();
-        ShareCall lost = next(ShareCall.class);
+    void lostAnswerIsDetectedWellBeforeTheTimeoutIfAnswersAreFast() {
+        acquireHalf();
+        ShareCall lost = nextCall(ShareCall.class);
         long lostAt = now;
-        assertTrue(next(ShareCall.class).number() > lost.number());
+        assertTrue(nextCall(ShareCall.class).number() > lost.number());
         assertTrue(now - lostAt < BOUNDS.callTimeout().toNanos() * 3 / 4);
     }
 
     @Test
-    void anAnswerThatTakesMostOfTheTimeoutCountsAfterAFewTries() {
-        list("e1", "e2");
-        long slow = BOUNDS.callTimeout().toNanos() * 9 / 10;
+    void slowAnswerIsAcceptedAfterAFewTries() {
+        reportList("e1", "e2");
+        long latency = BOUNDS.callTimeout().toNanos() * 9 / 10;
         for (int i = 0; i < 10; i++) {
-            ShareCall call = next(ShareCall.class);
-            long answeredAt = now + slow;
+            ShareCall call = nextCall(ShareCall.class);
+            long answeredAt = now + latency;
             while (now < answeredAt && ledger.tick(now).isEmpty()) {
                 now += SECOND / 100;
             }
@@ -110,25 +114,25 @@
         assertTrue(ledger.usableUnits() > 0);
     }
 
-    /** Joins beside another entry and takes half of the units. */
-    private Shares hold() {
-        list("e1", "e2");
+    /** Joins another entry that has half of the units, and acquires the other half. */
+    private Shares acquireHalf() {
+        reportList("e1", "e2");
         Shares before =
                 Shares.initial()
                         .addMember(OTHER, 1)
                         .transferFromPool(OTHER, Shares.TOTAL_UNITS / 2);
-        ledger.onRead(next(ShareCall.Read.class).number(), 0, before, now);
-        ShareCall.Write join = next(ShareCall.Write.class);
+        ledger.onRead(nextCall(ShareCall.Read.class).number(), 0, before, now);
+        ShareCall.Write join = nextCall(ShareCall.Write.class);
         ledger.onWritten(join.number(), 1, now);
         assertEquals(Shares.TOTAL_UNITS / 2, ledger.usableUnits());
         return join.shares();
     }
 
-    private void list(String... entries) {
-        ledger.onListed(Set.of(entries), now);
+    private void reportList(String... instances) {
+        ledger.onListed(Set.of(instances), now);
     }
 
-    private <T extends ShareCall> T next(Class<T> type) {
+    private <T extends ShareCall> T nextCall(Class<T> type) {
         ShareCall call = null;
         while (call == null) {
             now += SECOND / 100;
--- a/core/src/test/java/org/sardinelift/core/limit/SimulatedFleet.java
+++ b/core/src/test/java/org/sardinelift/core/limit/SimulatedFleet.java
@@ -3,12 +3,12 @@
 import java.util.function.Consumer;
 import org.sardinelift.core.catalog.TeamPlan;
 
-/** One way of limiting teams over a fleet, driven in virtual time. */
+/** A fleet under one approach to limiting teams, driven in virtual time. */
 interface SimulatedFleet {
 
-    /** A new life of an instance starts. */
+    /** Starts a new incarnation of an instance. */
     void start(String node);
 
-    /** A request reaches an instance; the answer tells whether it was admitted. */
+    /** Sends a request to an instance; the answer says whether it was admitted. */
     void request(String node, TeamPlan team, Consumer<Admission> answer);
 }
--- a/core/src/test/java/org/sardinelift/core/limit/Simulation.java
+++ b/core/src/test/java/org/sardinelift/core/limit/Simulation.java
@@ -12,19 +12,19 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** Virtual time, instances that may crash or freeze, messages with a delay, and the platform. */
+/** Simulates time, instances that may crash or freeze, messages with a delay, and the platform. */
 final class Simulation {
     static final long MS = 1_000_000;
     static final long SECOND = 1_000 * MS;
-    private static final long HOP = 1_500_000;
-    private static final long LIST_LAG = 5 * SECOND;
+    private static final long MESSAGE_DELAY = 1_500_000;
+    private static final long LIST_DELAY = 5 * SECOND;
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<String, Deque<Runnable>> frozen = new HashMap<>();
     private final Map<String, Long> frozenAt = new HashMap<>();
-    private final Set<String> up = new LinkedHashSet<>();
+    private final Set<String> runningNodes = new LinkedHashSet<>();
     private final Set<String> listed = new LinkedHashSet<>();
-    private final Set<String> cutOff = new LinkedHashSet<>();
+    private final Set<String> cutOffNodes = new LinkedHashSet<>();
     final RandomGenerator random;
     private long now;
     private long sequence;
@@ -40,19 +40,19 @@
         return now;
     }
 
-    Set<String> up() {
-        return up;
+    Set<String> runningNodes() {
+        return runningNodes;
     }
 
     Set<String> listed() {
         return Set.copyOf(listed);
     }
 
-    /** Instances that a balancer sends to, which notices a frozen one after a time. */
+    /** Instances to which a load balancer sends requests; it detects a frozen one after a delay. */
     List<String> trafficReceivers(long lag) {
-        List<String> taking = new ArrayList<>(up);
-        taking.removeIf(node -> isFrozen(node) && now - frozenAt.get(node) > lag);
-        return taking;
+        List<String> receivers = new ArrayList<>(runningNodes);
+        receivers.removeIf(node -> isFrozen(node) && now - frozenAt.get(node) > lag);
+        return receivers;
     }
 
     boolean isFrozen(String node) {
@@ -60,31 +60,31 @@
     }
 
     boolean canReachPlatform(String node) {
-        return !platformDown && !cutOff.contains(node);
+        return !platformDown && !cutOffNodes.contains(node);
     }
 
     void start(String node) {
-        up.add(node);
-        schedule(now + LIST_LAG, () -> listed.add(node));
+        runningNodes.add(node);
+        schedule(now + LIST_DELAY, () -> listed.add(node));
     }
 
     void startListed(String node) {
-        up.add(node);
+        runningNodes.add(node);
         listed.add(node);
     }
 
     void crash(String node) {
-        up.remove(node);
+        runningNodes.remove(node);
         frozen.remove(node);
-        schedule(now + LIST_LAG, () -> listed.remove(node));
+        schedule(now + LIST_DELAY, () -> listed.remove(node));
     }
 
     void restart(String node) {
-        up.add(node);
+        runningNodes.add(node);
     }
 
     void stop(String node) {
-        up.remove(node);
+        runningNodes.remove(node);
         frozen.remove(node);
     }
 
@@ -102,17 +102,17 @@
     }
 
     void unfreeze(String node) {
-        Deque<Runnable> waiting = frozen.remove(node);
-        if (waiting != null && up.contains(node)) {
-            waiting.forEach(Runnable::run);
+        Deque<Runnable> deferred = frozen.remove(node);
+        if (deferred != null && runningNodes.contains(node)) {
+            deferred.forEach(Runnable::run);
         }
     }
 
-    void cutOff(String node, boolean isCutOff) {
+    void setCutOff(String node, boolean isCutOff) {
         if (isCutOff) {
-            cutOff.add(node);
+            cutOffNodes.add(node);
         } else {
-            cutOff.remove(node);
+            cutOffNodes.remove(node);
         }
     }
 
@@ -120,28 +120,31 @@
         events.add(new Event(Math.max(now, time), sequence++, action));
     }
 
-    /** Runs an action at an instance, later if it is frozen, never if it is down. */
+    /** Runs an action at an instance: later if it is frozen, never if it is down. */
     void scheduleAtNode(long time, String node, Runnable action) {
         schedule(time, () -> runAt(node, action));
     }
 
     void sendMessage(String to, Runnable action) {
-        scheduleAtNode(now + HOP + random.nextLong(HOP / 4), to, action);
+        scheduleAtNode(now + MESSAGE_DELAY + random.nextLong(MESSAGE_DELAY / 4), to, action);
     }
 
-    /** A call of the platform: takes effect there, and its answer comes back unless it is lost. */
+    /** Calls the platform: the effect happens there, and the answer arrives unless it is lost. */
     <T> void callPlatform(
-            String from, java.util.function.Supplier<T> effect, Consumer<T> ok, Runnable failed) {
+            String from,
+            java.util.function.Supplier<T> effect,
+            Consumer<T> onAnswer,
+            Runnable onFailure) {
         if (!canReachPlatform(from)) {
-            sendMessage(from, failed);
+            sendMessage(from, onFailure);
             return;
         }
         schedule(
-                now + HOP,
+                now + MESSAGE_DELAY,
                 () -> {
                     T result = effect.get();
                     if (random.nextDouble() >= lostAnswers) {
-                        sendMessage(from, () -> ok.accept(result));
+                        sendMessage(from, () -> onAnswer.accept(result));
                     }
                 });
     }
@@ -166,10 +169,10 @@
     }
 
     private void runAt(String node, Runnable action) {
-        Deque<Runnable> waiting = frozen.get(node);
-        if (waiting != null) {
-            waiting.add(action);
-        } else if (up.contains(node)) {
+        Deque<Runnable> deferred = frozen.get(node);
+        if (deferred != null) {
+            deferred.add(action);
+        } else if (runningNodes.contains(node)) {
             action.run();
         }
     }
--- a/core/src/test/java/org/sardinelift/core/limit/StaticSplitFleet.java
+++ b/core/src/test/java/org/sardinelift/core/limit/StaticSplitFleet.java
@@ -5,13 +5,15 @@
 import java.util.function.Consumer;
 import org.sardinelift.core.catalog.TeamPlan;
 
-/** Each entry takes one part in as many as the list shows entries. */
+/**
+ * Approach in which each entry has an equal part of each limit, by the number of listed entries.
+ */
 final class StaticSplitFleet implements SimulatedFleet {
-    private final Simulation world;
+    private final Simulation simulation;
     private final Map<String, Node> nodes = new HashMap<>();
 
-    StaticSplitFleet(Simulation world) {
-        this.world = world;
+    StaticSplitFleet(Simulation simulation) {
+        this.simulation = simulation;
     }
 
     @Override
@@ -19,21 +21,24 @@
         Node node = new Node();
         nodes.put(name, node);
         readList(name, node);
-        world.scheduleEvery(name, Simulation.SECOND, () -> readList(name, node));
+        simulation.scheduleEvery(name, Simulation.SECOND, () -> readList(name, node));
     }
 
     private void readList(String name, Node node) {
-        world.callPlatform(
-                name, world::listed, list -> node.parts = Math.max(1, list.size()), () -> {});
+        simulation.callPlatform(
+                name,
+                simulation::listed,
+                list -> node.entryCount = Math.max(1, list.size()),
+                () -> {});
     }
 
     @Override
     public void request(String name, TeamPlan team, Consumer<Admission> answer) {
         Node node = nodes.get(name);
-        long now = world.now();
-        TokenBucket bucket = node.buckets.computeIfAbsent(team.name(), it -> new TokenBucket());
-        double part = node.parts == 0 ? 0 : 1.0 / node.parts;
-        bucket.refill(team.ratePerSecond() * part, team.burst() * part, now);
+        long now = simulation.now();
+        TokenBucket bucket = node.buckets.computeIfAbsent(team.name(), key -> new TokenBucket());
+        double fraction = node.entryCount == 0 ? 0 : 1.0 / node.entryCount;
+        bucket.refill(team.ratePerSecond() * fraction, team.burst() * fraction, now);
         answer.accept(
                 bucket.tryAcquire()
                         ? new Admission.Admitted()
@@ -42,6 +47,6 @@
 
     private static final class Node {
         private final Map<String, TokenBucket> buckets = new HashMap<>();
-        private int parts;
+        private int entryCount;
     }
 }
--- a/core/src/test/java/org/sardinelift/core/limit/TokenBucket.java
+++ b/core/src/test/java/org/sardinelift/core/limit/TokenBucket.java
@@ -21,8 +21,8 @@
     }
 
     boolean tryAcquire() {
-        boolean there = hasToken();
-        level -= there ? 1 : 0;
-        return there;
+        boolean isAvailable = hasToken();
+        level -= isAvailable ? 1 : 0;
+        return isAvailable;
     }
 }
--- a/core/src/test/java/org/sardinelift/core/limit/Trace.java
+++ b/core/src/test/java/org/sardinelift/core/limit/Trace.java
@@ -17,8 +17,8 @@
  */
 record Trace(String name, Map<String, TeamPlan> plans, List<Arrival> arrivals) {
     static final long LENGTH_MICROS = 60_000_000;
-    private static final double LOAD = 0.85;
-    private static final int DRAWS = 1_000;
+    private static final double LOAD_FACTOR = 0.85;
+    private static final int DRAW_BOUND = 1_000;
 
     record Arrival(long micros, String team, int draw) {}
 
@@ -30,28 +30,38 @@
         return load("strukla", 30, 15, 8, 5, 3, 2, 1, 0.5);
     }
 
-    /** Makes the arrivals anew: Poisson at part of the rate, and now and then a burst. */
+    /** Generates the arrivals: Poisson at a part of the rate, with occasional bursts. */
     String generate(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Arrival> made = new ArrayList<>();
+        List<Arrival> generated = new ArrayList<>();
         for (TeamPlan plan : plans.values()) {
             double at = 0;
             while (at < LENGTH_MICROS) {
-                at += -Math.log(1 - random.nextDouble()) / (plan.ratePerSecond() * LOAD) * 1e6;
-                made.add(new Arrival((long) at, plan.name(), random.nextInt(DRAWS)));
+                at +=
+                        -Math.log(1 - random.nextDouble())
+                                / (plan.ratePerSecond() * LOAD_FACTOR)
+                                * 1e6;
+                generated.add(new Arrival((long) at, plan.name(), random.nextInt(DRAW_BOUND)));
             }
             for (int i = 0; i < 3; i++) {
                 long start = random.nextLong(LENGTH_MICROS - 1_000_000);
                 for (int j = 0; j < plan.burst() / 2; j++) {
                     long micros = start + random.nextLong(200_000);
-                    made.add(new Arrival(micros, plan.name(), random.nextInt(DRAWS)));
+                    generated.add(new Arrival(micros, plan.name(), random.nextInt(DRAW_BOUND)));
                 }
             }
         }
-        return made.stream()
+        return generated.stream()
                 .filter(arrival -> arrival.micros() < LENGTH_MICROS)
                 .sorted(Comparator.comparingLong(Arrival::micros))
-                .map(it -> it.micros() + "," + it.team() + "," + it.draw() + "\n")
+                .map(
+                        arrival ->
+                                arrival.micros()
+                                        + ","
+                                        + arrival.team()
+                                        + ","
+                                        + arrival.draw()
+                                        + "\n")
                 .collect(Collectors.joining());
     }
 
