--- a/core/src/main/java/org/sardinelift/core/gate/EngineLoad.java
+++ b/core/src/main/java/org/sardinelift/core/gate/EngineLoad.java
@@ -1,10 +1,10 @@
 package org.sardinelift.core.gate;
 
 /**
- * A target's own, late report of its load.
+ * A target's report of its own load, which arrives with a delay.
  *
  * @param running calls that it runs
- * @param waiting calls that wait in it
+ * @param waiting calls that wait in its queue
  * @param slots calls that it can run at once
  * @param lagMs age of these figures, milliseconds
  */
--- a/core/src/main/java/org/sardinelift/core/gate/FairQueue.java
+++ b/core/src/main/java/org/sardinelift/core/gate/FairQueue.java
@@ -11,17 +11,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Waiting calls, served by start-time fair queueing over teams: a team is charged for the slot time
- * that its calls are expected to take, and the charge is corrected once they have ended.
+ * Queue of waiting calls, served by start-time fair queueing between teams. A team is charged for
+ * the expected slot time of its calls, and the charge is corrected once they have ended.
  */
 final class FairQueue {
-    private static final double NEWEST_SHARE = 0.2;
-    private static final double FIRST_COST_MS = 1_000;
-    private static final double LEAST_COST_MS = 1;
+    private static final double NEWEST_COST_WEIGHT = 0.2;
+    private static final double INITIAL_COST_MS = 1_000;
+    private static final double MIN_COST_MS = 1;
 
     private final Map<String, Team> teams = new TreeMap<>();
     private double virtualTime;
-    private double usualCostMs = FIRST_COST_MS;
+    private double averageCostMs = INITIAL_COST_MS;
     private int size;
 
     int size() {
@@ -33,18 +33,18 @@
         size++;
     }
 
-    /** Puts a call that was cut ahead of its team's others. */
+    /** Adds a preempted call ahead of the other calls of its team. */
     void addFirst(GateCall call) {
         team(call).waiting.addFirst(call);
         size++;
     }
 
-    /** The call to start next among those allowed; it is charged to its team. */
+    /** Removes and returns the next of the allowed calls, and charges it to its team. */
     Optional<ChargedCall> poll(Predicate<GateCall> allowed) {
         Team best = null;
         GateCall call = null;
         for (Team team : teams.values()) {
-            if (best == null || team.tag < best.tag) {
+            if (best == null || team.startTag < best.startTag) {
                 GateCall first = team.first(allowed);
                 if (first != null) {
                     best = team;
@@ -57,30 +57,33 @@
         }
         best.waiting.remove(call);
         size--;
-        virtualTime = Math.max(virtualTime, best.tag);
+        virtualTime = Math.max(virtualTime, best.startTag);
         double cost = best.expectedCostMs;
-        best.tag += cost / call.weight();
-        best.unsettled += cost / call.weight();
+        best.startTag += cost / call.weight();
+        best.uncorrectedCharge += cost / call.weight();
         best.running++;
         return Optional.of(new ChargedCall(call, cost));
     }
 
-    /** Corrects the charge of a call that has given its slot back. */
+    /** Corrects the charge of a call that has released its slot. */
     void correctCharge(ChargedCall charged, double actualMs) {
         Team team = teams.get(charged.call().team());
         if (team == null) {
             return;
         }
-        double cost = Math.max(LEAST_COST_MS, actualMs);
-        team.tag += (cost - charged.costMs()) / charged.call().weight();
-        team.expectedCostMs += NEWEST_SHARE * (cost - team.expectedCostMs);
-        team.unsettled -= charged.costMs() / charged.call().weight();
-        usualCostMs += NEWEST_SHARE * (cost - usualCostMs);
+        double cost = Math.max(MIN_COST_MS, actualMs);
+        team.startTag += (cost - charged.costMs()) / charged.call().weight();
+        team.expectedCostMs += NEWEST_COST_WEIGHT * (cost - team.expectedCostMs);
+        team.uncorrectedCharge -= charged.costMs() / charged.call().weight();
+        averageCostMs += NEWEST_COST_WEIGHT * (cost - averageCostMs);
         team.running--;
-        forgetIdle();
+        removeIdleTeams();
     }
 
-    /** Takes the newest call of the team that has most waiting for its weight. */
+    /**
+     * Removes and returns the newest call of the team with the most waiting calls relative to its
+     * weight.
+     */
     Optional<GateCall> removeFromLongest() {
         return teams.values().stream()
                 .filter(team -> !team.waiting.isEmpty())
@@ -96,17 +99,17 @@
         return removeAll(call -> call.id().equals(id), call -> {});
     }
 
-    /** Takes out all calls that fit; returns the last of them. */
-    Optional<GateCall> removeAll(Predicate<GateCall> fits, Consumer<GateCall> removed) {
+    /** Removes all matching calls and returns the last of them. */
+    Optional<GateCall> removeAll(Predicate<GateCall> matches, Consumer<GateCall> onRemoved) {
         GateCall last = null;
         for (Team team : teams.values()) {
             for (Iterator<GateCall> calls = team.waiting.iterator(); calls.hasNext(); ) {
                 GateCall call = calls.next();
-                if (fits.test(call)) {
+                if (matches.test(call)) {
                     calls.remove();
                     size--;
                     last = call;
-                    removed.accept(call);
+                    onRemoved.accept(call);
                 }
             }
         }
@@ -114,30 +117,33 @@
     }
 
     private Team team(GateCall call) {
-        Team team = teams.computeIfAbsent(call.team(), name -> new Team(usualCostMs));
+        Team team = teams.computeIfAbsent(call.team(), name -> new Team(averageCostMs));
         if (team.waiting.isEmpty()) {
-            team.tag = Math.max(team.tag, leastSettledTag());
+            team.startTag = Math.max(team.startTag, minCorrectedTag());
         }
         team.weight = call.weight();
         return team;
     }
 
-    /** A team that comes back starts level with those that wait: it saves nothing up. */
-    private double leastSettledTag() {
+    /**
+     * Start tag of a team that had no waiting calls: that of the teams that wait, so that idle time
+     * earns no credit.
+     */
+    private double minCorrectedTag() {
         return teams.values().stream()
                 .filter(team -> !team.waiting.isEmpty())
-                .mapToDouble(team -> team.tag - team.unsettled)
+                .mapToDouble(team -> team.startTag - team.uncorrectedCharge)
                 .min()
                 .orElse(virtualTime);
     }
 
-    private void forgetIdle() {
+    private void removeIdleTeams() {
         teams.values()
                 .removeIf(
                         team ->
                                 team.waiting.isEmpty()
                                         && team.running == 0
-                                        && team.tag <= virtualTime);
+                                        && team.startTag <= virtualTime);
     }
 
     /**
@@ -150,8 +156,8 @@
 
     private static final class Team {
         private final ArrayDeque<GateCall> waiting = new ArrayDeque<>();
-        private double tag;
-        private double unsettled;
+        private double startTag;
+        private double uncorrectedCharge;
         private double expectedCostMs;
         private int weight = 1;
         private int running;
--- a/core/src/main/java/org/sardinelift/core/gate/ForeignLoad.java
+++ b/core/src/main/java/org/sardinelift/core/gate/ForeignLoad.java
@@ -3,14 +3,14 @@
 import java.util.ArrayDeque;
 
 /**
- * Load on the target that is not ours: what a late report shows beyond the calls that ran here at
- * the time it speaks of.
+ * Load on a target from other sources than this gate: what a late report shows beyond the calls
+ * that this gate ran at the time the report refers to.
  */
 final class ForeignLoad {
     private final long slackMs;
     private final long ttlMs;
-    private final long keepMs;
-    private final ArrayDeque<Sample> own = new ArrayDeque<>();
+    private final long retentionMs;
+    private final ArrayDeque<Sample> ownCounts = new ArrayDeque<>();
     private int foreign;
     private long reportedAtMs;
 
@@ -19,20 +19,20 @@
     ForeignLoad(long slackMs, long ttlMs) {
         this.slackMs = slackMs;
         this.ttlMs = ttlMs;
-        this.keepMs = ttlMs + 2 * slackMs;
+        this.retentionMs = ttlMs + 2 * slackMs;
     }
 
     void recordOwnCalls(long nowMs, int running) {
-        own.addLast(new Sample(nowMs, running));
-        while (own.size() > 1 && secondTime() < nowMs - keepMs) {
-            own.removeFirst();
+        ownCounts.addLast(new Sample(nowMs, running));
+        while (ownCounts.size() > 1 && secondSampleMs() < nowMs - retentionMs) {
+            ownCounts.removeFirst();
         }
     }
 
     void onReport(long nowMs, EngineLoad load) {
-        long spokenOfMs = nowMs - load.lagMs();
-        int ours = peakOwn(spokenOfMs - slackMs, spokenOfMs + slackMs);
-        foreign = Math.max(0, load.running() + load.waiting() - ours);
+        long measuredAtMs = nowMs - load.lagMs();
+        int ownAtThatTime = maxOwnCount(measuredAtMs - slackMs, measuredAtMs + slackMs);
+        foreign = Math.max(0, load.running() + load.waiting() - ownAtThatTime);
         reportedAtMs = nowMs;
     }
 
@@ -40,20 +40,20 @@
         return nowMs - reportedAtMs > ttlMs ? 0 : foreign;
     }
 
-    private int peakOwn(long fromMs, long toMs) {
-        int peak = 0;
-        int before = 0;
-        for (Sample sample : own) {
+    private int maxOwnCount(long fromMs, long toMs) {
+        int max = 0;
+        int countBefore = 0;
+        for (Sample sample : ownCounts) {
             if (sample.timeMs() <= fromMs) {
-                before = sample.count();
+                countBefore = sample.count();
             } else if (sample.timeMs() <= toMs) {
-                peak = Math.max(peak, sample.count());
+                max = Math.max(max, sample.count());
             }
         }
-        return Math.max(peak, before);
+        return Math.max(max, countBefore);
     }
 
-    private long secondTime() {
-        return own.stream().skip(1).findFirst().orElseThrow().timeMs();
+    private long secondSampleMs() {
+        return ownCounts.stream().skip(1).findFirst().orElseThrow().timeMs();
     }
 }
--- a/core/src/main/java/org/sardinelift/core/gate/GateAction.java
+++ b/core/src/main/java/org/sardinelift/core/gate/GateAction.java
@@ -1,36 +1,39 @@
 package org.sardinelift.core.gate;
 
-/** What the driver of a gate must do, in order. */
+/**
+ * An action that the caller of a {@link SlotGate} must perform; several are performed in the given
+ * order.
+ */
 public sealed interface GateAction {
 
     /**
-     * The call that is meant.
+     * Returns the call to which the action applies.
      *
-     * @return its id
+     * @return id of the call
      */
     String id();
 
     /**
-     * Start the call at the target, or go on with it where it was cut.
+     * Start the call at the target, or resume it where it was interrupted.
      *
      * @param id the call
      */
     record Run(String id) implements GateAction {}
 
     /**
-     * Cut the call at the target; its slot is taken already.
+     * Interrupt the call at the target; its slot has already been released.
      *
      * @param id the call
-     * @param isRequeued whether it waits for a slot again; if not, the gate has forgotten it
+     * @param isRequeued whether it waits for a slot again; if not, the gate no longer knows it
      */
     record Preempt(String id, boolean isRequeued) implements GateAction {}
 
     /**
-     * End the call; the gate has forgotten it.
+     * End the call; the gate no longer knows it.
      *
      * @param id the call
-     * @param reason why
-     * @param hadSlot whether it had a slot before and was cut
+     * @param reason reason of the refusal
+     * @param hadSlot whether it had a slot before and was preempted
      */
     record Refuse(String id, GateRefusal reason, boolean hadSlot) implements GateAction {}
 }
--- a/core/src/main/java/org/sardinelift/core/gate/GateCall.java
+++ b/core/src/main/java/org/sardinelift/core/gate/GateCall.java
@@ -6,9 +6,9 @@
  * @param id unique among the calls of one gate
  * @param team team that it runs for
  * @param weight the team's weight, at least 1
- * @param batch whether it gives way to online calls
- * @param deadlineMs gate time at which it must not be started any more, milliseconds
- * @param resumable whether the target can go on with it after it was cut
+ * @param isBatch whether it is a batch call, which online calls may preempt
+ * @param deadlineMs gate time from which it must not be started, milliseconds
+ * @param isResumable whether the target can resume it after a preemption
  * @param isSuspect whether it may crash the target
  */
 public record GateCall(
@@ -20,10 +20,8 @@
         boolean isResumable,
         boolean isSuspect) {
 
-    /**
-     * The same call, not to be started from a time on, or from its deadline on if that is first.
-     */
-    GateCall startBefore(long timeMs) {
+    /** Returns the same call with its deadline limited to a time. */
+    GateCall withDeadlineAtMost(long timeMs) {
         return new GateCall(
                 id, team, weight, isBatch, Math.min(deadlineMs, timeMs), isResumable, isSuspect);
     }
--- a/core/src/main/java/org/sardinelift/core/gate/GateRefusal.java
+++ b/core/src/main/java/org/sardinelift/core/gate/GateRefusal.java
@@ -1,12 +1,12 @@
 package org.sardinelift.core.gate;
 
-/** Why a call that waited, or asked to wait, does not get a slot. */
+/** Reason for which a call that waited, or was to wait, does not get a slot. */
 public enum GateRefusal {
-    /** Too many calls wait. */
+    /** Too many calls are waiting. */
     QUEUE_FULL,
     /** Its deadline passed before a slot was free. */
     DEADLINE_EXCEEDED,
-    /** It was cut for an online call and no slot was free again in time. */
+    /** It was preempted by an online call and no slot became free in time. */
     PREEMPTED,
     /** The target is leaving. */
     TARGET_LEAVING,
--- a/core/src/main/java/org/sardinelift/core/gate/GateSettings.java
+++ b/core/src/main/java/org/sardinelift/core/gate/GateSettings.java
@@ -1,19 +1,19 @@
 package org.sardinelift.core.gate;
 
 /**
- * Bounds of a gate.
+ * Settings of a {@link SlotGate}.
  *
- * @param isEnabled whether the gate holds calls back; if not, each starts as it comes
+ * @param isEnabled whether the gate makes calls wait for slots; if not, each call starts at once
  * @param slots calls that the target runs at once
  * @param maxOnlineQueue online calls that may wait
  * @param maxBatchQueue batch calls that may wait
- * @param batchAhead batch calls asked for beyond the free slots, so that no slot stands empty until
- *     the next one has come
- * @param minReserve free slots that batch calls always leave
- * @param maxReserve free slots that batch calls leave at most
- * @param reserveHalfLifeMs time in which a past online peak counts half, milliseconds
- * @param resumeWaitMs longest time that a preempted call waits for a slot again, milliseconds
- * @param reportSlackMs how far the time of a load report may be off, milliseconds
+ * @param batchAhead batch calls requested beyond the free slots, so that no slot is empty until the
+ *     next call arrives
+ * @param minReserve minimum number of slots that batch calls leave free
+ * @param maxReserve maximum number of slots that batch calls leave free
+ * @param reserveHalfLifeMs time in which the reserve for a past online peak halves, milliseconds
+ * @param resumeWaitMs longest time for which a preempted call waits for a slot, milliseconds
+ * @param reportSlackMs largest error of the time to which a load report refers, milliseconds
  * @param reportTtlMs age past which a load report is ignored, milliseconds
  */
 public record GateSettings(
@@ -32,17 +32,17 @@
     private static final int DEFAULT_BATCH_QUEUE = 64;
     private static final int DEFAULT_MIN_RESERVE = 0;
     private static final int SLOTS_PER_RESERVED_SLOT = 8;
-    private static final int SLOTS_PER_CALL_AHEAD = 4;
+    private static final int SLOTS_PER_BATCH_CALL_AHEAD = 4;
     private static final long DEFAULT_RESERVE_HALF_LIFE_MS = 2_000;
     private static final long DEFAULT_RESUME_WAIT_MS = 60_000;
     private static final long DEFAULT_REPORT_SLACK_MS = 250;
     private static final long DEFAULT_REPORT_TTL_MS = 5_000;
 
     /**
-     * Bounds that suit a model engine.
+     * Returns the defaults, which suit a model engine.
      *
      * @param slots calls that the target runs at once
-     * @return the default bounds
+     * @return default settings
      */
     public static GateSettings defaults(int slots) {
         return new GateSettings(
@@ -50,7 +50,7 @@
                 slots,
                 DEFAULT_ONLINE_QUEUE,
                 DEFAULT_BATCH_QUEUE,
-                Math.max(1, slots / SLOTS_PER_CALL_AHEAD),
+                Math.max(1, slots / SLOTS_PER_BATCH_CALL_AHEAD),
                 DEFAULT_MIN_RESERVE,
                 Math.max(1, slots / SLOTS_PER_RESERVED_SLOT),
                 DEFAULT_RESERVE_HALF_LIFE_MS,
--- a/core/src/main/java/org/sardinelift/core/gate/ReportPacer.java
+++ b/core/src/main/java/org/sardinelift/core/gate/ReportPacer.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * When a companion tells entries its load: a change at once, but no two reports of changes closer
- * together than an interval, and without a change only a slow refresh. Times are nanoseconds of a
- * monotonic clock. Not safe for use by several threads.
+ * Decides when a companion reports its load to the entries: a change at once, but with a minimum
+ * interval between two reports of changes, and an unchanged load at a longer refresh interval.
+ * Times are nanoseconds of a monotonic clock. Not safe for use by several threads.
  */
 public final class ReportPacer {
     private final long intervalNanos;
     private final long refreshNanos;
-    private boolean changed;
+    private boolean hasChanged;
     private long lastNanos;
 
     private ReportPacer(Duration interval, Duration refresh, long nowNanos) {
@@ -20,40 +20,40 @@
     }
 
     /**
-     * A pace that lets the first change be told at once.
+     * Creates a pacer that lets the first change be reported at once.
      *
      * @param interval shortest time between two reports of changes
-     * @param refresh time after which an unchanged load is told again
+     * @param refresh time after which an unchanged load is reported again
      * @param nowNanos time now
-     * @return the pace
+     * @return the pacer
      */
     public static ReportPacer of(Duration interval, Duration refresh, long nowNanos) {
         return new ReportPacer(interval, refresh, nowNanos);
     }
 
-    /** The load has changed since the last report. */
+    /** Records that the load has changed since the last report. */
     public void onChange() {
-        changed = true;
+        hasChanged = true;
     }
 
     /**
-     * A report was sent.
+     * Records that a report was sent.
      *
      * @param nowNanos time now
      */
     public void onReportSent(long nowNanos) {
-        changed = false;
+        hasChanged = false;
         lastNanos = nowNanos;
     }
 
     /**
-     * When the next report is due.
+     * Returns the time until the next report is due.
      *
      * @param nowNanos time now
-     * @return time from now, in nanoseconds; 0 where it is due
+     * @return nanoseconds, 0 if it is due
      */
     public long nanosUntilDue(long nowNanos) {
-        long pause = changed ? intervalNanos : refreshNanos;
+        long pause = hasChanged ? intervalNanos : refreshNanos;
         return Math.max(0, lastNanos + pause - nowNanos);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/gate/SlotGate.java
+++ b/core/src/main/java/org/sardinelift/core/gate/SlotGate.java
@@ -10,34 +10,35 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides which calls run on a target. Online calls start at once while slots are free and take
- * them from batch calls where none is. Batch calls take what online calls leave, less a reserve
- * that follows recent online peaks. Own counts decide; the target's late reports only add load that
- * is not ours. Teams share by weight, online and batch each. Not safe for use by several threads.
+ * Decides which calls run on a target. Online calls start at once while slots are free, and
+ * otherwise preempt batch calls. Batch calls get the slots that online calls leave, less a reserve
+ * that follows recent online peaks. Decisions are based on the gate's own counts; the target's late
+ * reports only add load from other sources. Slot time is divided between teams by weight,
+ * separately for online and batch calls. Not safe for use by several threads.
  */
 public final class SlotGate {
     private final GateSettings settings;
     private final FairQueue online = new FairQueue();
     private final FairQueue batch = new FairQueue();
     private final Map<String, Running> running = new LinkedHashMap<>();
-    private final Map<String, GateCall> cut = new HashMap<>();
+    private final Map<String, GateCall> preemptedCalls = new HashMap<>();
     private final OnlinePeak peak;
-    private final ForeignLoad foreign;
+    private final ForeignLoad foreignLoad;
     private int slots;
     private int onlineRunning;
-    private @Nullable GateRefusal closedFor;
+    private @Nullable GateRefusal closeReason;
 
     private SlotGate(GateSettings settings) {
         this.settings = settings;
         this.slots = settings.slots();
         this.peak = new OnlinePeak(settings.reserveHalfLifeMs());
-        this.foreign = new ForeignLoad(settings.reportSlackMs(), settings.reportTtlMs());
+        this.foreignLoad = new ForeignLoad(settings.reportSlackMs(), settings.reportTtlMs());
     }
 
     /**
-     * Makes an open gate.
+     * Creates an open gate.
      *
-     * @param settings bounds
+     * @param settings settings of the gate
      * @return a gate without calls
      */
     public static SlotGate create(GateSettings settings) {
@@ -45,16 +46,16 @@
     }
 
     /**
-     * A call asks for a slot.
+     * Submits a call that needs a slot.
      *
      * @param nowMs gate time, milliseconds
      * @param call the call
-     * @return what to do
+     * @return actions to perform
      */
     public List<GateAction> submit(long nowMs, GateCall call) {
         List<GateAction> actions = new ArrayList<>();
-        if (closedFor != null) {
-            actions.add(new GateAction.Refuse(call.id(), closedFor, false));
+        if (closeReason != null) {
+            actions.add(new GateAction.Refuse(call.id(), closeReason, false));
             return actions;
         }
         if (!settings.isEnabled()) {
@@ -63,36 +64,38 @@
         }
         queue(call).add(call);
         schedule(nowMs, actions);
-        boundQueue(online, settings.maxOnlineQueue(), actions);
-        boundQueue(batch, settings.maxBatchQueue(), actions);
+        limitQueue(online, settings.maxOnlineQueue(), actions);
+        limitQueue(batch, settings.maxBatchQueue(), actions);
         return actions;
     }
 
     /**
-     * A call has ended, or nobody wants it any more; it gives its slot or its place back.
+     * Releases the slot of a call that has ended, or removes a waiting call that is no longer
+     * wanted.
      *
      * @param nowMs gate time, milliseconds
      * @param id the call; unknown ones are ignored
-     * @return what to do
+     * @return actions to perform
      */
     public List<GateAction> release(long nowMs, String id) {
         List<GateAction> actions = new ArrayList<>();
         Running ended = running.get(id);
         if (ended != null) {
-            giveBack(nowMs, ended);
+            releaseSlot(nowMs, ended);
         } else {
             online.remove(id).or(() -> batch.remove(id));
-            cut.remove(id);
+            preemptedCalls.remove(id);
         }
         schedule(nowMs, actions);
         return actions;
     }
 
     /**
-     * Time has passed: calls past their deadline are refused, the reserve shrinks.
+     * Handles the passing of time: refuses calls past their deadline, and starts batch calls as the
+     * reserve shrinks.
      *
      * @param nowMs gate time, milliseconds
-     * @return what to do
+     * @return actions to perform
      */
     public List<GateAction> tick(long nowMs) {
         List<GateAction> actions = new ArrayList<>();
@@ -103,14 +106,14 @@
     }
 
     /**
-     * The target has reported its load.
+     * Handles a load report of the target.
      *
      * @param nowMs gate time, milliseconds
      * @param load the report
-     * @return what to do
+     * @return actions to perform
      */
     public List<GateAction> onLoadReport(long nowMs, EngineLoad load) {
-        foreign.onReport(nowMs, load);
+        foreignLoad.onReport(nowMs, load);
         if (load.slots() > 0) {
             slots = load.slots();
         }
@@ -118,7 +121,7 @@
     }
 
     /**
-     * Notes how far a running call has come; one that has done less is cut first.
+     * Records the progress of a running call; calls with less progress are preempted first.
      *
      * @param id the call
      * @param bytes bytes of its answer so far
@@ -131,26 +134,26 @@
     }
 
     /**
-     * Starts no call any more; those that wait are refused.
+     * Closes the gate: starts no more calls, and refuses those that wait.
      *
-     * @param reason why
-     * @return what to do
+     * @param reason reason of the refusals
+     * @return actions to perform
      */
     public List<GateAction> close(GateRefusal reason) {
         List<GateAction> actions = new ArrayList<>();
-        closedFor = reason;
+        closeReason = reason;
         online.removeAll(call -> true, call -> refuse(call, reason, actions));
         batch.removeAll(call -> true, call -> refuse(call, reason, actions));
         return actions;
     }
 
-    /** Starts calls again. */
+    /** Opens the gate again. */
     public void open() {
-        closedFor = null;
+        closeReason = null;
     }
 
     /**
-     * Slots of the target.
+     * Returns the number of slots of the target.
      *
      * @return calls that it runs at once
      */
@@ -159,49 +162,50 @@
     }
 
     /**
-     * Online calls that have a slot.
+     * Returns the number of online calls that have a slot.
      *
-     * @return their number
+     * @return number of calls
      */
     public int onlineRunning() {
         return onlineRunning;
     }
 
     /**
-     * Batch calls that have a slot.
+     * Returns the number of batch calls that have a slot.
      *
-     * @return their number
+     * @return number of calls
      */
     public int batchRunning() {
         return running.size() - onlineRunning;
     }
 
     /**
-     * Online calls that wait.
+     * Returns the number of waiting online calls.
      *
-     * @return their number
+     * @return number of calls
      */
     public int onlineQueued() {
         return online.size();
     }
 
     /**
-     * Batch calls that wait.
+     * Returns the number of waiting batch calls.
      *
-     * @return their number
+     * @return number of calls
      */
     public int batchQueued() {
         return batch.size();
     }
 
     /**
-     * Batch calls that are wanted: those that would start at once and some that wait ahead.
+     * Returns the number of batch calls that can be submitted now: those that would start at once,
+     * and some that wait ahead.
      *
      * @param nowMs gate time, milliseconds
-     * @return their number
+     * @return number of calls
      */
     public int batchFree(long nowMs) {
-        if (closedFor != null || online.size() > 0) {
+        if (closeReason != null || online.size() > 0) {
             return 0;
         }
         int limit = batchLimit(nowMs);
@@ -210,14 +214,14 @@
     }
 
     private void schedule(long nowMs, List<GateAction> actions) {
-        if (closedFor != null || !settings.isEnabled()) {
+        if (closeReason != null || !settings.isEnabled()) {
             return;
         }
         while (running.size() > slots && batchRunning() > 0) {
             preempt(nowMs, actions);
         }
         while (running.size() < slots || batchRunning() > 0) {
-            Optional<FairQueue.ChargedCall> next = online.poll(call -> startable(nowMs, call));
+            Optional<FairQueue.ChargedCall> next = online.poll(call -> canStart(nowMs, call));
             if (next.isEmpty()) {
                 break;
             }
@@ -227,7 +231,7 @@
             run(nowMs, next.get().call(), next.get().costMs(), actions);
         }
         while (running.size() < slots && batchRunning() < batchLimit(nowMs)) {
-            Optional<FairQueue.ChargedCall> next = batch.poll(call -> startable(nowMs, call));
+            Optional<FairQueue.ChargedCall> next = batch.poll(call -> canStart(nowMs, call));
             if (next.isEmpty()) {
                 break;
             }
@@ -238,21 +242,21 @@
     private int batchLimit(long nowMs) {
         int wanted = peak.slotsToReserve(nowMs, onlineRunning);
         int reserve = Math.max(settings.minReserve(), Math.min(settings.maxReserve(), wanted));
-        int left = slots - onlineRunning - foreign.count(nowMs);
+        int left = slots - onlineRunning - foreignLoad.count(nowMs);
         return left - Math.min(reserve, slots - 1);
     }
 
-    private boolean startable(long nowMs, GateCall call) {
-        return nowMs < call.deadlineMs() && !(call.isSuspect() && suspectRuns());
+    private boolean canStart(long nowMs, GateCall call) {
+        return nowMs < call.deadlineMs() && !(call.isSuspect() && isSuspectRunning());
     }
 
-    private boolean suspectRuns() {
+    private boolean isSuspectRunning() {
         return running.values().stream().anyMatch(other -> other.charged.call().isSuspect());
     }
 
     private void run(long nowMs, GateCall waiting, double costMs, List<GateAction> actions) {
-        GateCall whole = cut.remove(waiting.id());
-        GateCall call = whole == null ? waiting : whole;
+        GateCall original = preemptedCalls.remove(waiting.id());
+        GateCall call = original == null ? waiting : original;
         running.put(call.id(), new Running(new FairQueue.ChargedCall(call, costMs), nowMs));
         if (!call.isBatch()) {
             onlineRunning++;
@@ -267,30 +271,30 @@
                         .filter(call -> call.charged.call().isBatch())
                         .min(Running.LEAST_WORK_LOST)
                         .orElseThrow();
-        giveBack(nowMs, victim);
+        releaseSlot(nowMs, victim);
         GateCall call = victim.charged.call();
         if (call.isResumable()) {
-            cut.put(call.id(), call);
-            batch.addFirst(call.startBefore(nowMs + settings.resumeWaitMs()));
+            preemptedCalls.put(call.id(), call);
+            batch.addFirst(call.withDeadlineAtMost(nowMs + settings.resumeWaitMs()));
         }
         actions.add(new GateAction.Preempt(call.id(), call.isResumable()));
     }
 
-    private void giveBack(long nowMs, Running ended) {
+    private void releaseSlot(long nowMs, Running ended) {
         GateCall call = ended.charged.call();
         running.remove(call.id());
         if (!call.isBatch()) {
             onlineRunning--;
         }
         if (settings.isEnabled()) {
-            queue(call).correctCharge(ended.charged, nowMs - ended.sinceMs);
+            queue(call).correctCharge(ended.charged, nowMs - ended.startedMs);
         }
         recordCounts(nowMs);
     }
 
     private void recordCounts(long nowMs) {
         peak.record(nowMs, onlineRunning);
-        foreign.recordOwnCalls(nowMs, running.size());
+        foreignLoad.recordOwnCalls(nowMs, running.size());
     }
 
     private void expire(long nowMs, FairQueue queue, List<GateAction> actions) {
@@ -299,7 +303,7 @@
                 call -> refuse(call, GateRefusal.DEADLINE_EXCEEDED, actions));
     }
 
-    private void boundQueue(FairQueue queue, int bound, List<GateAction> actions) {
+    private void limitQueue(FairQueue queue, int bound, List<GateAction> actions) {
         while (queue.size() > bound) {
             queue.removeFromLongest()
                     .ifPresent(call -> refuse(call, GateRefusal.QUEUE_FULL, actions));
@@ -307,13 +311,13 @@
     }
 
     private void refuse(GateCall call, GateRefusal reason, List<GateAction> actions) {
-        GateCall whole = cut.remove(call.id());
-        boolean waitedTooLong =
-                whole != null
+        GateCall original = preemptedCalls.remove(call.id());
+        boolean hasResumeTimedOut =
+                original != null
                         && reason == GateRefusal.DEADLINE_EXCEEDED
-                        && call.deadlineMs() < whole.deadlineMs();
-        GateRefusal shown = waitedTooLong ? GateRefusal.PREEMPTED : reason;
-        actions.add(new GateAction.Refuse(call.id(), shown, whole != null));
+                        && call.deadlineMs() < original.deadlineMs();
+        GateRefusal reportedReason = hasResumeTimedOut ? GateRefusal.PREEMPTED : reason;
+        actions.add(new GateAction.Refuse(call.id(), reportedReason, original != null));
     }
 
     private FairQueue queue(GateCall call) {
@@ -324,15 +328,15 @@
         static final Comparator<Running> LEAST_WORK_LOST =
                 Comparator.comparing((Running call) -> !call.charged.call().isResumable())
                         .thenComparingLong(call -> call.bytes)
-                        .thenComparingLong(call -> -call.sinceMs);
+                        .thenComparingLong(call -> -call.startedMs);
 
         private final FairQueue.ChargedCall charged;
-        private final long sinceMs;
+        private final long startedMs;
         private long bytes;
 
-        Running(FairQueue.ChargedCall charged, long sinceMs) {
+        Running(FairQueue.ChargedCall charged, long startedMs) {
             this.charged = charged;
-            this.sinceMs = sinceMs;
+            this.startedMs = startedMs;
         }
     }
 }
--- a/core/src/main/java/org/sardinelift/core/gate/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/gate/package-info.java
@@ -1,4 +1,6 @@
-/** Which calls run on a target now: online at once, batch on what is left. */
+/**
+ * Decides which calls run on a target: online calls at once, batch calls on the remaining slots.
+ */
 @NullMarked
 package org.sardinelift.core.gate;
 
--- a/core/src/test/java/org/sardinelift/core/gate/GateModel.java
+++ b/core/src/test/java/org/sardinelift/core/gate/GateModel.java
@@ -12,17 +12,17 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** A driver that does what a gate says and checks it against the calls' own records. */
+/** Performs the actions of a gate and checks them against its own record of the calls. */
 final class GateModel {
     final SlotGate gate;
     final Map<String, GateCall> running = new LinkedHashMap<>();
     final Map<String, GateCall> waiting = new LinkedHashMap<>();
-    final List<GateAction> log = new ArrayList<>();
+    final List<GateAction> performed = new ArrayList<>();
     private final Map<String, GateCall> all = new LinkedHashMap<>();
     private final int slots;
     long nowMs;
-    int submitted;
-    int ended;
+    int submittedCount;
+    int endedCount;
 
     GateModel(GateSettings settings) {
         gate = SlotGate.create(settings);
@@ -30,7 +30,7 @@
     }
 
     void submit(GateCall call) {
-        submitted++;
+        submittedCount++;
         all.put(call.id(), call);
         waiting.put(call.id(), call);
         apply(gate.submit(nowMs, call));
@@ -38,7 +38,7 @@
 
     void release(String id) {
         if (running.remove(id) != null || waiting.remove(id) != null) {
-            ended++;
+            endedCount++;
         }
         apply(gate.release(nowMs, id));
     }
@@ -59,7 +59,7 @@
     }
 
     private void apply(List<GateAction> actions) {
-        log.addAll(actions);
+        performed.addAll(actions);
         for (GateAction action : actions) {
             if (action instanceof GateAction.Run run) {
                 GateCall call = waiting.remove(run.id());
@@ -68,38 +68,39 @@
                 running.put(call.id(), call);
             } else if (action instanceof GateAction.Preempt preempt) {
                 GateCall call = running.remove(preempt.id());
-                assertNotNull(call, preempt.id() + " is cut but did not run");
-                assertTrue(call.isBatch(), "an online call is cut");
+                assertNotNull(call, preempt.id() + " is preempted but did not run");
+                assertTrue(call.isBatch(), "an online call is preempted");
                 if (preempt.isRequeued()) {
                     waiting.put(call.id(), call);
                 } else {
-                    ended++;
+                    endedCount++;
                 }
             } else {
                 assertNotNull(waiting.remove(action.id()), action.id() + " is refused twice");
-                ended++;
+                endedCount++;
             }
         }
         check();
     }
 
     private void check() {
-        long batches = running.values().stream().filter(GateCall::isBatch).count();
+        long batchCount = running.values().stream().filter(GateCall::isBatch).count();
         assertTrue(running.size() <= slots, "more calls run than there are slots");
-        assertEquals(batches, gate.batchRunning());
-        assertEquals(running.size() - batches, gate.onlineRunning());
+        assertEquals(batchCount, gate.batchRunning());
+        assertEquals(running.size() - batchCount, gate.onlineRunning());
         assertEquals(waiting.size(), gate.onlineQueued() + gate.batchQueued());
-        assertEquals(submitted, ended + running.size() + waiting.size(), "a call was lost");
-        long suspects = running.values().stream().filter(GateCall::isSuspect).count();
-        assertTrue(suspects <= 1, "two suspects run at once");
-        boolean onlineHeldBack =
+        assertEquals(
+                submittedCount, endedCount + running.size() + waiting.size(), "a call was lost");
+        long suspectCount = running.values().stream().filter(GateCall::isSuspect).count();
+        assertTrue(suspectCount <= 1, "two suspects run at once");
+        boolean isOnlineWaiting =
                 waiting.values().stream()
                         .anyMatch(
                                 call ->
                                         !call.isBatch()
                                                 && nowMs < call.deadlineMs()
-                                                && (!call.isSuspect() || suspects == 0));
-        assertFalse(onlineHeldBack && batches > 0, "an online call waits behind batch");
-        assertFalse(onlineHeldBack && running.size() < slots, "a slot stays free");
+                                                && (!call.isSuspect() || suspectCount == 0));
+        assertFalse(isOnlineWaiting && batchCount > 0, "an online call waits behind batch");
+        assertFalse(isOnlineWaiting && running.size() < slots, "a slot stays free");
     }
 }
--- a/core/src/test/java/org/sardinelift/core/gate/SlotGatePropertiesTest.java
+++ b/core/src/test/java/org/sardinelift/core/gate/SlotGatePropertiesTest.java
@@ -11,6 +11,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
+/**
+ * Guards against lost calls, free slots or delayed online calls in any order of events, and against
+ * a team that gets slots or queue places beyond its weight.
+ */
 class SlotGatePropertiesTest {
 
     @Property(seed = "20417", tries = 300)
@@ -46,7 +50,7 @@
             model.pickRandom(model.running, random).ifPresent(model::release);
             model.advanceTime(50);
         }
-        assertEquals(model.submitted, model.ended);
+        assertEquals(model.submittedCount, model.endedCount);
     }
 
     private static GateCall call(Random random, String id, long nowMs) {
@@ -72,11 +76,13 @@
                         new GateSettings(true, slots, 400, 400, 0, 0, 0, 500, 1_000, 50, 1_000));
         Map<String, Integer> weights = Map.of("heavy", heavyWeight, "light", 1, "long", 1);
         Map<String, Long> endsAt = new HashMap<>();
-        Map<String, Double> used = new HashMap<>();
+        Map<String, Double> slotTimeByWeight = new HashMap<>();
         int next = 0;
         while (model.nowMs < 20_000) {
             for (String team : weights.keySet()) {
-                while (model.waiting.values().stream().filter(c -> c.team().equals(team)).count()
+                while (model.waiting.values().stream()
+                                .filter(call -> call.team().equals(team))
+                                .count()
                         < 10) {
                     String id = team + next++;
                     model.submit(
@@ -86,7 +92,7 @@
             }
             model.running.forEach(
                     (id, call) -> {
-                        used.merge(call.team(), 10.0 / call.weight(), Double::sum);
+                        slotTimeByWeight.merge(call.team(), 10.0 / call.weight(), Double::sum);
                         long mean = call.team().equals("long") ? 200 : 50;
                         endsAt.computeIfAbsent(
                                 id, key -> model.nowMs + mean / 2 + random.nextLong(mean));
@@ -97,18 +103,20 @@
                     .toList()
                     .forEach(model::release);
         }
-        double most = used.values().stream().mapToDouble(x -> x).max().orElseThrow();
-        double least = used.values().stream().mapToDouble(x -> x).min().orElseThrow();
-        assertTrue(least > 0.85 * most, "slot time over weight: " + used);
+        double max =
+                slotTimeByWeight.values().stream().mapToDouble(value -> value).max().orElseThrow();
+        double min =
+                slotTimeByWeight.values().stream().mapToDouble(value -> value).min().orElseThrow();
+        assertTrue(min > 0.85 * max, "slot time over weight: " + slotTimeByWeight);
     }
 
     @Property(seed = "20419", tries = 50)
-    void aTeamThatFloodsCostsOnlyItsOwnCalls(@ForAll @IntRange(min = 2, max = 40) int flood) {
+    void floodingTeamLosesOnlyItsOwnCalls(@ForAll @IntRange(min = 2, max = 40) int flood) {
         GateModel model =
                 new GateModel(new GateSettings(true, 1, 10, 10, 0, 0, 0, 500, 500, 50, 1_000));
         IntStream.range(0, flood).forEach(i -> model.submit(online("flood" + i, "noisy")));
         IntStream.range(0, 4).forEach(i -> model.submit(online("calm" + i, "calm")));
-        model.log.stream()
+        model.performed.stream()
                 .filter(GateAction.Refuse.class::isInstance)
                 .forEach(refusal -> assertTrue(refusal.id().startsWith("flood"), refusal.id()));
         for (int done = 0; done < 9 && !model.running.isEmpty(); done++) {
--- a/core/src/test/java/org/sardinelift/core/gate/SlotGateTest.java
+++ b/core/src/test/java/org/sardinelift/core/gate/SlotGateTest.java
@@ -6,6 +6,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against wrong choices of the call to preempt, and against batch calls that get too many or
+ * too few slots after online peaks, late load reports, or while the gate is closed or disabled.
+ */
 class SlotGateTest {
     private static final GateSettings SETTINGS =
             new GateSettings(true, 4, 10, 10, 0, 0, 3, 1_000, 500, 50, 1_000);
@@ -22,50 +26,53 @@
 
     private void fillWithBatch(boolean resumable) {
         IntStream.range(0, 4).forEach(i -> model.submit(batch("b" + i, resumable)));
-        model.log.clear();
+        model.performed.clear();
     }
 
     @Test
-    void anOnlineCallTakesTheSlotOfTheBatchCallThatHasDoneLeast() {
+    void onlineCallPreemptsBatchCallWithLeastProgress() {
         fillWithBatch(false);
         IntStream.range(0, 4).forEach(i -> model.gate.recordProgress("b" + i, i == 2 ? 5 : 100));
         model.submit(online("o"));
         assertEquals(
-                List.of(new GateAction.Preempt("b2", false), new GateAction.Run("o")), model.log);
+                List.of(new GateAction.Preempt("b2", false), new GateAction.Run("o")),
+                model.performed);
     }
 
     @Test
-    void aCallThatCanBeResumedIsCutBeforeOneThatCannot() {
+    void resumableCallIsPreemptedFirst() {
         fillWithBatch(false);
         model.release("b3");
-        model.log.clear();
+        model.performed.clear();
         model.submit(batch("r", true));
         model.gate.recordProgress("r", 1_000);
-        model.log.clear();
+        model.performed.clear();
         model.submit(online("o"));
         assertEquals(
-                List.of(new GateAction.Preempt("r", true), new GateAction.Run("o")), model.log);
+                List.of(new GateAction.Preempt("r", true), new GateAction.Run("o")),
+                model.performed);
         model.release("o");
         model.release("b0");
-        assertEquals(new GateAction.Run("r"), model.log.get(model.log.size() - 1));
+        assertEquals(new GateAction.Run("r"), model.performed.get(model.performed.size() - 1));
     }
 
     @Test
-    void aCutCallThatFindsNoSlotInTimeIsRefusedAsPreempted() {
+    void preemptedCallThatGetsNoSlotInTimeIsRefusedAsPreempted() {
         fillWithBatch(true);
         IntStream.range(0, 4).forEach(i -> model.submit(online("o" + i)));
         model.advanceTime(SETTINGS.resumeWaitMs());
-        assertEquals(4, model.log.stream().filter(SlotGateTest::preempted).count());
+        assertEquals(
+                4, model.performed.stream().filter(SlotGateTest::isRefusedAsPreempted).count());
     }
 
-    private static boolean preempted(GateAction action) {
+    private static boolean isRefusedAsPreempted(GateAction action) {
         return action instanceof GateAction.Refuse refuse
                 && refuse.reason() == GateRefusal.PREEMPTED
                 && refuse.hadSlot();
     }
 
     @Test
-    void batchLeavesAReserveAfterAnOnlinePeakUntilItHasDecayed() {
+    void batchLeavesReserveAfterOnlinePeakUntilItHasDecayed() {
         IntStream.range(0, 3).forEach(i -> model.submit(online("o" + i)));
         IntStream.range(0, 3).forEach(i -> model.release("o" + i));
         IntStream.range(0, 4).forEach(i -> model.submit(batch("b" + i, false)));
@@ -75,20 +82,20 @@
     }
 
     @Test
-    void aLateReportOfOurOwnCallsTakesNoSlotFromBatch() {
+    void lateReportOfOwnCallsTakesNoSlotFromBatch() {
         model.submit(online("o0"));
         model.submit(online("o1"));
         model.advanceTime(500);
         model.release("o0");
         model.release("o1");
         model.advanceTime(200);
-        int free = model.gate.batchFree(model.nowMs);
+        int freeBefore = model.gate.batchFree(model.nowMs);
         model.report(new EngineLoad(2, 0, 4, 300));
-        assertEquals(free, model.gate.batchFree(model.nowMs));
+        assertEquals(freeBefore, model.gate.batchFree(model.nowMs));
     }
 
     @Test
-    void loadThatIsNotOursTakesSlotsFromBatchUntilTheReportIsOld() {
+    void foreignLoadTakesSlotsFromBatchUntilTheReportExpires() {
         model.report(new EngineLoad(3, 0, 4, 0));
         assertEquals(1, model.gate.batchFree(model.nowMs));
         model.advanceTime(SETTINGS.reportTtlMs() + 1);
@@ -96,22 +103,23 @@
     }
 
     @Test
-    void asksForBatchCallsAheadOnlyWhileBatchMayRun() {
-        GateSettings ahead = new GateSettings(true, 4, 10, 10, 2, 0, 3, 1_000, 500, 50, 1_000);
-        GateModel asking = new GateModel(ahead);
-        assertEquals(6, asking.gate.batchFree(0));
-        IntStream.range(0, 5).forEach(i -> asking.submit(batch("b" + i, false)));
-        assertEquals(1, asking.gate.batchFree(0));
-        IntStream.range(0, 4).forEach(i -> asking.submit(online("o" + i)));
-        assertEquals(0, asking.gate.batchFree(0));
+    void batchCallsAheadAreRequestedOnlyWhileBatchMayRun() {
+        GateSettings aheadSettings =
+                new GateSettings(true, 4, 10, 10, 2, 0, 3, 1_000, 500, 50, 1_000);
+        GateModel aheadModel = new GateModel(aheadSettings);
+        assertEquals(6, aheadModel.gate.batchFree(0));
+        IntStream.range(0, 5).forEach(i -> aheadModel.submit(batch("b" + i, false)));
+        assertEquals(1, aheadModel.gate.batchFree(0));
+        IntStream.range(0, 4).forEach(i -> aheadModel.submit(online("o" + i)));
+        assertEquals(0, aheadModel.gate.batchFree(0));
     }
 
     @Test
-    void aClosedGateRefusesWhatWaitsAndWhatComes() {
+    void closedGateRefusesWaitingAndNewCalls() {
         IntStream.range(0, 5).forEach(i -> model.submit(online("o" + i)));
         List<GateAction> actions = model.gate.close(GateRefusal.TARGET_LEAVING);
-        GateAction refusal = new GateAction.Refuse("o4", GateRefusal.TARGET_LEAVING, false);
-        assertEquals(List.of(refusal), actions);
+        GateAction expected = new GateAction.Refuse("o4", GateRefusal.TARGET_LEAVING, false);
+        assertEquals(List.of(expected), actions);
         assertEquals(
                 List.of(new GateAction.Refuse("o5", GateRefusal.TARGET_LEAVING, false)),
                 model.gate.submit(model.nowMs, online("o5")));
@@ -119,9 +127,9 @@
     }
 
     @Test
-    void aGateThatIsOffStartsEachCallAsItComes() {
-        GateSettings off = new GateSettings(false, 1, 1, 1, 0, 0, 0, 1_000, 500, 50, 1_000);
-        SlotGate gate = SlotGate.create(off);
+    void disabledGateStartsEachCallAtOnce() {
+        GateSettings disabled = new GateSettings(false, 1, 1, 1, 0, 0, 0, 1_000, 500, 50, 1_000);
+        SlotGate gate = SlotGate.create(disabled);
         IntStream.range(0, 9)
                 .forEach(
                         i ->
