--- a/core/src/main/java/org/sardinelift/core/poison/CrashLedger.java
+++ b/core/src/main/java/org/sardinelift/core/poison/CrashLedger.java
@@ -13,11 +13,11 @@
 import java.util.stream.Stream;
 
 /**
- * Evidence of target deaths by the fingerprints of the requests in flight. One death makes a
+ * Records which requests, by fingerprint, were in flight when targets died. One death makes a
  * request a suspect. Suspects run one at a time on a target, and one copy of each at a time, so
- * that a second death settles which of them is to blame. Evidence of one death comes from several
- * entries, so nothing is concluded and no suspect is run before it has settled. Not safe for use by
- * several threads at once.
+ * that a second death shows which of them is the cause. Evidence of one death arrives from several
+ * entries, so nothing is concluded and no suspect is run before the time for its arrival has
+ * passed. Not safe for use by several threads at once.
  */
 public final class CrashLedger {
     private final CrashBounds bounds;
@@ -31,9 +31,9 @@
     }
 
     /**
-     * An empty ledger.
+     * Creates an empty ledger.
      *
-     * @param bounds times and sizes
+     * @param bounds time and size limits
      * @return the ledger
      */
     public static CrashLedger of(CrashBounds bounds) {
@@ -41,27 +41,27 @@
     }
 
     /**
-     * What is known of a request.
+     * Returns the verdict on a request.
      *
      * @param fingerprint hash of the request
      * @param nowMs time, milliseconds
-     * @return its standing
+     * @return the verdict
      */
     public CrashVerdict verdict(String fingerprint, long nowMs) {
-        Long until = refusedUntilMs.get(fingerprint);
-        if (until != null && until > nowMs) {
+        Long refusedUntil = refusedUntilMs.get(fingerprint);
+        if (refusedUntil != null && refusedUntil > nowMs) {
             return CrashVerdict.REFUSED;
         }
         refusedUntilMs.remove(fingerprint);
         Suspect suspect = suspects.get(fingerprint);
-        if (suspect == null || suspect.lastMs + bounds.suspectForMs() <= nowMs) {
+        if (suspect == null || suspect.lastDeathMs + bounds.suspectForMs() <= nowMs) {
             suspects.remove(fingerprint);
             return CrashVerdict.CLEAR;
         }
-        if (!settled(suspect, nowMs)) {
+        if (!isSettled(suspect, nowMs)) {
             return CrashVerdict.SUSPECT;
         }
-        if (killedAlone(fingerprint, suspect)) {
+        if (hasKilledAsOnlySuspect(fingerprint, suspect)) {
             refuse(fingerprint, nowMs + bounds.refuseForMs());
         } else if (isOnlyCommon(fingerprint, suspect)) {
             refuse(fingerprint, nowMs + bounds.suspectForMs());
@@ -72,22 +72,22 @@
     }
 
     /**
-     * A target died with a request in flight.
+     * Records that a target died with a request in flight.
      *
      * @param fingerprint hash of the request
-     * @param targetIncarnation the life of the target that ended
-     * @param alone whether the request was run there as the single suspect
+     * @param targetIncarnation the incarnation of the target that died
+     * @param isSingleSuspect whether the request ran there as the only suspect
      * @param nowMs time, milliseconds
      */
     public void onTargetDeath(
-            String fingerprint, String targetIncarnation, boolean alone, long nowMs) {
+            String fingerprint, String targetIncarnation, boolean isSingleSuspect, long nowMs) {
         Death death = deaths.computeIfAbsent(targetIncarnation, key -> new Death());
         Suspect suspect = suspects.computeIfAbsent(fingerprint, key -> new Suspect());
         if (suspect.deaths.add(targetIncarnation)) {
-            suspect.lastMs = nowMs;
+            suspect.lastDeathMs = nowMs;
             death.inFlight.add(fingerprint);
-            if (alone) {
-                death.alone.add(fingerprint);
+            if (isSingleSuspect) {
+                death.singleSuspects.add(fingerprint);
             }
         }
         dropOldest(deaths);
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Another instance has settled that a request is to be refused.
+     * Records that another instance has decided to refuse a request.
      *
      * @param fingerprint hash of the request
      * @param untilMs time until which it is refused, milliseconds
@@ -105,7 +105,7 @@
     }
 
     /**
-     * A request was run to its end by a target that lives on.
+     * Clears a request that was completed by a target that is still alive.
      *
      * @param fingerprint hash of the request
      */
@@ -114,24 +114,25 @@
     }
 
     /**
-     * Time until which a request is refused.
+     * Returns the time until which a request is refused.
      *
      * @param fingerprint hash of the request
-     * @return milliseconds, 0 where it is not refused
+     * @return milliseconds, 0 if it is not refused
      */
     public long refusedUntilMs(String fingerprint) {
         return refusedUntilMs.getOrDefault(fingerprint, 0L);
     }
 
     /**
-     * Takes the place of the single suspect on a target.
+     * Starts a trial of a request as the only suspect on a target.
      *
      * @param fingerprint hash of the request
      * @param target name of the target
-     * @param waitMs time past the settling for which the trial is left to others, milliseconds
+     * @param waitMs additional time, after the evidence has settled, for which the trial is left to
+     *     others, milliseconds
      * @param nowMs time, milliseconds
-     * @return false where another suspect is there, another copy of this one is on trial, the
-     *     evidence has not settled, or it has settled against the request
+     * @return false if another suspect runs there, another copy of this one is on trial, the
+     *     evidence has not settled, or the request is refused
      */
     public boolean tryStartTrial(String fingerprint, String target, long waitMs, long nowMs) {
         if (verdict(fingerprint, nowMs) == CrashVerdict.REFUSED) {
@@ -140,7 +141,7 @@
         Suspect suspect = suspects.get(fingerprint);
         if (trialByTarget.containsKey(target)
                 || trialByTarget.containsValue(fingerprint)
-                || suspect != null && !settled(suspect, nowMs - waitMs)) {
+                || suspect != null && !isSettled(suspect, nowMs - waitMs)) {
             return false;
         }
         trialByTarget.put(target, fingerprint);
@@ -148,7 +149,7 @@
     }
 
     /**
-     * A suspect has left its target, whatever came of it.
+     * Ends the trial of a suspect on a target, with whatever outcome.
      *
      * @param fingerprint hash of the request
      * @param target name of the target
@@ -157,42 +158,45 @@
         trialByTarget.remove(target, fingerprint);
     }
 
-    private boolean settled(Suspect suspect, long nowMs) {
-        return nowMs >= suspect.lastMs + bounds.settleMs();
+    private boolean isSettled(Suspect suspect, long nowMs) {
+        return nowMs >= suspect.lastDeathMs + bounds.settleMs();
     }
 
-    /** Whether a target died with the request as its only suspect: no other died before. */
-    private boolean killedAlone(String fingerprint, Suspect suspect) {
+    /**
+     * Whether a target died with the request as its only suspect: no other request in flight was at
+     * another death.
+     */
+    private boolean hasKilledAsOnlySuspect(String fingerprint, Suspect suspect) {
         return deathsOf(suspect)
-                .filter(death -> death.alone.contains(fingerprint))
+                .filter(death -> death.singleSuspects.contains(fingerprint))
                 .anyMatch(
                         death ->
                                 death.inFlight.stream()
                                         .filter(other -> !other.equals(fingerprint))
-                                        .noneMatch(this::diedTwice));
+                                        .noneMatch(this::wasAtSeveralDeaths));
     }
 
-    private boolean diedTwice(String fingerprint) {
+    private boolean wasAtSeveralDeaths(String fingerprint) {
         Suspect suspect = suspects.get(fingerprint);
         return suspect != null && suspect.deaths.size() > 1;
     }
 
-    /** Whether two targets died with no other request in flight on both. */
+    /** Whether two targets died and no other request was in flight on both. */
     private boolean isOnlyCommon(String fingerprint, Suspect suspect) {
-        List<Death> known = deathsOf(suspect).toList();
-        return IntStream.range(1, known.size())
+        List<Death> knownDeaths = deathsOf(suspect).toList();
+        return IntStream.range(1, knownDeaths.size())
                 .anyMatch(
                         later ->
-                                known.subList(0, later).stream()
+                                knownDeaths.subList(0, later).stream()
                                         .anyMatch(
                                                 earlier ->
-                                                        onlyCommon(
+                                                        isOnlyOneInBoth(
                                                                 fingerprint,
                                                                 earlier,
-                                                                known.get(later))));
+                                                                knownDeaths.get(later))));
     }
 
-    private static boolean onlyCommon(String fingerprint, Death first, Death second) {
+    private static boolean isOnlyOneInBoth(String fingerprint, Death first, Death second) {
         return first.inFlight.stream()
                 .filter(second.inFlight::contains)
                 .allMatch(fingerprint::equals);
@@ -205,7 +209,7 @@
     private void refuse(String fingerprint, long untilMs) {
         refusedUntilMs.merge(fingerprint, untilMs, Math::max);
         suspects.remove(fingerprint);
-        // These deaths are explained and speak against no other request.
+        // The cause of these deaths is known, so they are no evidence against other requests.
         deaths.values().removeIf(death -> death.inFlight.contains(fingerprint));
         dropOldest(refusedUntilMs);
     }
@@ -221,12 +225,12 @@
     /** A request that was in flight when targets died. */
     private static final class Suspect {
         private final Set<String> deaths = new LinkedHashSet<>();
-        private long lastMs;
+        private long lastDeathMs;
     }
 
-    /** The end of one life of a target. */
+    /** The death of one incarnation of a target. */
     private static final class Death {
         private final Set<String> inFlight = new HashSet<>();
-        private final Set<String> alone = new HashSet<>();
+        private final Set<String> singleSuspects = new HashSet<>();
     }
 }
--- a/core/src/main/java/org/sardinelift/core/poison/CrashVerdict.java
+++ b/core/src/main/java/org/sardinelift/core/poison/CrashVerdict.java
@@ -1,11 +1,17 @@
 package org.sardinelift.core.poison;
 
-/** What is known of a request that was in flight when a target died. */
+/** Verdict on a request that may have been in flight when a target died. */
 public enum CrashVerdict {
-    /** Nothing speaks against it. */
+    /** There is no evidence against it. */
     CLEAR,
-    /** A target died with it in flight: it is run alone until that is settled. */
+    /**
+     * A target died with it in flight; it runs as the only suspect on a target until the cause is
+     * known.
+     */
     SUSPECT,
-    /** It killed a target while it was the only suspect there: it is refused. */
+    /**
+     * It killed a target as the only suspect there, or was the only request in flight on two
+     * targets that died; it is refused.
+     */
     REFUSED
 }
--- a/core/src/main/java/org/sardinelift/core/poison/Fingerprint.java
+++ b/core/src/main/java/org/sardinelift/core/poison/Fingerprint.java
@@ -5,9 +5,9 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Hash by which a request is known again when it is sent once more. */
+/** Hash that identifies a request when it is sent again. */
 public final class Fingerprint {
-    private static final int BYTES = 16;
+    private static final int HASH_BYTES = 16;
 
     private Fingerprint() {}
 
@@ -16,8 +16,8 @@
      *
      * @param team team that it runs for
      * @param route method and path at the target
-     * @param body body bytes
-     * @return hexadecimal hash
+     * @param body bytes of the body
+     * @return hash in hexadecimal digits
      */
     public static String of(String team, String route, byte[] body) {
         try {
@@ -27,7 +27,7 @@
             digest.update(route.getBytes(StandardCharsets.UTF_8));
             digest.update((byte) 0);
             digest.update(body);
-            return HexFormat.of().formatHex(digest.digest(), 0, BYTES);
+            return HexFormat.of().formatHex(digest.digest(), 0, HASH_BYTES);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("SHA-256 is part of every Java 17", e);
         }
--- a/core/src/main/java/org/sardinelift/core/poison/TargetDeathCounter.java
+++ b/core/src/main/java/org/sardinelift/core/poison/TargetDeathCounter.java
@@ -8,41 +8,42 @@
 
 /**
  * Counts the targets that died while they ran a request, by a hash of the request. Several calls
- * are in flight when a target dies, and one of them may be to blame; only a request that was there
- * at several deaths is refused. Times are nanoseconds of a monotonic clock. Not safe for use by
- * several threads at once.
+ * are in flight when a target dies, and one of them may be the cause; only a request that was in
+ * flight at several deaths is refused. Times are nanoseconds of a monotonic clock. Not safe for use
+ * by several threads at once.
  */
 public final class TargetDeathCounter {
     private final int deathsToRefuse;
-    private final long memoryNanos;
+    private final long retentionNanos;
     private final int maxRequests;
     private final Map<Long, Map<String, Long>> deaths = new LinkedHashMap<>();
 
-    private TargetDeathCounter(int deathsToRefuse, Duration memory, int maxRequests) {
+    private TargetDeathCounter(int deathsToRefuse, Duration retention, int maxRequests) {
         this.deathsToRefuse = deathsToRefuse;
-        this.memoryNanos = memory.toNanos();
+        this.retentionNanos = retention.toNanos();
         this.maxRequests = maxRequests;
     }
 
     /**
-     * An empty tally.
+     * Creates an empty counter.
      *
-     * @param deathsToRefuse deaths from which a request is refused
-     * @param memory time for which a death counts
-     * @param maxRequests requests remembered; past that the oldest are forgotten
-     * @return the tally
+     * @param deathsToRefuse number of deaths from which a request is refused
+     * @param retention time for which a death counts
+     * @param maxRequests maximum number of requests that are kept; beyond it the oldest are dropped
+     * @return the counter
      */
-    public static TargetDeathCounter create(int deathsToRefuse, Duration memory, int maxRequests) {
-        return new TargetDeathCounter(deathsToRefuse, memory, maxRequests);
+    public static TargetDeathCounter create(
+            int deathsToRefuse, Duration retention, int maxRequests) {
+        return new TargetDeathCounter(deathsToRefuse, retention, maxRequests);
     }
 
     /**
-     * A target died while it ran a request.
+     * Records that a target died while it ran a request.
      *
      * @param request hash of the request
-     * @param target life of the target that ended
-     * @param now the time
-     * @return whether this was not known
+     * @param target incarnation of the target that died
+     * @param now current time
+     * @return whether this death was not yet recorded
      */
     public boolean onTargetDeath(long request, String target, long now) {
         boolean isNew =
@@ -59,15 +60,15 @@
      * Whether a request is refused.
      *
      * @param request hash of the request
-     * @param now the time
-     * @return true where enough targets died with it
+     * @param now current time
+     * @return true if enough targets died while they ran it
      */
     public boolean isRefused(long request, long now) {
-        Map<String, Long> seen = deaths.get(request);
-        if (seen == null) {
+        Map<String, Long> deathTimes = deaths.get(request);
+        if (deathTimes == null) {
             return false;
         }
-        seen.values().removeIf(at -> now - at >= memoryNanos);
-        return seen.size() >= deathsToRefuse;
+        deathTimes.values().removeIf(diedAt -> now - diedAt >= retentionNanos);
+        return deathTimes.size() >= deathsToRefuse;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/poison/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/poison/package-info.java
@@ -1,4 +1,4 @@
-/** Requests that crash targets. */
+/** Detection of requests that crash targets. */
 @NullMarked
 package org.sardinelift.core.poison;
 
--- a/core/src/test/java/org/sardinelift/core/poison/CrashLedgerTest.java
+++ b/core/src/test/java/org/sardinelift/core/poison/CrashLedgerTest.java
@@ -18,43 +18,47 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
+/**
+ * Guards against a request that kills many targets because it is sent and retried through several
+ * entries, and against refusals of requests that only ran beside it.
+ */
 class CrashLedgerTest {
     private static final String POISON = "poison";
     private static final int TARGETS = 4;
     private static final CrashBounds BOUNDS = new CrashBounds(1_000, 10_000, 5, 10);
 
-    /** One request kills each target that runs it; it is sent 20 times among 40 good ones. */
+    /** One request kills each target that runs it; it is sent 20 times among 40 harmless ones. */
     @Property(seed = "51", tries = 500)
-    void twoTargetsDieAtMostAndTheInnocentComplete(@ForAll Random random) {
+    void atMostTwoTargetsDieAndOtherRequestsComplete(@ForAll Random random) {
         Fleet fleet = run(random, false);
-        assertTrue(fleet.deaths <= 2, fleet.deaths + " targets died");
+        assertTrue(fleet.deathCount <= 2, fleet.deathCount + " targets died");
     }
 
-    /** Copies reach two targets through several entries before the first death. */
+    /** Copies of the request reach two targets through several entries before the first death. */
     @Property(seed = "53", tries = 500)
-    void copiesOnTwoTargetsAtOnceAreStoppedAndTheInnocentComplete(@ForAll Random random) {
+    void copiesOnTwoTargetsAreStoppedAndOtherRequestsComplete(@ForAll Random random) {
         Fleet fleet = run(random, true);
-        assertTrue(fleet.deaths <= 2, fleet.deaths + " targets died");
+        assertTrue(fleet.deathCount <= 2, fleet.deathCount + " targets died");
     }
 
-    private static Fleet run(Random random, boolean spread) {
-        Fleet fleet = new Fleet(random, spread);
+    private static Fleet run(Random random, boolean isSpread) {
+        Fleet fleet = new Fleet(random, isSpread);
         for (int copy = 0; copy < 20; copy++) {
             fleet.waiting.add(POISON);
             fleet.waiting.add("good" + 2 * copy);
             fleet.waiting.add("good" + (2 * copy + 1));
         }
-        for (int step = 0; step < 5_000 && !fleet.idle(); step++) {
+        for (int step = 0; step < 5_000 && !fleet.isIdle(); step++) {
             fleet.step();
         }
-        assertTrue(fleet.idle(), "all ended");
-        assertEquals(20, fleet.refused);
+        assertTrue(fleet.isIdle(), "all ended");
+        assertEquals(20, fleet.refusedCount);
         assertEquals(40, fleet.completed.size());
         return fleet;
     }
 
     @Example
-    void theSameDeathReportedTwiceCountsOnce() {
+    void deathReportedTwiceCountsOnce() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
         ledger.onTargetDeath("f", "t1#1", false, 0);
         ledger.onTargetDeath("f", "t1#1", true, 1);
@@ -62,7 +66,7 @@
     }
 
     @Example
-    void theDeathOfATargetWithASingleSuspectSettlesIt() {
+    void onlySuspectOnADeadTargetIsRefused() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
         ledger.onTargetDeath("f", "t1#1", false, 0);
         ledger.onTargetDeath("g", "t1#1", false, 0);
@@ -75,7 +79,7 @@
     }
 
     @Example
-    void aSuspectIsNotBlamedWhereAnotherWasOnTheSameTarget() {
+    void suspectIsNotRefusedIfAnotherWasOnTheSameTarget() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
         ledger.onTargetDeath("good", "t1#1", false, 0);
         ledger.onTargetDeath("bad", "t1#1", false, 0);
@@ -85,7 +89,7 @@
     }
 
     @Example
-    void noSuspectIsRunBeforeTheEvidenceHasSettled() {
+    void noTrialStartsBeforeTheEvidenceHasSettled() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
         ledger.onTargetDeath("f", "t1#1", false, 0);
         assertFalse(ledger.tryStartTrial("f", "t2", 0, 4));
@@ -95,7 +99,7 @@
     }
 
     @Example
-    void noTrialOnceTheEvidenceHasSettledAgainstTheRequest() {
+    void noTrialStartsForARefusedRequest() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
         ledger.onTargetDeath("f", "t1#1", false, 0);
         ledger.onTargetDeath("f", "t2#1", false, 1);
@@ -104,7 +108,7 @@
     }
 
     @Example
-    void aRefusalEndsAfterItsTime() {
+    void refusalEndsAfterItsTime() {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
         ledger.onRefused("f", 500);
         assertEquals(CrashVerdict.REFUSED, ledger.verdict("f", 499));
@@ -112,7 +116,7 @@
     }
 
     @Property(seed = "52")
-    void suspectsNeverPushRefusalsOut(@ForAll Random random) {
+    void suspectsDoNotDisplaceRefusals(@ForAll Random random) {
         CrashLedger ledger = CrashLedger.of(BOUNDS);
         ledger.onRefused("bad", 10_000);
         for (int i = 0; i < 100; i++) {
@@ -130,21 +134,21 @@
         private final List<List<String>> running = new ArrayList<>();
         private final Map<Integer, Set<String>> trials = new HashMap<>();
         private final Random random;
-        private final boolean spread;
-        private int lives;
+        private final boolean isSpread;
+        private int incarnations;
         private long nowMs;
-        int deaths;
-        int refused;
+        int deathCount;
+        int refusedCount;
 
-        Fleet(Random random, boolean spread) {
-            this.spread = spread;
+        Fleet(Random random, boolean isSpread) {
+            this.isSpread = isSpread;
             this.random = random;
             for (int target = 0; target < TARGETS; target++) {
                 running.add(new ArrayList<>());
             }
         }
 
-        boolean idle() {
+        boolean isIdle() {
             return waiting.isEmpty() && running.stream().allMatch(List::isEmpty);
         }
 
@@ -159,16 +163,16 @@
         }
 
         private void start(String call) {
-            CrashVerdict standing = ledger.verdict(call, nowMs);
-            if (standing == CrashVerdict.REFUSED) {
-                refused++;
+            CrashVerdict verdict = ledger.verdict(call, nowMs);
+            if (verdict == CrashVerdict.REFUSED) {
+                refusedCount++;
                 return;
             }
             int target = Math.floorMod(call.hashCode(), TARGETS);
-            if (standing == CrashVerdict.CLEAR && spread && random.nextBoolean()) {
+            if (verdict == CrashVerdict.CLEAR && isSpread && random.nextBoolean()) {
                 target = (target + 1) % TARGETS;
             }
-            if (standing == CrashVerdict.SUSPECT) {
+            if (verdict == CrashVerdict.SUSPECT) {
                 if (!ledger.tryStartTrial(call, "t" + target, 0, nowMs)) {
                     waiting.add(call);
                     return;
@@ -184,40 +188,40 @@
                 return;
             }
             running.get(target).remove(call);
-            settle(target, call);
+            endTrial(target, call);
             ledger.onCompleted(call);
             completed.add(call);
         }
 
         private void die(int target) {
-            deaths++;
-            lives++;
+            deathCount++;
+            incarnations++;
             List<String> lost = new ArrayList<>(running.get(target));
             Collections.shuffle(lost, random);
             running.get(target).clear();
             Set<String> suspects = Set.copyOf(trials.getOrDefault(target, Set.of()));
             for (String call : lost) {
-                settle(target, call);
-                ledger.onTargetDeath(call, "life" + lives, suspects.contains(call), nowMs);
+                endTrial(target, call);
+                ledger.onTargetDeath(call, "life" + incarnations, suspects.contains(call), nowMs);
                 waiting.addFirst(call);
             }
-            takeBack(Set.copyOf(lost));
+            withdraw(Set.copyOf(lost));
         }
 
-        /** Entries take copies of new suspects back from other targets. */
-        private void takeBack(Set<String> suspects) {
+        /** Entries withdraw copies of new suspects from other targets. */
+        private void withdraw(Set<String> suspects) {
             for (int target = 0; target < TARGETS; target++) {
                 for (String call : List.copyOf(running.get(target))) {
                     if (suspects.contains(call)) {
                         running.get(target).remove(call);
-                        settle(target, call);
+                        endTrial(target, call);
                         waiting.addFirst(call);
                     }
                 }
             }
         }
 
-        private void settle(int target, String call) {
+        private void endTrial(int target, String call) {
             if (trials.computeIfAbsent(target, key -> new HashSet<>()).remove(call)) {
                 ledger.endTrial(call, "t" + target);
             }
