--- a/core/src/main/java/org/sardinelift/core/limit/BorrowedLoans.java
+++ b/core/src/main/java/org/sardinelift/core/limit/BorrowedLoans.java
@@ -61,9 +61,9 @@
     }
 
     /** Returns tokens in excess of a number to their lenders, the newest loan first. */
-    void returnExcess(double keep) {
+    void returnExcess(double maxTokens) {
         double borrowedTokens = tokens();
-        while (borrowedTokens > keep + ROUNDING_TOLERANCE) {
+        while (borrowedTokens > maxTokens + ROUNDING_TOLERANCE) {
             BorrowedLoan loan = loans.pollLast();
             borrowedTokens -= loan.tokens();
             settle(loan, loan.tokens());
--- a/core/src/main/java/org/sardinelift/core/limit/LoanGathering.java
+++ b/core/src/main/java/org/sardinelift/core/limit/LoanGathering.java
@@ -53,9 +53,9 @@
     }
 
     /** Counts one more failed gathering and returns the pause after it, twice the one before. */
-    long nextBackoff(long least) {
+    long nextBackoff(long minPause) {
         failures = Math.min(failures + 1, MAX_DOUBLINGS);
-        return least << failures;
+        return minPause << failures;
     }
 
     void retryAt(long time) {
--- a/core/src/main/java/org/sardinelift/core/limit/Shares.java
+++ b/core/src/main/java/org/sardinelift/core/limit/Shares.java
@@ -32,12 +32,12 @@
     /** Checks that the units add up to {@link #TOTAL_UNITS} and that none is negative. */
     public Shares {
         members = Collections.unmodifiableMap(new TreeMap<>(members));
-        long held = members.values().stream().mapToLong(Member::units).sum();
+        long memberUnits = members.values().stream().mapToLong(Member::units).sum();
         boolean hasNegative = members.values().stream().anyMatch(member -> member.units() < 0);
-        if (pool < 0 || hasNegative || held + pool != TOTAL_UNITS) {
+        if (pool < 0 || hasNegative || memberUnits + pool != TOTAL_UNITS) {
             throw new IllegalArgumentException(
                     "units of the pool and all members add up to "
-                            + (held + pool)
+                            + (memberUnits + pool)
                             + " instead of "
                             + TOTAL_UNITS);
         }
--- a/core/src/main/java/org/sardinelift/core/limit/TeamAccount.java
+++ b/core/src/main/java/org/sardinelift/core/limit/TeamAccount.java
@@ -142,9 +142,9 @@
         if (overpaid < burst * LEVELLING_BURST_FRACTION) {
             return 0;
         }
-        double taken = Math.min(overpaid, Math.max(0, capacity() - level));
+        double polled = Math.min(overpaid, Math.max(0, capacity() - level));
         overpaid = 0;
-        return taken;
+        return polled;
     }
 
     /**
--- a/core/src/test/java/org/sardinelift/core/gate/GateModel.java
+++ b/core/src/test/java/org/sardinelift/core/gate/GateModel.java
@@ -48,7 +48,7 @@
         apply(gate.tick(nowMs));
     }
 
-    void report(EngineLoad load) {
+    void reportLoad(EngineLoad load) {
         apply(gate.onLoadReport(nowMs, load));
     }
 
--- a/core/src/test/java/org/sardinelift/core/gate/SlotGatePropertiesTest.java
+++ b/core/src/test/java/org/sardinelift/core/gate/SlotGatePropertiesTest.java
@@ -41,7 +41,7 @@
                         model.pickRandom(model.waiting, random).ifPresent(model::release);
                     } else {
                         int lag = random.nextInt(100);
-                        model.report(new EngineLoad(random.nextInt(slots + 3), 0, slots, lag));
+                        model.reportLoad(new EngineLoad(random.nextInt(slots + 3), 0, slots, lag));
                     }
                 }
             }
--- a/core/src/test/java/org/sardinelift/core/gate/SlotGateTest.java
+++ b/core/src/test/java/org/sardinelift/core/gate/SlotGateTest.java
@@ -90,13 +90,13 @@
         model.release("o1");
         model.advanceTime(200);
         int freeBefore = model.gate.batchFree(model.nowMs);
-        model.report(new EngineLoad(2, 0, 4, 300));
+        model.reportLoad(new EngineLoad(2, 0, 4, 300));
         assertEquals(freeBefore, model.gate.batchFree(model.nowMs));
     }
 
     @Test
     void foreignLoadTakesSlotsFromBatchUntilTheReportExpires() {
-        model.report(new EngineLoad(3, 0, 4, 0));
+        model.reportLoad(new EngineLoad(3, 0, 4, 0));
         assertEquals(1, model.gate.batchFree(model.nowMs));
         model.advanceTime(SETTINGS.reportTtlMs() + 1);
         assertEquals(4, model.gate.batchFree(model.nowMs));
--- a/core/src/test/java/org/sardinelift/core/limit/NewEntryTest.java
+++ b/core/src/test/java/org/sardinelift/core/limit/NewEntryTest.java
@@ -32,14 +32,14 @@
         fleet.start("new");
         simulation.runUntil(simulation.now() + JOIN_TIMEOUT);
 
-        long least = Shares.TOTAL_UNITS / (running + 1) / 8;
-        assertTrue(fleet.units("new") >= least, () -> "holds " + fleet.units("new"));
+        long minUnits = Shares.TOTAL_UNITS / (running + 1) / 8;
+        assertTrue(fleet.units("new") >= minUnits, () -> "has units: " + fleet.units("new"));
         simulation.runUntil(simulation.now() + 30 * Simulation.SECOND);
         List.of("e1", "new")
                 .forEach(
                         node ->
                                 assertTrue(
-                                        fleet.units(node) >= least,
-                                        () -> node + " holds " + fleet.units(node)));
+                                        fleet.units(node) >= minUnits,
+                                        () -> node + " has units: " + fleet.units(node)));
     }
 }
--- a/core/src/test/java/org/sardinelift/core/limit/Simulation.java
+++ b/core/src/test/java/org/sardinelift/core/limit/Simulation.java
@@ -49,9 +49,9 @@
     }
 
     /** Instances to which a load balancer sends requests; it detects a frozen one after a delay. */
-    List<String> trafficReceivers(long lag) {
+    List<String> trafficReceivers(long detectionDelay) {
         List<String> receivers = new ArrayList<>(runningNodes);
-        receivers.removeIf(node -> isFrozen(node) && now - frozenAt.get(node) > lag);
+        receivers.removeIf(node -> isFrozen(node) && now - frozenAt.get(node) > detectionDelay);
         return receivers;
     }
 
