--- a/core/src/test/java/org/sardinelift/core/fleet/PathWatchTest.java
+++ b/core/src/test/java/org/sardinelift/core/fleet/HeartbeatMonitorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Both ends of one connection in virtual time, one millisecond a step. */
-class PathWatchTest {
+class HeartbeatMonitorTest {
     private static final Duration HEARTBEAT = Duration.ofMillis(750);
     private static final Duration SILENCE = Duration.ofMillis(2_000);
     private static final long MILLI = 1_000_000;
--- a/core/src/test/java/org/sardinelift/core/load/BatchSlotsTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/BatchSlotSelectorTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class BatchSlotsTest {
+class BatchSlotSelectorTest {
     private static final long MILLI = 1_000_000;
 
     private final BatchSlotSelector slots =
--- a/core/src/test/java/org/sardinelift/core/load/LoadBoardTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/LoadTrackerTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class LoadBoardTest {
+class LoadTrackerTest {
     private static final long MILLI = 1_000_000;
 
     private final LoadTracker board =
--- a/core/src/test/java/org/sardinelift/core/load/ReturnTimesTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/RetryAfterScheduleTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class ReturnTimesTest {
+class RetryAfterScheduleTest {
     private static final long MILLI = 1_000_000;
     private static final Duration LONGEST = Duration.ofMillis(1_600);
 
--- a/core/src/test/java/org/sardinelift/core/peer/PeerBookTest.java
+++ b/core/src/test/java/org/sardinelift/core/peer/PeerTableTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class PeerBookTest {
+class PeerTableTest {
     private static final long MILLI = 1_000_000;
 
     private final PeerTable book =
--- a/core/src/test/java/org/sardinelift/core/plan/TargetRollTest.java
+++ b/core/src/test/java/org/sardinelift/core/plan/TargetRegistryTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class TargetRollTest {
+class TargetRegistryTest {
     private final TargetRegistry roll = TargetRegistry.empty();
 
     private static RegisteredTarget entry(String id, boolean leaving) {
--- a/core/src/test/java/org/sardinelift/core/stream/EventReaderTest.java
+++ b/core/src/test/java/org/sardinelift/core/stream/EventStreamParserTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class EventReaderTest {
+class EventStreamParserTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
