--- a/core/src/main/java/org/sardinelift/core/load/BatchSlotSelector.java
+++ b/core/src/main/java/org/sardinelift/core/load/BatchSlotSelector.java
@@ -11,48 +11,49 @@
 import java.util.stream.Collectors;
 
 /**
- * Which free slots a worker gives to batch items.
+ * Selects the free slots on which a worker starts batch items.
  *
- * <p>Loads answered: at a peak of online calls a slot is free for some milliseconds between two of
- * them, and an item started there is cut before it has done anything; and several workers see the
- * same free slot. So a slot counts as free only when its target has had one for a while, sooner for
- * the workers of the target's zone than for others, and one worker starts one item at a time on a
- * target. Times are nanoseconds of a monotonic clock. Not safe for use by several threads at once.
+ * <p>At a peak of online calls a slot is free for a few milliseconds between two of them, and an
+ * item started there is preempted before it has done any work; several workers also see the same
+ * free slot. A slot is therefore used only when its target has had a free one for a while, which is
+ * shorter for workers in the target's zone than for others, and a worker starts one item at a time
+ * on a target. Times are nanoseconds of a monotonic clock. Not thread-safe.
  */
 public final class BatchSlotSelector {
     private final String zone;
     private final long settleNanos;
-    private final long settleFarNanos;
-    private final long nextStartNanos;
+    private final long remoteSettleNanos;
+    private final long startIntervalNanos;
     private final Map<String, Long> freeSince = new HashMap<>();
     private final Map<String, Long> startedAt = new HashMap<>();
 
     private BatchSlotSelector(
-            String zone, Duration settle, Duration settleFar, Duration nextStart) {
+            String zone, Duration settle, Duration remoteSettle, Duration startInterval) {
         this.zone = zone;
         this.settleNanos = settle.toNanos();
-        this.settleFarNanos = settleFar.toNanos();
-        this.nextStartNanos = nextStart.toNanos();
+        this.remoteSettleNanos = remoteSettle.toNanos();
+        this.startIntervalNanos = startInterval.toNanos();
     }
 
     /**
-     * Makes the choice of one worker.
+     * Creates the selector of one worker.
      *
-     * @param zone its availability zone
-     * @param settle time for which a target of the zone must have had a free slot
-     * @param settleFar the same for targets of other zones
-     * @param nextStart time between two starts on one target, for the report of the first to spread
-     * @return the choice
+     * @param zone availability zone of the worker
+     * @param settle time for which a target in the zone must have had a free slot
+     * @param remoteSettle the same for targets in other zones
+     * @param startInterval time between two starts on one target, in which the report of the first
+     *     reaches the other workers
+     * @return the selector
      */
     public static BatchSlotSelector of(
-            String zone, Duration settle, Duration settleFar, Duration nextStart) {
-        return new BatchSlotSelector(zone, settle, settleFar, nextStart);
+            String zone, Duration settle, Duration remoteSettle, Duration startInterval) {
+        return new BatchSlotSelector(zone, settle, remoteSettle, startInterval);
     }
 
     /**
-     * Takes note of the loads; to be called whenever they may have changed.
+     * Records the loads. Must be called whenever they may have changed.
      *
-     * @param loads all usable targets
+     * @param loads loads of all usable targets
      * @param now the time
      */
     public void observe(List<TargetLoad> loads, long now) {
@@ -63,38 +64,39 @@
                         .collect(Collectors.toCollection(HashSet::new));
         freeSince.keySet().retainAll(free);
         free.forEach(id -> freeSince.putIfAbsent(id, now));
-        startedAt.values().removeIf(at -> now - at >= nextStartNanos);
+        startedAt.values().removeIf(at -> now - at >= startIntervalNanos);
     }
 
     /**
-     * The target on which to start an item now.
+     * Selects the target on which to start an item now.
      *
-     * @param loads targets that may run it
+     * @param loads loads of the targets that may run the item
      * @param now the time
-     * @return the target with the most free slots, near ones first; empty where none has one
+     * @return the target with the most free slots, preferably in the worker's zone; empty if no
+     *     target has a usable slot
      */
     public Optional<TargetLoad> select(List<TargetLoad> loads, long now) {
         return loads.stream()
                 .filter(load -> load.freeSlots() > 0 && hasSettled(load, now))
                 .filter(load -> !startedAt.containsKey(load.id()))
                 .max(
-                        Comparator.comparing((TargetLoad load) -> isNear(load))
+                        Comparator.comparing((TargetLoad load) -> isInZone(load))
                                 .thenComparingInt(TargetLoad::freeSlots));
     }
 
     private boolean hasSettled(TargetLoad load, long now) {
         Long since = freeSince.get(load.id());
-        return since != null && now - since >= (isNear(load) ? settleNanos : settleFarNanos);
+        return since != null && now - since >= (isInZone(load) ? settleNanos : remoteSettleNanos);
     }
 
-    private boolean isNear(TargetLoad load) {
+    private boolean isInZone(TargetLoad load) {
         return load.zone().equals(zone);
     }
 
     /**
      * An item was started.
      *
-     * @param target on this target
+     * @param target name of the target that runs it
      * @param now the time
      */
     public void onItemStarted(String target, long now) {
@@ -102,10 +104,10 @@
     }
 
     /**
-     * Whether looking again soon may find a slot.
+     * Returns whether a slot is free. {@link #select} may return it later even if it does not now.
      *
-     * @param loads targets that may run an item
-     * @return true where one has a free slot that can't be used yet
+     * @param loads loads of the targets that may run an item
+     * @return true if one of them has a free slot
      */
     public boolean hasFreeSlot(List<TargetLoad> loads) {
         return loads.stream().anyMatch(load -> load.freeSlots() > 0);
--- a/core/src/main/java/org/sardinelift/core/load/LoadTracker.java
+++ b/core/src/main/java/org/sardinelift/core/load/LoadTracker.java
@@ -6,39 +6,40 @@
 import java.util.stream.Collectors;
 
 /**
- * How many calls each target has, from this instance's own calls, the reports of the other
+ * Tracks the calls on each target, from this instance's own calls, the reports of the other
  * instances and the load that targets state in their answers.
  *
- * <p>Load answered: several instances fill the same targets without a common queue. Each reports a
- * start or end at once, so that the others know of it within the time of one message. Times are
- * nanoseconds of a monotonic clock. Not safe for use by several threads at once.
+ * <p>Several instances send calls to the same targets without a common queue. Each reports the
+ * start and end of a call at once, so that the others know of it after the delay of one message.
+ * Times are nanoseconds of a monotonic clock. Not thread-safe.
  */
 public final class LoadTracker {
-    private final long reportLifeNanos;
-    private final long foreignLifeNanos;
+    private final long reportExpiryNanos;
+    private final long excessExpiryNanos;
     private final Map<String, TargetCalls> own = new HashMap<>();
     private final Map<String, Report> reports = new HashMap<>();
-    private final Map<String, Foreign> foreign = new HashMap<>();
-    private final Map<String, TargetCalls> others = new HashMap<>();
+    private final Map<String, Excess> excesses = new HashMap<>();
+    private final Map<String, TargetCalls> otherCalls = new HashMap<>();
 
-    private LoadTracker(Duration reportLife, Duration foreignLife) {
-        this.reportLifeNanos = reportLife.toNanos();
-        this.foreignLifeNanos = foreignLife.toNanos();
+    private LoadTracker(Duration reportExpiry, Duration excessExpiry) {
+        this.reportExpiryNanos = reportExpiry.toNanos();
+        this.excessExpiryNanos = excessExpiry.toNanos();
     }
 
     /**
-     * An empty board.
+     * Creates a tracker without calls.
      *
-     * @param reportLife time after which the report of a silent instance counts no more
-     * @param foreignLife time for which a load counts that a target states beyond the known calls
-     * @return the board
+     * @param reportExpiry time after which the last report of a silent instance is ignored
+     * @param excessExpiry time for which calls are counted that a target states in excess of the
+     *     known ones
+     * @return the tracker
      */
-    public static LoadTracker create(Duration reportLife, Duration foreignLife) {
-        return new LoadTracker(reportLife, foreignLife);
+    public static LoadTracker create(Duration reportExpiry, Duration excessExpiry) {
+        return new LoadTracker(reportExpiry, excessExpiry);
     }
 
     /**
-     * A call of this instance was sent to a target, or has left it.
+     * Calls of this instance were sent to a target or ended there.
      *
      * @param target the target
      * @param change calls added, negative where they ended
@@ -53,94 +54,100 @@
     }
 
     /**
-     * Calls of this instance, for the reports to others.
+     * Returns this instance's calls, for the reports to the other instances.
      *
-     * @return uses by target, none that is empty
+     * @return calls by target, without targets that have none
      */
     public Map<String, TargetCalls> ownCallsByTarget() {
         return own;
     }
 
     /**
-     * Calls of this instance on a target.
+     * Returns this instance's calls on a target.
      *
      * @param target the target
-     * @return its use
+     * @return the calls
      */
     public TargetCalls ownCalls(String target) {
         return own.getOrDefault(target, TargetCalls.NONE);
     }
 
     /**
-     * Another instance reports all its uses.
+     * Another instance reported all its calls.
      *
-     * @param instance its name
-     * @param uses its calls by target
+     * @param instance name of the instance
+     * @param calls its calls by target
      * @param now the time
      */
-    public void onReport(String instance, Map<String, TargetCalls> uses, long now) {
-        reports.put(instance, new Report(Map.copyOf(uses), now));
+    public void onReport(String instance, Map<String, TargetCalls> calls, long now) {
+        reports.put(instance, new Report(Map.copyOf(calls), now));
         sum(now);
     }
 
     /**
-     * Drops reports of instances that have been silent for long.
+     * Removes the reports of instances that have been silent for too long.
      *
      * @param now the time
      */
     public void expire(long now) {
-        if (reports.values().removeIf(report -> now - report.at() >= reportLifeNanos)) {
+        if (reports.values().removeIf(report -> now - report.at() >= reportExpiryNanos)) {
             sum(now);
         }
     }
 
     private void sum(long now) {
-        others.clear();
+        otherCalls.clear();
         reports.values().stream()
-                .filter(report -> now - report.at() < reportLifeNanos)
-                .flatMap(report -> report.uses().entrySet().stream())
-                .forEach(use -> others.merge(use.getKey(), use.getValue(), TargetCalls::plus));
+                .filter(report -> now - report.at() < reportExpiryNanos)
+                .flatMap(report -> report.calls().entrySet().stream())
+                .forEach(
+                        entry ->
+                                otherCalls.merge(
+                                        entry.getKey(), entry.getValue(), TargetCalls::plus));
     }
 
     /**
-     * A target states its load with an answer.
+     * A target stated its load in an answer.
      *
      * @param target the target
-     * @param calls calls that it runs or queues
+     * @param calls number of calls that it runs or queues
      * @param now the time
      */
     public void onTargetLoad(String target, int calls, long now) {
-        int known = ownCalls(target).plus(others.getOrDefault(target, TargetCalls.NONE)).total();
-        Foreign before = foreign.get(target);
-        int unknown = Math.max(0, calls - known);
-        // One statement alone may cross a report on its way; two in a row are no chance.
+        int known =
+                ownCalls(target).plus(otherCalls.getOrDefault(target, TargetCalls.NONE)).total();
+        Excess before = excesses.get(target);
+        int excess = Math.max(0, calls - known);
+        // A single excess may be a call whose report is still on its way; it must be seen twice.
         int confirmed =
-                before == null || now - before.at() >= foreignLifeNanos
+                before == null || now - before.at() >= excessExpiryNanos
                         ? 0
-                        : Math.min(unknown, before.seen());
-        foreign.put(target, new Foreign(unknown, confirmed, now));
+                        : Math.min(excess, before.latest());
+        excesses.put(target, new Excess(excess, confirmed, now));
     }
 
     /**
-     * All calls on a target as far as they are known.
+     * Returns the calls of all instances on a target, as far as they are known.
      *
      * @param target the target
      * @param now the time
-     * @return online calls, with those that nobody reported, and batch items
+     * @return batch items and online calls, including calls that only the target stated
      */
     public TargetCalls knownCalls(String target, long now) {
-        Foreign seen = foreign.get(target);
-        int unknown = seen == null || now - seen.at() >= foreignLifeNanos ? 0 : seen.confirmed();
+        Excess excess = excesses.get(target);
+        int unreported =
+                excess == null || now - excess.at() >= excessExpiryNanos ? 0 : excess.confirmed();
         return ownCalls(target)
-                .plus(others.getOrDefault(target, TargetCalls.NONE))
-                .plus(new TargetCalls(unknown, 0));
+                .plus(otherCalls.getOrDefault(target, TargetCalls.NONE))
+                .plus(new TargetCalls(unreported, 0));
     }
 
     /**
-     * Batch items on a target by the instance that runs them, this instance not among them.
+     * Returns the batch items on a target by the instance that started them, without this
+     * instance's own.
      *
      * @param target the target
-     * @return items by instance
+     * @return number of items by name of the instance
      */
     public Map<String, Integer> batchItemsByInstance(String target) {
         return reports.entrySet().stream()
@@ -150,11 +157,11 @@
                                 Map.Entry::getKey, report -> report.getValue().batch(target)));
     }
 
-    private record Report(Map<String, TargetCalls> uses, long at) {
+    private record Report(Map<String, TargetCalls> calls, long at) {
         int batch(String target) {
-            return uses.getOrDefault(target, TargetCalls.NONE).batch();
+            return calls.getOrDefault(target, TargetCalls.NONE).batch();
         }
     }
 
-    private record Foreign(int seen, int confirmed, long at) {}
+    private record Excess(int latest, int confirmed, long at) {}
 }
--- a/core/src/main/java/org/sardinelift/core/load/RetryAfterSchedule.java
+++ b/core/src/main/java/org/sardinelift/core/load/RetryAfterSchedule.java
@@ -3,85 +3,87 @@
 import java.time.Duration;
 
 /**
- * When refused callers are told to come back.
+ * Determines the Retry-After times of refused callers.
  *
- * <p>Load answered: steps of traffic above what the targets can take, for seconds, with less than
- * that in between. While calls that are new take more slots than come free, whoever returns meets
- * the same peak, so that callers are told the longest time that they honour. Otherwise each is
- * given the time at which a slot is expected that no earlier refusal was given, so that those who
- * return don't come as one wave. Times are nanoseconds of a monotonic clock. Not safe for use by
- * several threads at once.
+ * <p>Traffic exceeds the capacity of the targets for seconds at a time and stays below it in
+ * between. While new calls take more slots than become free, a returning caller meets the same
+ * peak, so callers are told the longest time that they honour. Otherwise each is told the time of
+ * the next expected free slot that no earlier refusal was given, so that callers do not return in
+ * one wave. Times are nanoseconds of a monotonic clock. Not thread-safe.
  */
 public final class RetryAfterSchedule {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Time over which the rate of new calls is taken; a fraction of a step of the traffic. */
-    private static final double RATE_SECONDS = 0.4;
+    /**
+     * Time over which the rate of new calls is averaged; a fraction of the length of a traffic
+     * peak.
+     */
+    private static final double RATE_WINDOW_SECONDS = 0.4;
 
-    /** Part of the slots that must be spare for a time to be reckoned from it. */
-    private static final double LEAST_SPARE = 0.1;
+    /** Fraction of the freed slots that new calls must leave for times to be based on the rest. */
+    private static final double MIN_SPARE_FRACTION = 0.1;
 
-    /** Part of the longest time by which callers are spread who are all told about as long. */
-    private static final double SPREAD = 0.15;
+    /** Callers told to wait for the longest time are spread over this last fraction of it. */
+    private static final double LONGEST_SPREAD_FRACTION = 0.15;
 
-    /** A caller that is back sooner has spent its attempt on the same moment. */
-    private static final Duration SHORTEST = Duration.ofMillis(60);
+    /** A caller that returns sooner wastes its attempt on the same peak. */
+    private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(60);
 
-    private long lastGiven;
-    private boolean given;
+    private long lastReturn;
+    private boolean hasLastReturn;
     private double callsPerSecond;
-    private long countedAt;
+    private long rateUpdatedAt;
 
     private RetryAfterSchedule() {}
 
     /**
-     * Nobody was refused yet.
+     * Creates a schedule without refusals.
      *
-     * @return the times
+     * @return the schedule
      */
     public static RetryAfterSchedule create() {
         return new RetryAfterSchedule();
     }
 
     /**
-     * A call has come that was not refused before.
+     * A call arrived that had not been refused before.
      *
      * @param now the time
      */
     public void onNewCall(long now) {
-        callsPerSecond = rate(now) + 1 / RATE_SECONDS;
-        countedAt = now;
+        callsPerSecond = rate(now) + 1 / RATE_WINDOW_SECONDS;
+        rateUpdatedAt = now;
     }
 
     private double rate(long now) {
-        double seconds = (now - countedAt) / NANOS_PER_SECOND;
-        return callsPerSecond * Math.exp(-seconds / RATE_SECONDS);
+        double seconds = (now - rateUpdatedAt) / NANOS_PER_SECOND;
+        return callsPerSecond * Math.exp(-seconds / RATE_WINDOW_SECONDS);
     }
 
     /**
-     * Gives the next time.
+     * Returns the time after which the next refused caller should return.
      *
-     * @param untilRoom expected time until there is room for one call
-     * @param slotsPerSecond slots that become free for callers of this gateway
+     * @param untilCapacity expected time until there is capacity for one call
+     * @param slotsPerSecond slots per second that become free for callers of this gateway
      * @param longest longest time that the caller honours
-     * @param draw number spread evenly over the calls
+     * @param draw number distributed evenly over the calls
      * @param now the time
-     * @return when to come back, from now
+     * @return the time from now
      */
     public Duration nextRetryAfter(
-            Duration untilRoom, double slotsPerSecond, Duration longest, long draw, long now) {
-        double spare = slotsPerSecond - rate(now);
-        if (spare <= LEAST_SPARE * slotsPerSecond) {
-            double part = 1 - SPREAD * Math.floorMod(draw, 1_000) / 1_000.0;
-            return Duration.ofNanos((long) (longest.toNanos() * part));
+            Duration untilCapacity, double slotsPerSecond, Duration longest, long draw, long now) {
+        double spareSlotsPerSecond = slotsPerSecond - rate(now);
+        if (spareSlotsPerSecond <= MIN_SPARE_FRACTION * slotsPerSecond) {
+            double fraction = 1 - LONGEST_SPREAD_FRACTION * Math.floorMod(draw, 1_000) / 1_000.0;
+            return Duration.ofNanos((long) (longest.toNanos() * fraction));
         }
-        long earliest = now + Math.max(untilRoom.toNanos(), SHORTEST.toNanos());
-        long interval = (long) (NANOS_PER_SECOND / spare);
-        long time = given ? Math.max(earliest, lastGiven + interval) : earliest;
+        long earliest = now + Math.max(untilCapacity.toNanos(), MIN_RETRY_AFTER.toNanos());
+        long interval = (long) (NANOS_PER_SECOND / spareSlotsPerSecond);
+        long time = hasLastReturn ? Math.max(earliest, lastReturn + interval) : earliest;
         long latest = now + longest.toNanos();
-        // More were refused than there is room for in time: the next ones share the same span.
-        lastGiven = time > latest ? earliest : time;
-        given = true;
+        // All slots up to the latest time are assigned, so they are assigned again from the first.
+        lastReturn = time > latest ? earliest : time;
+        hasLastReturn = true;
         return Duration.ofNanos(Math.min(time, latest) - now);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/load/TargetCalls.java
+++ b/core/src/main/java/org/sardinelift/core/load/TargetCalls.java
@@ -1,19 +1,19 @@
 package org.sardinelift.core.load;
 
 /**
- * Calls of one instance on a target, under way or queued there.
+ * Numbers of calls on a target, running or queued there.
  *
  * @param online calls whose callers wait
- * @param batch items of batch jobs, which give way
+ * @param batch items of batch jobs, which are preempted for online calls
  */
 public record TargetCalls(int online, int batch) {
     /** No calls. */
     public static final TargetCalls NONE = new TargetCalls(0, 0);
 
     /**
-     * Calls in all.
+     * Returns the number of all calls.
      *
-     * @return online and batch
+     * @return online calls and batch items
      */
     public int total() {
         return online + batch;
@@ -22,7 +22,7 @@
     /**
      * Adds calls.
      *
-     * @param other what to add
+     * @param other the calls to add
      * @return the sum
      */
     public TargetCalls plus(TargetCalls other) {
--- a/core/src/main/java/org/sardinelift/core/load/TargetHealth.java
+++ b/core/src/main/java/org/sardinelift/core/load/TargetHealth.java
@@ -3,162 +3,170 @@
 import java.time.Duration;
 
 /**
- * Whether one target can be sent calls, from what its calls show. A target that doesn't answer is
- * left out until a probe succeeds; one that often fails is left out for growing pauses. Times are
- * nanoseconds of a monotonic clock. Not safe for use by several threads at once.
+ * Health of one target, as seen from the calls sent to it. A target that does not answer gets no
+ * calls until a probe succeeds; one that often fails gets none for increasingly long pauses. Times
+ * are nanoseconds of a monotonic clock. Not thread-safe.
  */
 public final class TargetHealth {
     /** Weight of the newest sample in the running means. */
-    private static final double WEIGHT = 0.2;
+    private static final double SAMPLE_WEIGHT = 0.2;
 
-    /** Part of failed calls from which a target is left out for a while. */
-    private static final double TOO_MANY_FAILURES = 0.35;
+    /** Fraction of failed calls from which a target is paused. */
+    private static final double MAX_FAILURE_RATE = 0.35;
 
-    private static final int LEAST_CALLS = 4;
-    private static final int MAX_DOUBLINGS = 4;
+    private static final int MIN_CALLS_TO_PAUSE = 4;
+    private static final int MAX_PAUSE_DOUBLINGS = 4;
 
-    private final long probeNanos;
-    private final long pauseNanos;
+    private final long probeIntervalNanos;
+    private final long firstPauseNanos;
     private double timeToFirstEventNanos;
     private double callNanos;
     private double eventGapNanos;
-    private double failures;
+    private double failureRate;
     private int calls;
     private int pauses;
-    private boolean down;
-    private boolean probing;
-    private long probeAt;
+    private boolean isSilent;
+    private boolean isProbing;
+    private long nextProbeAt;
     private long pausedUntil;
-    private boolean paused;
+    private boolean isPaused;
 
     private TargetHealth(
-            Duration probe, Duration pause, Duration first, Duration call, Duration gap) {
-        this.probeNanos = probe.toNanos();
-        this.pauseNanos = pause.toNanos();
-        this.timeToFirstEventNanos = first.toNanos();
-        this.callNanos = call.toNanos();
-        this.eventGapNanos = gap.toNanos();
+            Duration probeInterval,
+            Duration firstPause,
+            Duration timeToFirstEvent,
+            Duration callTime,
+            Duration eventGap) {
+        this.probeIntervalNanos = probeInterval.toNanos();
+        this.firstPauseNanos = firstPause.toNanos();
+        this.timeToFirstEventNanos = timeToFirstEvent.toNanos();
+        this.callNanos = callTime.toNanos();
+        this.eventGapNanos = eventGap.toNanos();
     }
 
     /**
-     * A target of which nothing is known.
+     * Creates the health of a target that has had no calls yet.
      *
-     * @param probe time between probes of a target that doesn't answer
-     * @param pause first pause of a target that often fails
-     * @param first usual time to the first event
-     * @param call usual time that a call holds a slot
-     * @param gap usual time between two events
-     * @return its health
+     * @param probeInterval time between probes of a target that does not answer
+     * @param firstPause first pause of a target that often fails
+     * @param timeToFirstEvent usual time to the first event
+     * @param callTime usual time that a call occupies a slot
+     * @param eventGap usual time between two events
+     * @return the health
      */
     public static TargetHealth of(
-            Duration probe, Duration pause, Duration first, Duration call, Duration gap) {
-        return new TargetHealth(probe, pause, first, call, gap);
+            Duration probeInterval,
+            Duration firstPause,
+            Duration timeToFirstEvent,
+            Duration callTime,
+            Duration eventGap) {
+        return new TargetHealth(probeInterval, firstPause, timeToFirstEvent, callTime, eventGap);
     }
 
     /**
-     * A call got its first event.
+     * The first event of a call arrived.
      *
-     * @param nanos time since the send, less the wait that was expected
+     * @param nanos time since the call was sent, less the expected wait
      */
     public void onFirstEvent(long nanos) {
         timeToFirstEventNanos = mean(timeToFirstEventNanos, Math.max(0, nanos));
     }
 
     /**
-     * A call ended well.
+     * A call succeeded.
      *
      * @param nanos time since its first event
-     * @param gaps pauses between events in it
+     * @param gaps number of gaps between its events
      */
     public void onSuccess(long nanos, int gaps) {
         callNanos = mean(callNanos, nanos + timeToFirstEventNanos);
         if (gaps > 0) {
             eventGapNanos = mean(eventGapNanos, (double) nanos / gaps);
         }
-        note(0);
+        recordOutcome(0);
         pauses = 0;
     }
 
     /**
-     * A call failed in a way that speaks against the target.
+     * A call failed in a way that indicates a fault of the target.
      *
      * @param now the time
-     * @return whether the target is left out from now on
+     * @return whether the target is paused because of this failure
      */
     public boolean onFailure(long now) {
-        note(1);
-        if (paused || calls < LEAST_CALLS || failures < TOO_MANY_FAILURES) {
+        recordOutcome(1);
+        if (isPaused || calls < MIN_CALLS_TO_PAUSE || failureRate < MAX_FAILURE_RATE) {
             return false;
         }
-        paused = true;
-        pausedUntil = now + (pauseNanos << Math.min(MAX_DOUBLINGS, pauses++));
+        isPaused = true;
+        pausedUntil = now + (firstPauseNanos << Math.min(MAX_PAUSE_DOUBLINGS, pauses++));
         return true;
     }
 
-    private void note(double failed) {
+    private void recordOutcome(double failed) {
         calls++;
-        failures = mean(failures, failed);
+        failureRate = mean(failureRate, failed);
     }
 
     /**
-     * The target doesn't answer.
+     * The target did not answer.
      *
      * @param now the time
-     * @return whether that is news
+     * @return false if it was already known not to answer
      */
     public boolean onSilent(long now) {
-        if (down) {
+        if (isSilent) {
             return false;
         }
-        down = true;
-        probing = false;
-        probeAt = now;
+        isSilent = true;
+        isProbing = false;
+        nextProbeAt = now;
         return true;
     }
 
     /**
-     * Takes the turn to probe the target.
+     * Starts a probe of the target if one is due.
      *
      * @param now the time
-     * @return whether it is to be probed now
+     * @return whether the target is to be probed now
      */
     public boolean tryStartProbe(long now) {
-        if (!down || probing || now - probeAt < 0) {
+        if (!isSilent || isProbing || now - nextProbeAt < 0) {
             return false;
         }
-        probing = true;
+        isProbing = true;
         return true;
     }
 
     /**
-     * A probe has ended.
+     * A probe ended.
      *
-     * @param answered whether the target answered
+     * @param hasAnswered whether the target answered
      * @param now the time
      */
-    public void onProbeEnded(boolean answered, long now) {
-        probing = false;
-        down = down && !answered;
-        probeAt = now + probeNanos;
+    public void onProbeEnded(boolean hasAnswered, long now) {
+        isProbing = false;
+        isSilent = isSilent && !hasAnswered;
+        nextProbeAt = now + probeIntervalNanos;
     }
 
     /**
-     * Whether calls may be sent to the target.
+     * Returns whether calls may be sent to the target.
      *
      * @param now the time
-     * @return false while it is left out
+     * @return false while it does not answer or is paused
      */
     public boolean isUsable(long now) {
-        if (paused && now - pausedUntil >= 0) {
-            paused = false;
-            // One failure leaves it out again, some good calls clear it.
-            failures = TOO_MANY_FAILURES / 2;
+        if (isPaused && now - pausedUntil >= 0) {
+            isPaused = false;
+            // Two failures in a row pause it again, some successes clear it.
+            failureRate = MAX_FAILURE_RATE / 2;
         }
-        return !down && !paused;
+        return !isSilent && !isPaused;
     }
 
     /**
-     * Usual time from the send to the first event where a slot is free.
+     * Returns the usual time from sending a call to its first event if a slot is free.
      *
      * @return nanoseconds
      */
@@ -167,7 +175,7 @@
     }
 
     /**
-     * Usual time that a call holds a slot.
+     * Returns the usual time that a call occupies a slot.
      *
      * @return nanoseconds
      */
@@ -176,7 +184,7 @@
     }
 
     /**
-     * Usual time between two events.
+     * Returns the usual time between two events.
      *
      * @return nanoseconds
      */
@@ -185,6 +193,6 @@
     }
 
     private static double mean(double before, double sample) {
-        return before + WEIGHT * (sample - before);
+        return before + SAMPLE_WEIGHT * (sample - before);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/load/TargetLoad.java
+++ b/core/src/main/java/org/sardinelift/core/load/TargetLoad.java
@@ -1,14 +1,15 @@
 package org.sardinelift.core.load;
 
 /**
- * A target as the choice sees it at one moment.
+ * Load of a target at one moment.
  *
  * @param id name of the target
  * @param zone its availability zone
  * @param slots calls that it runs at once
- * @param use calls on it
- * @param callNanos time that a call holds a slot there
- * @param firstNanos time from the send to the first event where a slot is free
+ * @param calls calls on it
+ * @param callNanos time that a call occupies a slot, nanoseconds
+ * @param timeToFirstEventNanos time from sending a call to its first event if a slot is free,
+ *     nanoseconds
  */
 public record TargetLoad(
         String id,
@@ -19,27 +20,27 @@
         long timeToFirstEventNanos) {
 
     /**
-     * Slots that nothing holds.
+     * Returns the slots that no call occupies.
      *
-     * @return free slots, negative where calls are queued
+     * @return number of free slots, negative if calls are queued
      */
     public int freeSlots() {
         return slots - calls.total();
     }
 
     /**
-     * Slots that no online call holds: batch items give theirs up.
+     * Returns the slots that no online call occupies: batch items are preempted for online calls.
      *
-     * @return free slots, negative where online calls are queued
+     * @return number of slots, negative if online calls are queued
      */
     public int freeSlotsForOnline() {
         return slots - calls.online();
     }
 
     /**
-     * How long one more online call would wait for a slot.
+     * Returns how long another online call would wait for a slot.
      *
-     * @return time, nanoseconds
+     * @return expected time, nanoseconds
      */
     public long expectedWaitNanos() {
         int ahead = 1 - freeSlotsForOnline();
@@ -47,9 +48,9 @@
     }
 
     /**
-     * When one more online call would have its first event.
+     * Returns how long another online call would wait for its first event.
      *
-     * @return time from the send, nanoseconds
+     * @return expected time from sending the call, nanoseconds
      */
     public long expectedFirstEventNanos() {
         return expectedWaitNanos() + timeToFirstEventNanos;
--- a/core/src/main/java/org/sardinelift/core/load/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/load/package-info.java
@@ -1,4 +1,4 @@
-/** Which target takes a call: what is known of the load of each, and the choice among them. */
+/** Load and health of the targets, and the choice of a target by them. */
 @NullMarked
 package org.sardinelift.core.load;
 
--- a/core/src/test/java/org/sardinelift/core/load/PlacementTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/PlacementTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.core.load.Placement.Choice;
 
+/** A call must go where its first event is in time, or be refused at once. */
 class PlacementTest {
     private static final long MILLI = 1_000_000;
     private static final Duration OBJECTIVE = Duration.ofMillis(300);
@@ -30,17 +31,17 @@
     }
 
     @Test
-    void takesTheEmptierOfTwoInItsZone() {
+    void prefersTheLessLoadedTargetInItsZone() {
         assertEquals("b", chosen(target("a", "near", 5, 0), target("b", "near", 4, 0)));
     }
 
     @Test
-    void goesToAnotherZoneForAFreeSlot() {
+    void prefersAFreeSlotInAnotherZoneToPreemption() {
         assertEquals("b", chosen(target("a", "near", 4, 4), target("b", "far", 7, 0)));
     }
 
     @Test
-    void takesTheSlotOfABatchItemBeforeAQueue() {
+    void prefersPreemptingABatchItemToAQueue() {
         assertEquals("b", chosen(target("a", "near", 8, 0), target("b", "far", 7, 1)));
     }
 
@@ -66,20 +67,20 @@
                         7);
 
         Choice.Refused refusal = assertInstanceOf(Choice.Refused.class, choice);
-        // Four ahead of a slot that comes free each 100 ms, less what the objective leaves.
+        // The call gets the fourth slot to become free, one every 100 ms; 270 ms are left.
         assertEquals(Duration.ofMillis(400 + 50 - 270), refusal.retryAfter());
         assertTrue(!refusal.hasNoTarget());
     }
 
     @Test
-    void saysThatThereIsNoTarget() {
+    void reportsThatThereIsNoTarget() {
         Choice choice = placement.choose(List.of(), OBJECTIVE, 7);
 
         assertTrue(assertInstanceOf(Choice.Refused.class, choice).hasNoTarget());
     }
 
     @Test
-    void equalTargetsShareTheCalls() {
+    void distributesCallsOverEqualTargets() {
         long toFirst =
                 java.util.stream.LongStream.range(0, 400)
                         .map(draw -> draw * 0x9E3779B97F4A7C15L)
--- a/core/src/test/java/org/sardinelift/core/load/RetryAfterScheduleTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/RetryAfterScheduleTest.java
@@ -8,15 +8,17 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
+/** Refused callers must not return in one wave, nor into the peak that they were refused at. */
 class RetryAfterScheduleTest {
     private static final long MILLI = 1_000_000;
     private static final Duration LONGEST = Duration.ofMillis(1_600);
 
-    private final RetryAfterSchedule times = RetryAfterSchedule.create();
+    private final RetryAfterSchedule schedule = RetryAfterSchedule.create();
 
-    private long nextMs(int untilRoomMs, double slotsPerSecond, long draw, long nowMs) {
-        return times.nextRetryAfter(
-                        Duration.ofMillis(untilRoomMs),
+    private long nextRetryAfterMs(
+            int untilCapacityMs, double slotsPerSecond, long draw, long nowMs) {
+        return schedule.nextRetryAfter(
+                        Duration.ofMillis(untilCapacityMs),
                         slotsPerSecond,
                         LONGEST,
                         draw,
@@ -24,58 +26,63 @@
                 .toMillis();
     }
 
-    private long nextMs(int untilRoomMs, long nowMs) {
-        return nextMs(untilRoomMs, 50, 0, nowMs);
+    private long nextRetryAfterMs(int untilCapacityMs, long nowMs) {
+        return nextRetryAfterMs(untilCapacityMs, 50, 0, nowMs);
     }
 
     @Test
-    void theFirstComesWhenThereIsRoom() {
-        assertEquals(100, nextMs(100, 0));
+    void theFirstReturnsWhenCapacityIsExpected() {
+        assertEquals(100, nextRetryAfterMs(100, 0));
     }
 
     @Test
-    void nobodyIsToldToComeBackAtOnce() {
-        assertEquals(60, nextMs(2, 0));
+    void neverReturnsLessThanTheMinimum() {
+        assertEquals(60, nextRetryAfterMs(2, 0));
     }
 
     @Test
-    void thoseOfOneBurstComeOneAfterTheOther() {
-        List<Long> told = IntStream.range(0, 5).mapToObj(i -> nextMs(100, 0)).toList();
+    void callersOfABurstReturnOneAfterTheOther() {
+        List<Long> retryAfterMs =
+                IntStream.range(0, 5).mapToObj(i -> nextRetryAfterMs(100, 0)).toList();
 
-        assertEquals(List.of(100L, 120L, 140L, 160L, 180L), told);
+        assertEquals(List.of(100L, 120L, 140L, 160L, 180L), retryAfterMs);
     }
 
     @Test
-    void nobodyIsToldLongerThanCallersHonour() {
-        assertTrue(IntStream.range(0, 300).allMatch(i -> nextMs(100, 0) <= 1_600));
+    void neverReturnsMoreThanTheLongestTime() {
+        assertTrue(IntStream.range(0, 300).allMatch(i -> nextRetryAfterMs(100, 0) <= 1_600));
     }
 
     @Test
-    void anOldBurstDelaysNobody() {
-        IntStream.range(0, 5).forEach(i -> nextMs(100, 0));
+    void anOldBurstDoesNotDelayNewCallers() {
+        IntStream.range(0, 5).forEach(i -> nextRetryAfterMs(100, 0));
 
-        assertEquals(100, nextMs(100, 1_000));
+        assertEquals(100, nextRetryAfterMs(100, 1_000));
     }
 
     @Test
-    void atAPeakThatNewCallsFillCallersReturnAfterIt() {
+    void callersReturnAfterAPeakOfNewCalls() {
         for (int ms = 0; ms < 2_000; ms += 10) {
-            times.onNewCall(ms * MILLI);
+            schedule.onNewCall(ms * MILLI);
         }
 
-        List<Long> told =
-                IntStream.range(0, 100).mapToObj(i -> nextMs(100, 50, i * 7_919L, 2_000)).toList();
+        List<Long> retryAfterMs =
+                IntStream.range(0, 100)
+                        .mapToObj(i -> nextRetryAfterMs(100, 50, i * 7_919L, 2_000))
+                        .toList();
 
-        assertTrue(told.stream().allMatch(ms -> ms >= 1_350 && ms <= 1_600), told.toString());
-        assertTrue(told.stream().distinct().count() > 50, told.toString());
+        assertTrue(
+                retryAfterMs.stream().allMatch(ms -> ms >= 1_350 && ms <= 1_600),
+                retryAfterMs.toString());
+        assertTrue(retryAfterMs.stream().distinct().count() > 50, retryAfterMs.toString());
     }
 
     @Test
-    void afterThePeakTheyReturnAsSlotsComeFree() {
+    void afterThePeakCallersReturnAsSlotsBecomeFree() {
         for (int ms = 0; ms < 2_000; ms += 10) {
-            times.onNewCall(ms * MILLI);
+            schedule.onNewCall(ms * MILLI);
         }
 
-        assertEquals(100, nextMs(100, 50, 0, 4_000));
+        assertEquals(100, nextRetryAfterMs(100, 50, 0, 4_000));
     }
 }
--- a/core/src/test/java/org/sardinelift/core/load/TargetHealthTest.java
+++ b/core/src/test/java/org/sardinelift/core/load/TargetHealthTest.java
@@ -8,6 +8,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
+/** A silent or failing target must get no calls, and a few failures must not exclude it. */
 class TargetHealthTest {
     private static final long MILLI = 1_000_000;
 
@@ -20,7 +21,7 @@
                     Duration.ofMillis(25));
 
     @Test
-    void aSilentTargetIsLeftOutUntilAProbeSucceeds() {
+    void aSilentTargetIsUnusableUntilAProbeSucceeds() {
         assertTrue(health.onSilent(0));
         assertFalse(health.onSilent(1));
         assertFalse(health.isUsable(10_000 * MILLI));
@@ -36,7 +37,7 @@
     }
 
     @Test
-    void aTargetThatOftenFailsIsLeftOutForGrowingPauses() {
+    void aFailingTargetIsPausedForIncreasingTimes() {
         IntStream.range(0, 4).forEach(i -> health.onFailure(0));
         assertFalse(health.isUsable(399 * MILLI));
         assertTrue(health.isUsable(400 * MILLI));
@@ -50,7 +51,7 @@
     }
 
     @Test
-    void aFewFailuresAmongManyCallsLeaveItIn() {
+    void aFewFailuresAmongManyCallsDoNotPauseIt() {
         IntStream.range(0, 200)
                 .forEach(
                         i -> {
