--- a/core/src/main/java/org/sardinelift/core/route/Candidate.java
+++ b/core/src/main/java/org/sardinelift/core/route/Candidate.java
@@ -3,17 +3,17 @@
 import java.util.Set;
 
 /**
- * A target as the router sees it at one moment.
+ * Snapshot of a target for the router.
  *
  * @param name name of the companion beside the target
- * @param service service that the target offers
+ * @param service service that the target runs
  * @param zone availability zone
- * @param models models loaded, empty for a plain service
+ * @param models loaded models, empty for a plain service
  * @param slots calls that the target runs at once
  * @param inFlight online calls of this entry on it
- * @param reported online calls of all entries on it, running and queued, as last reported
- * @param usable whether new work may be sent: connected, healthy and not leaving
- * @param admission whether failures keep it out
+ * @param reportedCalls online calls of all entries on it, running and queued, as last reported
+ * @param isUsable whether new calls may be sent: it is connected, healthy and not leaving
+ * @param admission whether it is ejected because of failures
  */
 public record Candidate(
         String name,
@@ -27,7 +27,8 @@
         Ejection.Admission admission) {
 
     /**
-     * Calls on the target: the report lags, so this entry's own calls are a lower bound.
+     * Returns the number of calls on the target. The report lags, so this entry's own calls are a
+     * lower bound.
      *
      * @return the larger of the reported and this entry's own calls
      */
@@ -36,19 +37,19 @@
     }
 
     /**
-     * Load for each slot.
+     * Returns the load per slot.
      *
-     * @return 1.0 where every slot is taken
+     * @return 1.0 if every slot is in use, more if calls are queued
      */
     public double slotUtilization() {
         return (double) load() / Math.max(1, slots);
     }
 
     /**
-     * Whether the target can run a model.
+     * Returns whether the target can run a model.
      *
-     * @param model model or adapter, empty for any
-     * @return true where it is loaded
+     * @param model name of the model or adapter, empty for any
+     * @return true if it is loaded
      */
     public boolean canServe(String model) {
         return model.isEmpty() || models.contains(model);
--- a/core/src/main/java/org/sardinelift/core/route/Ejection.java
+++ b/core/src/main/java/org/sardinelift/core/route/Ejection.java
@@ -1,8 +1,8 @@
 package org.sardinelift.core.route;
 
 /**
- * Keeps a failing target out for growing pauses and lets it back in by a single probe. Not safe for
- * use by several threads at once.
+ * Ejects a failing target for increasingly long pauses and readmits it after a successful probe by
+ * a single call. Not thread-safe.
  */
 public final class Ejection {
     private final int failuresToEject;
@@ -10,17 +10,17 @@
     private final long longestPauseNanos;
     private int failures;
     private long pauseNanos;
-    private long openAtNanos;
-    private boolean out;
-    private boolean probing;
+    private long probeAtNanos;
+    private boolean isEjected;
+    private boolean isProbing;
 
-    /** Whether calls may go to the target. */
+    /** Whether calls may be sent to the target. */
     public enum Admission {
-        /** Calls go to it. */
+        /** Calls may be sent. */
         IN,
-        /** One call may go to it as a probe. */
+        /** One call may be sent as a probe. */
         PROBE,
-        /** No call goes to it. */
+        /** No call may be sent. */
         OUT
     }
 
@@ -31,9 +31,9 @@
     }
 
     /**
-     * A target without failures.
+     * Creates the state of a target without failures.
      *
-     * @param failuresToEject failures in a row that keep it out
+     * @param failuresToEject failures in a row that eject the target
      * @param firstPauseNanos first pause, nanoseconds
      * @param longestPauseNanos longest pause, nanoseconds
      * @return the state of one target
@@ -43,70 +43,70 @@
     }
 
     /**
-     * Whether calls may go to the target.
+     * Returns whether calls may be sent to the target.
      *
      * @param nowNanos time, nanoseconds
      * @return its admission
      */
     public Admission admission(long nowNanos) {
-        if (!out) {
+        if (!isEjected) {
             return Admission.IN;
         }
-        return probing || nowNanos - openAtNanos < 0 ? Admission.OUT : Admission.PROBE;
+        return isProbing || nowNanos - probeAtNanos < 0 ? Admission.OUT : Admission.PROBE;
     }
 
     /**
-     * Takes the place of the single probe.
+     * Starts the probe if one may be sent.
      *
      * @param nowNanos time, nanoseconds
-     * @return false where another call is the probe or the pause has not passed
+     * @return false if another call is the probe or the pause has not passed
      */
     public boolean tryStartProbe(long nowNanos) {
         if (admission(nowNanos) != Admission.PROBE) {
             return false;
         }
-        probing = true;
+        isProbing = true;
         return true;
     }
 
     /**
      * A call on the target succeeded.
      *
-     * @return whether this lets the target back in
+     * @return whether this readmits the target
      */
     public boolean onSuccess() {
-        boolean wasOut = out;
+        boolean wasEjected = isEjected;
         failures = 0;
         pauseNanos = 0;
-        out = false;
-        probing = false;
-        return wasOut;
+        isEjected = false;
+        isProbing = false;
+        return wasEjected;
     }
 
     /**
-     * A call on the target failed in a way that speaks against its health.
+     * A call on the target failed in a way that indicates a fault of the target.
      *
      * @param nowNanos time, nanoseconds
-     * @return whether the target was left out by this failure
+     * @return whether this failure ejects the target
      */
     public boolean onFailure(long nowNanos) {
         failures++;
-        if (out && !probing) {
+        if (isEjected && !isProbing) {
             return false;
         }
-        if (failures < failuresToEject && !probing) {
+        if (failures < failuresToEject && !isProbing) {
             return false;
         }
         pauseNanos =
                 pauseNanos == 0 ? firstPauseNanos : Math.min(longestPauseNanos, pauseNanos * 2);
-        openAtNanos = nowNanos + pauseNanos;
-        out = true;
-        probing = false;
+        probeAtNanos = nowNanos + pauseNanos;
+        isEjected = true;
+        isProbing = false;
         return true;
     }
 
-    /** The probe ended without telling anything about the target; another call may be the probe. */
+    /** The probe ended without a result on the target's health; another call may be the probe. */
     public void onProbeInconclusive() {
-        probing = false;
+        isProbing = false;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/route/Rendezvous.java
+++ b/core/src/main/java/org/sardinelift/core/route/Rendezvous.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Rendezvous (highest random weight) hashing: each key ranks the targets in its own order. */
+/** Rendezvous (highest random weight) hashing: each key has its own order of the targets. */
 public final class Rendezvous {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
@@ -10,10 +10,11 @@
     private Rendezvous() {}
 
     /**
-     * Weight of a target for a key; the targets are taken from the highest weight down.
+     * Returns the weight of a target for a key. The target with the highest weight is the first
+     * choice.
      *
-     * @param key what is placed
-     * @param target where it may be placed
+     * @param key key of what is assigned
+     * @param target name of the target
      * @return the weight
      */
     public static long weight(String key, String target) {
--- a/core/src/main/java/org/sardinelift/core/route/Router.java
+++ b/core/src/main/java/org/sardinelift/core/route/Router.java
@@ -6,12 +6,15 @@
 import java.util.function.Predicate;
 
 /**
- * Chooses the target of a call: same availability zone first, then the less loaded of the first two
- * targets in the call's rendezvous order whose load is within a bound of the mean.
+ * Chooses the target of a call: targets in the same availability zone first, and of these the less
+ * loaded of the first two in the call's rendezvous order whose load is within a bound of the mean.
  */
 public final class Router {
-    /** Calls by which the favourite may be ahead of the next target and still be chosen. */
-    private static final int AFFINITY_MARGIN = 2;
+    /**
+     * Calls that the first target may have more than the second and still be chosen, which keeps
+     * calls of one affinity key together.
+     */
+    private static final int MAX_EXTRA_CALLS = 2;
 
     private final String zone;
     private final String instance;
@@ -29,13 +32,14 @@
     }
 
     /**
-     * Makes a router.
+     * Creates a router.
      *
      * @param zone availability zone of this entry
-     * @param instance name of this entry; picks its stable subset
-     * @param loadBound load above which affinity gives way, as a multiple of the mean load
-     * @param spillPressure load for each slot above which calls leave the zone
-     * @param subsetSize targets of one service that this entry uses at most in each zone
+     * @param instance name of this entry, which determines its stable subset of targets
+     * @param loadBound load from which a target is passed over despite affinity, as a multiple of
+     *     the mean load
+     * @param spillPressure mean load per slot from which calls may leave the zone
+     * @param subsetSize maximum number of targets of one service that this entry uses in each zone
      * @return the router
      */
     public static Router of(
@@ -46,71 +50,76 @@
     /**
      * Chooses a target.
      *
-     * @param candidates all targets as they are now
+     * @param candidates all targets in their current state
      * @param request the call
-     * @return the target, or empty where none can take the call
+     * @return the target, or empty if none can run the call
      */
     public Optional<Candidate> choose(List<Candidate> candidates, RouteRequest request) {
-        List<Candidate> able =
+        List<Candidate> eligible =
                 candidates.stream()
                         .filter(Candidate::isUsable)
                         .filter(target -> target.service().equals(request.service()))
                         .filter(target -> target.canServe(request.model()))
                         .filter(target -> target.admission() != Ejection.Admission.OUT)
                         .toList();
-        List<Candidate> fresh =
-                only(able, target -> !request.failedTargets().contains(target.name()));
-        List<Candidate> pool = fresh.isEmpty() ? able : fresh;
+        List<Candidate> untried =
+                matching(eligible, target -> !request.failedTargets().contains(target.name()));
+        List<Candidate> pool = untried.isEmpty() ? eligible : untried;
         if (request.isPinned()) {
-            return order(pool, request).stream().findFirst();
+            return ranked(pool, request).stream().findFirst();
         }
         Optional<Candidate> probe =
-                order(pool, request).stream()
+                ranked(pool, request).stream()
                         .filter(target -> target.admission() == Ejection.Admission.PROBE)
                         .filter(target -> request.failedTargets().isEmpty())
                         .findFirst();
         if (probe.isPresent()) {
             return probe;
         }
-        List<Candidate> in = only(pool, target -> target.admission() == Ejection.Admission.IN);
-        return in.isEmpty() ? order(pool, request).stream().findFirst() : chooseIn(in, request);
+        List<Candidate> admitted =
+                matching(pool, target -> target.admission() == Ejection.Admission.IN);
+        return admitted.isEmpty()
+                ? ranked(pool, request).stream().findFirst()
+                : chooseByZone(admitted, request);
     }
 
-    private Optional<Candidate> chooseIn(List<Candidate> pool, RouteRequest request) {
-        List<Candidate> local = subset(only(pool, target -> target.zone().equals(zone)));
-        if (!local.isEmpty() && meanPressure(local) < spillPressure) {
-            return bounded(local, request);
+    private Optional<Candidate> chooseByZone(List<Candidate> pool, RouteRequest request) {
+        List<Candidate> local = subset(matching(pool, target -> target.zone().equals(zone)));
+        if (!local.isEmpty() && meanUtilization(local) < spillPressure) {
+            return chooseByLoad(local, request);
         }
-        List<Candidate> remote = subset(only(pool, target -> !target.zone().equals(zone)));
+        List<Candidate> remote = subset(matching(pool, target -> !target.zone().equals(zone)));
         if (local.isEmpty() || remote.isEmpty()) {
-            return bounded(local.isEmpty() ? remote : local, request);
+            return chooseByLoad(local.isEmpty() ? remote : local, request);
         }
-        return meanPressure(remote) < meanPressure(local)
-                ? bounded(remote, request)
-                : bounded(local, request);
+        return meanUtilization(remote) < meanUtilization(local)
+                ? chooseByLoad(remote, request)
+                : chooseByLoad(local, request);
     }
 
-    private Optional<Candidate> bounded(List<Candidate> pool, RouteRequest request) {
+    private Optional<Candidate> chooseByLoad(List<Candidate> pool, RouteRequest request) {
         double mean = pool.stream().mapToInt(Candidate::load).average().orElse(0);
         double bound = Math.max(1, Math.ceil(loadBound * (mean + 1.0 / pool.size())));
-        List<Candidate> within = only(pool, target -> target.load() < bound);
-        List<Candidate> first =
-                order(within.isEmpty() ? pool : within, request).stream().limit(2).toList();
-        return first.stream()
-                .reduce((one, two) -> two.load() + AFFINITY_MARGIN < one.load() ? two : one);
+        List<Candidate> withinBound = matching(pool, target -> target.load() < bound);
+        List<Candidate> firstTwo =
+                ranked(withinBound.isEmpty() ? pool : withinBound, request).stream()
+                        .limit(2)
+                        .toList();
+        return firstTwo.stream()
+                .reduce((one, two) -> two.load() + MAX_EXTRA_CALLS < one.load() ? two : one);
     }
 
     private List<Candidate> subset(List<Candidate> pool) {
         return pool.size() <= subsetSize
                 ? pool
-                : sorted(pool, instance).stream().limit(subsetSize).toList();
+                : rankedBy(pool, instance).stream().limit(subsetSize).toList();
     }
 
-    private static List<Candidate> order(List<Candidate> pool, RouteRequest request) {
-        return sorted(pool, request.affinityKey());
+    private static List<Candidate> ranked(List<Candidate> pool, RouteRequest request) {
+        return rankedBy(pool, request.affinityKey());
     }
 
-    private static List<Candidate> sorted(List<Candidate> pool, String key) {
+    private static List<Candidate> rankedBy(List<Candidate> pool, String key) {
         return pool.stream()
                 .sorted(
                         Comparator.<Candidate>comparingLong(
@@ -120,14 +129,14 @@
                 .toList();
     }
 
-    private static double meanPressure(List<Candidate> pool) {
+    private static double meanUtilization(List<Candidate> pool) {
         return pool.stream()
                 .mapToDouble(Candidate::slotUtilization)
                 .average()
                 .orElse(Double.MAX_VALUE);
     }
 
-    private static List<Candidate> only(List<Candidate> pool, Predicate<Candidate> test) {
-        return pool.stream().filter(test).toList();
+    private static List<Candidate> matching(List<Candidate> pool, Predicate<Candidate> predicate) {
+        return pool.stream().filter(predicate).toList();
     }
 }
--- a/core/src/main/java/org/sardinelift/core/route/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/route/package-info.java
@@ -1,4 +1,4 @@
-/** Choice of the target of a call. */
+/** Routing: the choice of the target of a call. */
 @NullMarked
 package org.sardinelift.core.route;
 
--- a/core/src/test/java/org/sardinelift/core/route/EjectionTest.java
+++ b/core/src/test/java/org/sardinelift/core/route/EjectionTest.java
@@ -9,6 +9,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
+/** A failing target must get no calls but single probes, after increasingly long pauses. */
 class EjectionTest {
     private static final long FIRST = 100;
     private static final long LONGEST = 1_600;
@@ -39,7 +40,7 @@
     }
 
     @Example
-    void failuresOfCallsSentBeforeDoNotLengthenThePause() {
+    void failuresOfCallsSentBeforeTheEjectionDoNotLengthenThePause() {
         Ejection ejection = Ejection.of(1, FIRST, LONGEST);
         ejection.onFailure(0);
         ejection.onFailure(1);
@@ -48,7 +49,7 @@
     }
 
     @Example
-    void aProbeThatTellsNothingMakesRoomForAnother() {
+    void anInconclusiveProbeIsFollowedByAnother() {
         Ejection ejection = Ejection.of(1, FIRST, LONGEST);
         ejection.onFailure(0);
         assertTrue(ejection.tryStartProbe(FIRST));
--- a/core/src/test/java/org/sardinelift/core/route/RouterTest.java
+++ b/core/src/test/java/org/sardinelift/core/route/RouterTest.java
@@ -14,11 +14,12 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
+/** Calls must stay with their zone, preferred targets and subset, but not on overloaded targets. */
 class RouterTest {
     private static final Router ROUTER = Router.of("z0", "e1", 1.25, 1.0, 8);
 
     @Property(seed = "41")
-    void onlyATargetThatMayTakeTheCallIsChosen(@ForAll Random random) {
+    void onlyATargetThatMayRunTheCallIsChosen(@ForAll Random random) {
         List<Candidate> candidates = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(30); i++) {
             candidates.add(
@@ -55,36 +56,35 @@
 
     @Example
     void callsStayInTheZoneUntilItIsOverloaded() {
-        List<Candidate> calm = List.of(target("a", "z0", 1), target("b", "z1", 0));
-        List<Candidate> full = List.of(target("a", "z0", 9), target("b", "z1", 0));
-        assertEquals("a", ROUTER.choose(calm, request("m", "x")).orElseThrow().name());
-        assertEquals("b", ROUTER.choose(full, request("m", "x")).orElseThrow().name());
+        List<Candidate> idle = List.of(target("a", "z0", 1), target("b", "z1", 0));
+        List<Candidate> overloaded = List.of(target("a", "z0", 9), target("b", "z1", 0));
+        assertEquals("a", ROUTER.choose(idle, request("m", "x")).orElseThrow().name());
+        assertEquals("b", ROUTER.choose(overloaded, request("m", "x")).orElseThrow().name());
     }
 
     @Property(seed = "42")
-    void anOverloadedFavouriteGivesWay(@ForAll Random random) {
+    void anOverloadedPreferredTargetIsNotChosen(@ForAll Random random) {
         String key = "p" + random.nextLong();
         List<Candidate> even = targets(6, "", 0);
-        String favourite = ROUTER.choose(even, request("m", key)).orElseThrow().name();
-        List<Candidate> loaded = targets(6, favourite, 4);
+        String preferred = ROUTER.choose(even, request("m", key)).orElseThrow().name();
+        List<Candidate> loaded = targets(6, preferred, 4);
         assertFalse(
-                favourite.equals(ROUTER.choose(loaded, request("m", key)).orElseThrow().name()));
+                preferred.equals(ROUTER.choose(loaded, request("m", key)).orElseThrow().name()));
     }
 
     @Property(seed = "43")
-    void bothFavouritesOverTheBoundGiveWay(@ForAll Random random) {
+    void twoOverloadedPreferredTargetsAreNotChosen(@ForAll Random random) {
         String key = "p" + random.nextLong();
         List<Candidate> targets = new ArrayList<>(targets(6, "", 0));
-        Set<String> favourites = new HashSet<>();
+        Set<String> preferred = new HashSet<>();
         for (int rank = 0; rank < 2; rank++) {
             String name = ROUTER.choose(targets, request("m", key)).orElseThrow().name();
-            favourites.add(name);
+            preferred.add(name);
             targets.removeIf(target -> target.name().equals(name));
             targets.add(target(name, "z0", 4));
         }
         assertFalse(
-                favourites.contains(
-                        ROUTER.choose(targets, request("m", key)).orElseThrow().name()));
+                preferred.contains(ROUTER.choose(targets, request("m", key)).orElseThrow().name()));
     }
 
     @Example
@@ -118,7 +118,7 @@
         return new Candidate(name, "s", zone, Set.of("m"), 4, load, 0, true, Ejection.Admission.IN);
     }
 
-    private static RouteRequest request(String model, String affinity) {
-        return new RouteRequest("s", model, affinity, Set.of(), false);
+    private static RouteRequest request(String model, String affinityKey) {
+        return new RouteRequest("s", model, affinityKey, Set.of(), false);
     }
 }
--- a/core/src/test/java/org/sardinelift/core/route/RoutingComparisonTest.java
+++ b/core/src/test/java/org/sardinelift/core/route/RoutingComparisonTest.java
@@ -11,13 +11,16 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** The router against simpler policies, in one run of one virtual-time model. */
+/**
+ * Guards against changes that make the router's tail latency worse than that of simpler policies.
+ * All policies run in the same model in virtual time.
+ */
 class RoutingComparisonTest {
     private static final long SEED = 61;
-    private static final double BUSY_PAUSE_MS = 15.5;
+    private static final double BUSY_ARRIVAL_GAP_MS = 15.5;
 
     @Test
-    void theRouterBeatsSimplerPoliciesAtTheTail() {
+    void theRouterHasALowerTailLatencyThanSimplerPolicies() {
         Map<String, Supplier<Function<RoutingModel.Snapshot, String>>> policies =
                 new LinkedHashMap<>();
         policies.put("random", () -> RoutingComparisonTest::random);
@@ -27,14 +30,15 @@
         Map<String, RoutingModel.Result> results = new LinkedHashMap<>();
         policies.forEach(
                 (name, policy) ->
-                        results.put(name, RoutingModel.run(SEED, BUSY_PAUSE_MS, policy.get())));
+                        results.put(
+                                name, RoutingModel.run(SEED, BUSY_ARRIVAL_GAP_MS, policy.get())));
         System.out.println("first token, virtual time, one run");
         System.out.println("policy          p50 ms    p99 ms  prefix hits");
         results.forEach(
                 (name, result) ->
                         System.out.printf(
                                 "%-14s %7.0f %9.0f %11.2f%n",
-                                name, result.p50Ms(), result.p99Ms(), result.hits()));
+                                name, result.p50Ms(), result.p99Ms(), result.cacheHitRatio()));
         RoutingModel.Result router = results.remove("router");
         results.forEach(
                 (name, other) ->
@@ -43,18 +47,22 @@
                                 name + " is better: " + other + " against " + router));
     }
 
-    private static String random(RoutingModel.Snapshot seen) {
-        return seen.candidates().get(seen.random().nextInt(seen.candidates().size())).name();
+    private static String random(RoutingModel.Snapshot snapshot) {
+        return snapshot.candidates()
+                .get(snapshot.random().nextInt(snapshot.candidates().size()))
+                .name();
     }
 
     private static Function<RoutingModel.Snapshot, String> roundRobin() {
         AtomicInteger next = new AtomicInteger();
-        return seen ->
-                seen.candidates().get(next.getAndIncrement() % seen.candidates().size()).name();
+        return snapshot ->
+                snapshot.candidates()
+                        .get(next.getAndIncrement() % snapshot.candidates().size())
+                        .name();
     }
 
-    private static String leastReported(RoutingModel.Snapshot seen) {
-        return seen.candidates().stream()
+    private static String leastReported(RoutingModel.Snapshot snapshot) {
+        return snapshot.candidates().stream()
                 .min(Comparator.comparingInt(Candidate::reportedCalls))
                 .orElseThrow()
                 .name();
@@ -62,10 +70,10 @@
 
     private static Function<RoutingModel.Snapshot, String> router() {
         Router router = Router.of("z0", "e1", 1.25, 1.5, 24);
-        return seen ->
+        return snapshot ->
                 router.choose(
-                                seen.candidates(),
-                                new RouteRequest("s", "m", seen.prefix(), Set.of(), false))
+                                snapshot.candidates(),
+                                new RouteRequest("s", "m", snapshot.prefix(), Set.of(), false))
                         .orElseThrow()
                         .name();
     }
--- a/core/src/test/java/org/sardinelift/core/route/RoutingModel.java
+++ b/core/src/test/java/org/sardinelift/core/route/RoutingModel.java
@@ -14,23 +14,23 @@
 import java.util.function.Function;
 
 /**
- * Engines in virtual time: bounded slots, a queue, a prefix cache, and load reports that lag. One
- * second of work in {@code MEAN_PAUSE_MS} arrivals; an uncached prefix costs extra time before the
- * first token.
+ * Model of engines in virtual time, each with bounded slots, a queue, a prefix cache and load
+ * reports that lag. Calls arrive at random with a given mean gap; an uncached prefix costs extra
+ * time before the first token.
  */
 final class RoutingModel {
     private static final int TARGETS = 6;
     private static final int SLOTS = 8;
-    private static final int REPORT_MS = 200;
+    private static final int REPORT_INTERVAL_MS = 200;
     private static final int CACHED_PREFIXES = 12;
     private static final int PREFIXES = 60;
-    private static final double HIT_MS = 20;
-    private static final double MISS_MS = 160;
-    private static final double DECODE_MS = 500;
+    private static final double CACHED_PREFILL_MS = 20;
+    private static final double UNCACHED_PREFILL_MS = 160;
+    private static final double MEAN_DECODE_MS = 500;
     private static final int CALLS = 40_000;
 
     private final Random random;
-    private final double pauseMs;
+    private final double meanArrivalGapMs;
     private final List<Target> targets = new ArrayList<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
@@ -39,33 +39,33 @@
     private double nowMs;
     private long order;
 
-    private RoutingModel(long seed, double pauseMs) {
+    private RoutingModel(long seed, double meanArrivalGapMs) {
         this.random = new Random(seed);
-        this.pauseMs = pauseMs;
+        this.meanArrivalGapMs = meanArrivalGapMs;
         for (int i = 0; i < TARGETS; i++) {
             targets.add(new Target("t" + i));
         }
     }
 
-    /** Time to first token at p50 and p99 and the share of prefix hits. */
-    record Result(double p50Ms, double p99Ms, double hits) {}
+    /** Time to first token at p50 and p99, and the fraction of prefix cache hits. */
+    record Result(double p50Ms, double p99Ms, double cacheHitRatio) {}
 
-    static Result run(long seed, double pauseMs, Function<Snapshot, String> policy) {
-        return new RoutingModel(seed, pauseMs).run(policy);
+    static Result run(long seed, double meanArrivalGapMs, Function<Snapshot, String> policy) {
+        return new RoutingModel(seed, meanArrivalGapMs).run(policy);
     }
 
     /** What a policy sees at one arrival. */
     record Snapshot(List<Candidate> candidates, String prefix, Random random) {}
 
     private Result run(Function<Snapshot, String> policy) {
-        int hits = 0;
-        at(0, this::report);
+        int cacheHits = 0;
+        schedule(0, this::report);
         double arrival = 0;
         for (int call = 0; call < CALLS; call++) {
-            arrival += -Math.log(1 - random.nextDouble()) * pauseMs;
+            arrival += -Math.log(1 - random.nextDouble()) * meanArrivalGapMs;
             String prefix = "p" + (int) (PREFIXES * Math.pow(random.nextDouble(), 2));
-            double decode = DECODE_MS * (0.5 + random.nextDouble());
-            at(arrival, () -> arrive(policy, prefix, decode));
+            double decodeMs = MEAN_DECODE_MS * (0.5 + random.nextDouble());
+            schedule(arrival, () -> arrive(policy, prefix, decodeMs));
         }
         double last = arrival;
         while (!events.isEmpty() && nowMs <= last) {
@@ -74,26 +74,26 @@
             event.action().run();
         }
         for (Target target : targets) {
-            hits += target.hits;
+            cacheHits += target.cacheHits;
         }
         double[] sorted = firstTokens.stream().mapToDouble(Double::doubleValue).sorted().toArray();
         return new Result(
                 sorted[sorted.length / 2],
                 sorted[sorted.length * 99 / 100],
-                (double) hits / sorted.length);
+                (double) cacheHits / sorted.length);
     }
 
     private void report() {
         targets.forEach(target -> target.reported = target.load());
-        at(nowMs + REPORT_MS, this::report);
+        schedule(nowMs + REPORT_INTERVAL_MS, this::report);
     }
 
-    private void arrive(Function<Snapshot, String> policy, String prefix, double decode) {
+    private void arrive(Function<Snapshot, String> policy, String prefix, double decodeMs) {
         List<Candidate> seen = targets.stream().map(Target::candidate).toList();
         String chosen = policy.apply(new Snapshot(seen, prefix, random));
         Target target =
                 targets.stream().filter(each -> each.name.equals(chosen)).findFirst().orElseThrow();
-        target.waiting.add(new Call(nowMs, prefix, decode));
+        target.waiting.add(new Call(nowMs, prefix, decodeMs));
         serve(target);
     }
 
@@ -101,9 +101,10 @@
         while (target.running < SLOTS && !target.waiting.isEmpty()) {
             Call call = target.waiting.poll();
             target.running++;
-            double prefill = target.touch(call.prefix()) ? HIT_MS : MISS_MS;
+            double prefill =
+                    target.usePrefix(call.prefix()) ? CACHED_PREFILL_MS : UNCACHED_PREFILL_MS;
             firstTokens.add(nowMs + prefill - call.arrivedMs());
-            at(
+            schedule(
                     nowMs + prefill + call.decodeMs(),
                     () -> {
                         target.running--;
@@ -112,7 +113,7 @@
         }
     }
 
-    private void at(double timeMs, Runnable action) {
+    private void schedule(double timeMs, Runnable action) {
         events.add(new Event(timeMs, order++, action));
     }
 
@@ -126,7 +127,7 @@
         private final Set<String> cache = new LinkedHashSet<>();
         int running;
         int reported;
-        int hits;
+        int cacheHits;
 
         Target(String name) {
             this.name = name;
@@ -136,13 +137,13 @@
             return running + waiting.size();
         }
 
-        boolean touch(String prefix) {
+        boolean usePrefix(String prefix) {
             boolean hit = cache.remove(prefix);
             cache.add(prefix);
             if (cache.size() > CACHED_PREFIXES) {
                 cache.remove(cache.iterator().next());
             }
-            hits += hit ? 1 : 0;
+            cacheHits += hit ? 1 : 0;
             return hit;
         }
 
