--- a/core/src/main/java/org/sardinelift/core/plan/CallKind.java
+++ b/core/src/main/java/org/sardinelift/core/plan/CallKind.java
@@ -1,41 +1,41 @@
 package org.sardinelift.core.plan;
 
-/** What may be done with a call of a route. */
+/** Whether the calls of a route may run more than once. */
 public enum CallKind {
     /** A second run does no harm. */
     IDEMPOTENT {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean mayRepeat(boolean isResumable) {
             return true;
         }
     },
     /** Runs at most once. */
     NON_IDEMPOTENT {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean mayRepeat(boolean isResumable) {
             return false;
         }
     },
-    /** Answered by a stream of events; repeatable where a target can go on after an event. */
+    /** Answered by a stream of events; may run again if a target can resume it after an event. */
     STREAM {
         @Override
-        public boolean mayRepeat(boolean resumable) {
-            return resumable;
+        public boolean mayRepeat(boolean isResumable) {
+            return isResumable;
         }
     },
-    /** Submits a batch job, whose name makes a second submission find the first. */
+    /** Submits a batch job; a repeated submission finds the first job by its name. */
     BATCH {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean mayRepeat(boolean isResumable) {
             return true;
         }
     };
 
     /**
-     * Whether a call that may have run may be sent again.
+     * Returns whether a call that may have run may be sent again.
      *
-     * @param resumable whether targets can go on after an event of the stream
-     * @return true where a second run does no harm
+     * @param isResumable whether targets can resume a stream after an event
+     * @return true if a second run does no harm
      */
-    public abstract boolean mayRepeat(boolean resumable);
+    public abstract boolean mayRepeat(boolean isResumable);
 }
--- a/core/src/main/java/org/sardinelift/core/plan/RegisteredTarget.java
+++ b/core/src/main/java/org/sardinelift/core/plan/RegisteredTarget.java
@@ -1,16 +1,16 @@
 package org.sardinelift.core.plan;
 
 /**
- * A target as it registered itself.
+ * A target as registered in the store.
  *
- * @param id name of this life of the target
+ * @param id name of this incarnation of the target
  * @param service service that it runs
  * @param host IP address
  * @param port port
  * @param zone availability zone
  * @param slots calls that it runs at once
- * @param leaving whether it takes no new work
- * @param startedAtMs when this life started, Unix milliseconds; 0 where it is not known
+ * @param isLeaving whether it accepts no new calls
+ * @param startedAtMs when this incarnation started, Unix milliseconds; 0 if unknown
  */
 public record RegisteredTarget(
         String id,
--- a/core/src/main/java/org/sardinelift/core/plan/RequestLimits.java
+++ b/core/src/main/java/org/sardinelift/core/plan/RequestLimits.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * What callers may send.
+ * Limits on the requests of callers.
  *
- * @param maxHeaderBytes longest headers, bytes
- * @param maxBodyBytes longest body, bytes
- * @param headerTimeout longest time until a request is whole
- * @param idleTimeout longest time without a request on a connection
+ * @param maxHeaderBytes maximum size of the headers
+ * @param maxBodyBytes maximum size of the body
+ * @param headerTimeout maximum time until a request has arrived completely
+ * @param idleTimeout maximum time without a request on a connection
  */
 public record RequestLimits(
         int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {}
--- a/core/src/main/java/org/sardinelift/core/plan/RoutePlan.java
+++ b/core/src/main/java/org/sardinelift/core/plan/RoutePlan.java
@@ -5,21 +5,22 @@
 import java.util.Optional;
 
 /**
- * A route: which calls it takes and how they are run.
+ * A route: which calls it matches and how they are run.
  *
  * @param name name of the route
- * @param host host that the caller names, in lower case
- * @param pathPrefix beginning of the path, with a slash at both ends
- * @param kind what may be done with its calls
- * @param resumable whether targets can go on with a stream after an event
- * @param open whether its calls need no key
+ * @param host host name in the request, in lower case
+ * @param pathPrefix prefix of the path, with a slash at both ends
+ * @param kind whether its calls may run more than once
+ * @param isResumable whether targets can resume a stream after an event
+ * @param isPublic whether its calls need no key
  * @param services services that run its calls
- * @param timeout longest time that a caller is kept waiting for the whole answer
- * @param objective time to the first event, or to the whole answer, for full value
- * @param gapObjective longest pause between two events for full value
- * @param maxAttempts targets that one call may be sent to
+ * @param timeout maximum time until the caller has the complete answer
+ * @param latencyObjective longest time to the first event, or to the whole answer, for the answer
+ *     to have its full value
+ * @param eventGapObjective longest gap between two events for the answer to have its full value
+ * @param maxAttempts maximum number of targets that one call may be sent to
  * @param priority rank, 0 is the most urgent
- * @param completionTarget time in which a batch job is to be done
+ * @param completionObjective time in which a batch job should complete
  * @param retention time after which an item of a batch job may be given up
  */
 public record RoutePlan(
@@ -39,38 +40,38 @@
         Duration retention) {
 
     /**
-     * A service that runs a part of a route's calls.
+     * A service that runs a fraction of a route's calls.
      *
      * @param service name of the service
-     * @param weight its part, relative to the other services
+     * @param weight its weight relative to the other services
      */
     public record WeightedService(String service, int weight) {}
 
     /**
-     * Whether a call that may have run may be sent again.
+     * Returns whether a call that may have run may be sent again.
      *
-     * @return true where a second run does no harm
+     * @return true if a second run does no harm
      */
     public boolean mayRepeat() {
         return kind.mayRepeat(isResumable);
     }
 
     /**
-     * Picks the service that runs a call.
+     * Selects the service that runs a call.
      *
-     * @param draw number that is spread evenly over the calls
-     * @return the service, empty where the route has none
+     * @param draw number distributed evenly over the calls
+     * @return name of the service, empty if the route has none
      */
     public Optional<String> selectService(long draw) {
-        int total = services.stream().mapToInt(WeightedService::weight).sum();
-        if (total <= 0) {
+        int totalWeight = services.stream().mapToInt(WeightedService::weight).sum();
+        if (totalWeight <= 0) {
             return services.stream().findFirst().map(WeightedService::service);
         }
-        long place = Math.floorMod(draw, total);
-        for (WeightedService each : services) {
-            place -= each.weight();
-            if (place < 0) {
-                return Optional.of(each.service());
+        long remainder = Math.floorMod(draw, totalWeight);
+        for (WeightedService service : services) {
+            remainder -= service.weight();
+            if (remainder < 0) {
+                return Optional.of(service.service());
             }
         }
         return Optional.empty();
--- a/core/src/main/java/org/sardinelift/core/plan/ServingPlan.java
+++ b/core/src/main/java/org/sardinelift/core/plan/ServingPlan.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** One version of the configuration that a gateway serves by; immutable. */
+/** One version of the configuration that a gateway applies to its calls. Immutable. */
 public final class ServingPlan {
     private final long version;
     private final Map<String, List<RoutePlan>> routesByHost;
@@ -21,22 +21,22 @@
             Map<String, List<RoutePlan>> routesByHost,
             Map<String, TeamRateLimit> teams,
             Map<String, String> teamByKey,
-            RequestLimits bounds) {
+            RequestLimits requestLimits) {
         this.version = version;
         this.routesByHost = routesByHost;
         this.rateLimits = teams;
         this.teamByKey = teamByKey;
-        this.requestLimits = bounds;
+        this.requestLimits = requestLimits;
     }
 
     /**
-     * Makes a plan.
+     * Creates a plan.
      *
-     * @param version grows with each change of the configuration
+     * @param version version of the configuration, which grows with each change
      * @param routes all routes
-     * @param teams all teams
-     * @param teamByKey name of the team that holds a key
-     * @param bounds what callers may send
+     * @param teams rate limits of all teams
+     * @param teamByKey names of the teams by their keys
+     * @param requestLimits limits on the requests of callers
      * @return the plan
      */
     public static ServingPlan of(
@@ -44,7 +44,7 @@
             List<RoutePlan> routes,
             List<TeamRateLimit> teams,
             Map<String, String> teamByKey,
-            RequestLimits bounds) {
+            RequestLimits requestLimits) {
         Map<String, List<RoutePlan>> byHost =
                 routes.stream()
                         .sorted(
@@ -53,11 +53,11 @@
                         .collect(Collectors.groupingBy(RoutePlan::host));
         Map<String, TeamRateLimit> byName = new HashMap<>();
         teams.forEach(team -> byName.put(team.name(), team));
-        return new ServingPlan(version, byHost, byName, Map.copyOf(teamByKey), bounds);
+        return new ServingPlan(version, byHost, byName, Map.copyOf(teamByKey), requestLimits);
     }
 
     /**
-     * Version of the configuration.
+     * Returns the version of the configuration.
      *
      * @return a number that grows with each change
      */
@@ -66,11 +66,11 @@
     }
 
     /**
-     * The route of a call: of those of its host, the one with the longest prefix of the path.
+     * Returns the route of a call: the one of its host with the longest matching path prefix.
      *
-     * @param host the host that the caller names, with or without a port
-     * @param path the path, without a query
-     * @return the route, or empty
+     * @param host host in the request, with or without a port
+     * @param path path without a query
+     * @return the route, or empty if none matches
      */
     public Optional<RoutePlan> route(String host, String path) {
         return routesByHost.getOrDefault(hostName(host), List.of()).stream()
@@ -79,9 +79,9 @@
     }
 
     /**
-     * The routes of a host.
+     * Returns the routes of a host.
      *
-     * @param host the host that the caller names, with or without a port
+     * @param host host in the request, with or without a port
      * @return its routes, longest prefix first
      */
     public List<RoutePlan> routes(String host) {
@@ -94,38 +94,38 @@
     }
 
     /**
-     * The team that holds a key.
+     * Returns the team that a key belongs to.
      *
      * @param key the key as the caller sent it
-     * @return the team's name, or empty where nobody holds it
+     * @return name of the team, or empty if the key is unknown
      */
     public Optional<String> teamOfKey(String key) {
         return Optional.ofNullable(teamByKey.get(key));
     }
 
     /**
-     * What a team may send.
+     * Returns the rate limit of a team.
      *
      * @param name name of the team
-     * @return its allowance, or empty where there is no such team
+     * @return its limit, or empty if there is no such team
      */
     public Optional<TeamRateLimit> rateLimit(String name) {
         return Optional.ofNullable(rateLimits.get(name));
     }
 
     /**
-     * All teams.
+     * Returns the rate limits of all teams.
      *
-     * @return teams by name
+     * @return limits by name of the team
      */
     public Map<String, TeamRateLimit> rateLimits() {
         return rateLimits;
     }
 
     /**
-     * What callers may send.
+     * Returns the limits on the requests of callers.
      *
-     * @return the bounds
+     * @return the limits
      */
     public RequestLimits requestLimits() {
         return requestLimits;
--- a/core/src/main/java/org/sardinelift/core/plan/TargetRegistry.java
+++ b/core/src/main/java/org/sardinelift/core/plan/TargetRegistry.java
@@ -8,8 +8,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The targets that calls may be sent to, from lists that may be old or have gaps. Not safe for use
- * by several threads at once.
+ * The targets that calls may be sent to, taken from lists that may be out of date or incomplete.
+ * Not thread-safe.
  */
 public final class TargetRegistry {
     private Map<String, RegisteredTarget> targets = Map.of();
@@ -18,24 +18,24 @@
     private TargetRegistry() {}
 
     /**
-     * A roll without targets.
+     * Creates a registry without targets.
      *
-     * @return the roll
+     * @return the registry
      */
     public static TargetRegistry empty() {
         return new TargetRegistry();
     }
 
     /**
-     * Takes a list.
+     * Applies a list of targets.
      *
-     * @param listed the entries that it holds
-     * @param unreadable names of entries that can't be read; a target that was known under such a
-     *     name is not used
-     * @param listRevision revision of the store that the list shows
-     * @param keepMissing whether entries may be missing for a reason other than that the target has
-     *     gone: the store has just come back, and targets register again
-     * @return false where the list is older than the roll and was not taken
+     * @param listed the targets in the list
+     * @param unreadable names of entries that cannot be read; a target known under such a name is
+     *     removed
+     * @param listRevision revision of the store at which the list was read
+     * @param keepMissing whether to keep targets that are missing from the list, because the store
+     *     has just come back and targets are still registering again
+     * @return false if the list is older than the registry and was ignored
      */
     public boolean apply(
             List<RegisteredTarget> listed,
@@ -63,18 +63,18 @@
     }
 
     /**
-     * The targets.
+     * Returns the targets.
      *
-     * @return entries by name
+     * @return targets by name
      */
     public Map<String, RegisteredTarget> targets() {
         return targets;
     }
 
     /**
-     * How new the roll is.
+     * Returns the revision of the newest list applied.
      *
-     * @return revision of the store that it shows
+     * @return revision of the store
      */
     public long revision() {
         return revision;
--- a/core/src/main/java/org/sardinelift/core/plan/TeamRateLimit.java
+++ b/core/src/main/java/org/sardinelift/core/plan/TeamRateLimit.java
@@ -1,18 +1,18 @@
 package org.sardinelift.core.plan;
 
 /**
- * What a team may send.
+ * Rate limit of a team.
  *
  * @param name name of the team
- * @param ratePerSecond calls a second over all instances, 0 for no limit
+ * @param ratePerSecond calls per second over all instances, 0 for no limit
  * @param burst calls at once over all instances
  */
 public record TeamRateLimit(String name, double ratePerSecond, double burst) {
 
     /**
-     * Whether the team's calls are counted.
+     * Returns whether the team has a limit.
      *
-     * @return true where it has a rate
+     * @return false if its rate is 0
      */
     public boolean isLimited() {
         return ratePerSecond > 0;
--- a/core/src/main/java/org/sardinelift/core/plan/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/plan/package-info.java
@@ -1,4 +1,4 @@
-/** The configuration that a gateway serves by. */
+/** The configuration that a gateway applies to its calls, and the targets that it sends them to. */
 @NullMarked
 package org.sardinelift.core.plan;
 
--- a/core/src/test/java/org/sardinelift/core/plan/ServingPlanTest.java
+++ b/core/src/test/java/org/sardinelift/core/plan/ServingPlanTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.core.plan.RoutePlan.WeightedService;
 
+/** A call must get its route, team and service by host, path prefix, key and weight. */
 class ServingPlanTest {
     private static RoutePlan route(String name, String host, String prefix) {
         return new RoutePlan(
@@ -41,22 +42,22 @@
                     Map.of("key", "t"),
                     new RequestLimits(1, 2, Duration.ZERO, Duration.ZERO));
 
-    private String found(String host, String path) {
+    private String routeName(String host, String path) {
         return plan.route(host, path).map(RoutePlan::name).orElse("none");
     }
 
     @Test
     void theLongestPrefixOfTheHostWins() {
-        assertEquals("long", found("a.example", "/x/y/z"));
-        assertEquals("short", found("a.example", "/x/yz"));
-        assertEquals("other", found("b.example", "/x/y/z"));
-        assertEquals("none", found("a.example", "/z"));
-        assertEquals("none", found("c.example", "/x/y/z"));
+        assertEquals("long", routeName("a.example", "/x/y/z"));
+        assertEquals("short", routeName("a.example", "/x/yz"));
+        assertEquals("other", routeName("b.example", "/x/y/z"));
+        assertEquals("none", routeName("a.example", "/z"));
+        assertEquals("none", routeName("c.example", "/x/y/z"));
     }
 
     @Test
     void theHostIsComparedWithoutCaseAndPort() {
-        assertEquals("short", found("A.Example:8080", "/x/1"));
+        assertEquals("short", routeName("A.Example:8080", "/x/1"));
     }
 
     @Test
@@ -72,7 +73,7 @@
     }
 
     @Test
-    void onlyWhatDoesNoHarmIsRepeated() {
+    void onlyCallsWhoseSecondRunDoesNoHarmAreRepeated() {
         assertTrue(CallKind.IDEMPOTENT.mayRepeat(false));
         assertFalse(CallKind.NON_IDEMPOTENT.mayRepeat(true));
         assertTrue(CallKind.STREAM.mayRepeat(true));
@@ -80,7 +81,7 @@
     }
 
     @Test
-    void aKeyNamesItsTeam() {
+    void aKeyBelongsToItsTeam() {
         assertEquals("t", plan.teamOfKey("key").orElseThrow());
         assertTrue(plan.teamOfKey("other").isEmpty());
     }
--- a/core/src/test/java/org/sardinelift/core/plan/TargetRegistryTest.java
+++ b/core/src/test/java/org/sardinelift/core/plan/TargetRegistryTest.java
@@ -8,48 +8,49 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** An old or incomplete list of targets must not remove or restore targets wrongly. */
 class TargetRegistryTest {
-    private final TargetRegistry roll = TargetRegistry.empty();
+    private final TargetRegistry registry = TargetRegistry.empty();
 
-    private static RegisteredTarget entry(String id, boolean leaving) {
+    private static RegisteredTarget target(String id, boolean leaving) {
         return new RegisteredTarget(id, "s", "10.0.0.1", 80, "z", 8, leaving, 1);
     }
 
     @Test
-    void aMissingTargetIsGone() {
-        roll.apply(List.of(entry("a", false), entry("b", false)), Set.of(), 5, false);
-        roll.apply(List.of(entry("b", true)), Set.of(), 6, false);
+    void aMissingTargetIsRemoved() {
+        registry.apply(List.of(target("a", false), target("b", false)), Set.of(), 5, false);
+        registry.apply(List.of(target("b", true)), Set.of(), 6, false);
 
-        assertEquals(Set.of("b"), roll.targets().keySet());
-        assertTrue(roll.targets().get("b").isLeaving());
+        assertEquals(Set.of("b"), registry.targets().keySet());
+        assertTrue(registry.targets().get("b").isLeaving());
     }
 
     @Test
-    void anOldListIsNotTaken() {
-        roll.apply(List.of(entry("a", true)), Set.of(), 6, false);
+    void anOldListIsIgnored() {
+        registry.apply(List.of(target("a", true)), Set.of(), 6, false);
 
-        assertFalse(roll.apply(List.of(entry("a", false)), Set.of(), 5, false));
-        assertTrue(roll.targets().get("a").isLeaving());
+        assertFalse(registry.apply(List.of(target("a", false)), Set.of(), 5, false));
+        assertTrue(registry.targets().get("a").isLeaving());
     }
 
     @Test
-    void targetsMayRegisterAgainWhereTheStoreHasJustComeBack() {
-        roll.apply(List.of(entry("a", false), entry("b", false)), Set.of(), 5, false);
+    void missingTargetsAreKeptWhileTheyRegisterAgain() {
+        registry.apply(List.of(target("a", false), target("b", false)), Set.of(), 5, false);
 
-        roll.apply(List.of(entry("b", true)), Set.of(), 6, true);
-        assertEquals(Set.of("a", "b"), roll.targets().keySet());
-        assertTrue(roll.targets().get("b").isLeaving());
+        registry.apply(List.of(target("b", true)), Set.of(), 6, true);
+        assertEquals(Set.of("a", "b"), registry.targets().keySet());
+        assertTrue(registry.targets().get("b").isLeaving());
 
-        roll.apply(List.of(entry("b", true)), Set.of(), 7, false);
-        assertEquals(Set.of("b"), roll.targets().keySet());
+        registry.apply(List.of(target("b", true)), Set.of(), 7, false);
+        assertEquals(Set.of("b"), registry.targets().keySet());
     }
 
     @Test
-    void anEntryThatCannotBeReadNamesNoTarget() {
-        roll.apply(List.of(entry("a", false)), Set.of(), 5, false);
+    void anUnreadableEntryRemovesItsTarget() {
+        registry.apply(List.of(target("a", false)), Set.of(), 5, false);
 
-        roll.apply(List.of(), Set.of("a"), 6, true);
+        registry.apply(List.of(), Set.of("a"), 6, true);
 
-        assertEquals(Set.of(), roll.targets().keySet());
+        assertEquals(Set.of(), registry.targets().keySet());
     }
 }
