--- a/core/src/main/java/org/sardinelift/core/outcome/AttemptState.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/AttemptState.java
@@ -1,13 +1,13 @@
 package org.sardinelift.core.outcome;
 
-/** What a companion answers when asked what became of an attempt. */
+/** State of an attempt, as a companion reports it when queried. */
 public enum AttemptState {
-    /** This companion never saw the attempt and will refuse it should it still arrive. */
+    /** The companion has not received the attempt and will refuse it if it still arrives. */
     NOT_STARTED,
-    /** The attempt is running; the body goes on from the offset asked for. */
+    /** The attempt is running; the body continues from the offset in the query. */
     RUNNING,
     /** The attempt has finished; the rest of the body follows. */
     FINISHED,
-    /** The companion can't tell. */
+    /** The companion does not know the attempt's state. */
     UNKNOWN
 }
--- a/core/src/main/java/org/sardinelift/core/outcome/AttemptStep.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/AttemptStep.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** What follows from an event of an attempt. */
+/** Action that an event of an attempt requires. */
 public sealed interface AttemptStep {
 
-    /** Nothing; the event was late, crossed or told nothing new. */
+    /** No action: the event was late, belongs to another attempt or contains nothing new. */
     record NoAction() implements AttemptStep {}
 
     /**
-     * The answer's status and headers are known.
+     * Pass the status and headers on to the caller.
      *
      * @param status HTTP status code
      * @param headers answer headers
@@ -18,29 +18,29 @@
     record ResponseHead(int status, Map<String, String> headers) implements AttemptStep {}
 
     /**
-     * The next part of the body.
+     * Pass the next part of the body on to the caller.
      *
-     * @param part body bytes that were not delivered before
+     * @param part body bytes that were not passed on before
      */
     record BodyPart(byte[] part) implements AttemptStep {}
 
     /**
-     * Ask the companion what became of the attempt.
+     * Query the companion for the state of the attempt.
      *
-     * @param offset body bytes held
+     * @param offset number of body bytes received
      */
     record QueryState(long offset) implements AttemptStep {}
 
-    /** The whole answer has come. */
+    /** The complete answer has arrived. */
     record Completed() implements AttemptStep {}
 
     /**
-     * The attempt ended without the whole answer.
+     * The attempt ended without a complete answer.
      *
      * @param outcome whether the call was run
-     * @param cause why
-     * @param detail what was wrong in this case
-     * @param retryAfter when to come back; zero where it is not known
+     * @param cause why it ended
+     * @param detail description of this failure
+     * @param retryAfter time after which to retry; zero if unknown
      */
     record Failed(RunOutcome outcome, FailureCause cause, String detail, Duration retryAfter)
             implements AttemptStep {}
--- a/core/src/main/java/org/sardinelift/core/outcome/CallAttempt.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/CallAttempt.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /**
- * One attempt of a call on one target, as the entry sees it. Takes an event only where attempt
- * number and body offset fit, so that late, doubled and crossed frames change nothing.
+ * One attempt of a call on one target, at the entry. Ignores events whose attempt number or body
+ * offset does not match, so that late, duplicate and out-of-order frames change nothing.
  */
 public final class CallAttempt {
-    private static final AttemptStep NOTHING = new AttemptStep.NoAction();
+    private static final AttemptStep NO_ACTION = new AttemptStep.NoAction();
 
     private final int number;
     private final String incarnation;
     private long receivedBytes;
-    private boolean answered;
+    private boolean hasHead;
     private boolean isAttached = true;
     private boolean isEnded;
 
@@ -24,7 +24,7 @@
     }
 
     /**
-     * An attempt whose start was handed to the connection.
+     * Creates an attempt whose start was handed to the connection.
      *
      * @param number attempt number, from 1
      * @param incarnation incarnation of the companion at the other end
@@ -35,7 +35,7 @@
     }
 
     /**
-     * The attempt number.
+     * Returns the attempt number.
      *
      * @return number from 1
      */
@@ -44,25 +44,25 @@
     }
 
     /**
-     * Body bytes taken so far.
+     * Returns the number of body bytes accepted so far.
      *
-     * @return their number
+     * @return number of bytes
      */
     public long receivedBytes() {
         return receivedBytes;
     }
 
     /**
-     * Whether the attempt has ended.
+     * Returns whether the attempt has ended.
      *
-     * @return true once a step ended it
+     * @return true after a step that ends it
      */
     public boolean isEnded() {
         return isEnded;
     }
 
     /**
-     * Whether a connection carries the attempt.
+     * Returns whether the attempt has a connection.
      *
      * @return false between the loss of a connection and the next one
      */
@@ -71,51 +71,51 @@
     }
 
     /**
-     * Status and headers have come.
+     * Status and headers arrived.
      *
      * @param attempt attempt number in the frame
      * @param status HTTP status code
      * @param headers answer headers
-     * @return what follows
+     * @return the action required
      */
     public AttemptStep onHead(int attempt, int status, Map<String, String> headers) {
-        if (stranger(attempt) || answered) {
-            return NOTHING;
+        if (isIgnored(attempt) || hasHead) {
+            return NO_ACTION;
         }
-        answered = true;
+        hasHead = true;
         return new AttemptStep.ResponseHead(status, headers);
     }
 
     /**
-     * A part of the body has come.
+     * A part of the body arrived.
      *
      * @param attempt attempt number in the frame
      * @param offset body offset of the first byte
      * @param part body bytes
-     * @return what follows; a part that lies beyond a gap is dropped and asked for again
+     * @return the action required; a part after a gap is dropped and queried again
      */
     public AttemptStep onData(int attempt, long offset, byte[] part) {
-        if (stranger(attempt) || offset + part.length <= receivedBytes) {
-            return NOTHING;
+        if (isIgnored(attempt) || offset + part.length <= receivedBytes) {
+            return NO_ACTION;
         }
-        if (offset > receivedBytes || !answered) {
+        if (offset > receivedBytes || !hasHead) {
             return new AttemptStep.QueryState(receivedBytes);
         }
-        byte[] fresh = Arrays.copyOfRange(part, (int) (receivedBytes - offset), part.length);
-        receivedBytes += fresh.length;
-        return new AttemptStep.BodyPart(fresh);
+        byte[] unseen = Arrays.copyOfRange(part, (int) (receivedBytes - offset), part.length);
+        receivedBytes += unseen.length;
+        return new AttemptStep.BodyPart(unseen);
     }
 
     /**
-     * The companion says that the attempt has ended.
+     * The companion reported that the attempt has ended.
      *
      * @param attempt attempt number in the frame
-     * @param length length of the whole body, bytes
+     * @param length length of the complete body, bytes
      * @param outcome whether the call was run
-     * @param cause why it ended, {@link FailureCause#NONE} for the target's whole answer
-     * @param detail what was wrong in this case
-     * @param retryAfter when to come back; zero where it is not known
-     * @return what follows; an end that lies beyond a gap is dropped and asked for again
+     * @param cause why it ended, {@link FailureCause#NONE} for a complete answer of the target
+     * @param detail description of the failure
+     * @param retryAfter time after which to retry; zero if unknown
+     * @return the action required; an end after a gap is dropped and queried again
      */
     public AttemptStep onFinish(
             int attempt,
@@ -124,107 +124,110 @@
             FailureCause cause,
             String detail,
             Duration retryAfter) {
-        if (stranger(attempt)) {
-            return NOTHING;
+        if (isIgnored(attempt)) {
+            return NO_ACTION;
         }
         if (cause != FailureCause.NONE) {
             return end(new AttemptStep.Failed(outcome, cause, detail, retryAfter));
         }
-        if (length != receivedBytes || !answered) {
+        if (length != receivedBytes || !hasHead) {
             return new AttemptStep.QueryState(receivedBytes);
         }
         return end(new AttemptStep.Completed());
     }
 
-    /** The connection is closed or has gone silent. */
+    /** The connection was closed or has become silent. */
     public void onDisconnected() {
         isAttached = false;
     }
 
     /**
-     * A new connection to the companion is up.
+     * A new connection to the companion was opened.
      *
      * @param peerIncarnation incarnation of the companion at the other end
-     * @return what follows: a companion that started anew can't know the attempt
+     * @return the action required; a restarted companion cannot know the attempt, so the attempt
+     *     fails
      */
     public AttemptStep onConnected(String peerIncarnation) {
         if (isEnded || isAttached) {
-            return NOTHING;
+            return NO_ACTION;
         }
         isAttached = true;
         return peerIncarnation.equals(incarnation)
                 ? new AttemptStep.QueryState(receivedBytes)
-                : lost("the companion was restarted while the call was with it");
+                : failLost("the companion was restarted while the call was with it");
     }
 
     /**
-     * The companion has answered what became of the attempt.
+     * The companion answered the query for the attempt's state.
      *
      * @param attempt attempt number in the frame
-     * @param state what became of it
-     * @return what follows
+     * @param state the state
+     * @return the action required
      */
     public AttemptStep onStateAnswer(int attempt, AttemptState state) {
-        if (stranger(attempt)) {
-            return NOTHING;
+        if (isIgnored(attempt)) {
+            return NO_ACTION;
         }
         return switch (state) {
             case NOT_STARTED ->
                     end(
                             new AttemptStep.Failed(
-                                    receivedBytes > 0 || answered
+                                    receivedBytes > 0 || hasHead
                                             ? RunOutcome.UNKNOWN
                                             : RunOutcome.NOT_RUN,
                                     FailureCause.CONNECTION_LOST,
                                     "the call was lost on its way to the companion",
                                     Duration.ZERO));
-            case RUNNING, FINISHED -> NOTHING;
-            case UNKNOWN -> lost("the companion no longer knows the call");
+            case RUNNING, FINISHED -> NO_ACTION;
+            case UNKNOWN -> failLost("the companion no longer knows the call");
         };
     }
 
     /**
-     * No new connection came in time.
+     * No new connection was opened in time.
      *
-     * @return what follows
+     * @return the action required
      */
     public AttemptStep onReattachTimeout() {
-        return isEnded || isAttached ? NOTHING : lost("the connection to the companion was lost");
+        return isEnded || isAttached
+                ? NO_ACTION
+                : failLost("the connection to the companion was lost");
     }
 
     /**
-     * The call's deadline has passed or its caller has gone.
+     * The call's deadline passed or its caller disconnected.
      *
-     * @param cause why
-     * @param detail what was wrong in this case
-     * @return what follows
+     * @param cause why the attempt is abandoned
+     * @param detail description of this case
+     * @return the action required
      */
     public AttemptStep onAbandoned(FailureCause cause, String detail) {
         return isEnded
-                ? NOTHING
+                ? NO_ACTION
                 : end(
                         new AttemptStep.Failed(
-                                answered ? RunOutcome.RUN : RunOutcome.UNKNOWN,
+                                hasHead ? RunOutcome.RUN : RunOutcome.UNKNOWN,
                                 cause,
                                 detail,
                                 Duration.ZERO));
     }
 
-    private AttemptStep lost(String detail) {
+    private AttemptStep failLost(String detail) {
         return end(
                 new AttemptStep.Failed(
-                        answered ? RunOutcome.RUN : RunOutcome.UNKNOWN,
+                        hasHead ? RunOutcome.RUN : RunOutcome.UNKNOWN,
                         FailureCause.CONNECTION_LOST,
                         detail,
                         Duration.ZERO));
     }
 
-    private AttemptStep end(AttemptStep last) {
+    private AttemptStep end(AttemptStep finalStep) {
         isEnded = true;
-        return last;
+        return finalStep;
     }
 
-    private boolean stranger(int attempt) {
+    private boolean isIgnored(int attempt) {
         return isEnded || attempt != number;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/outcome/FailureCause.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/FailureCause.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Why an attempt ended without the target's own answer. */
+/** Why an attempt ended without an answer of the target. */
 public enum FailureCause {
     NONE(ProblemKind.INTERNAL, false),
     QUEUE_FULL(ProblemKind.OVERLOADED, false),
@@ -20,16 +20,16 @@
     private final ProblemKind problemKind;
     private final boolean isTargetFault;
 
-    FailureCause(ProblemKind kind, boolean blamesTarget) {
+    FailureCause(ProblemKind kind, boolean isTargetFault) {
         this.problemKind = kind;
-        this.isTargetFault = blamesTarget;
+        this.isTargetFault = isTargetFault;
     }
 
     /**
-     * Finds a cause by the name used between processes.
+     * Returns the cause with a name received from another process.
      *
      * @param name name of the cause
-     * @return the cause; {@link #CONNECTION_LOST} for a name that this version does not know
+     * @return the cause; {@link #CONNECTION_LOST} for a name unknown to this version
      */
     public static FailureCause fromName(String name) {
         return Arrays.stream(values())
@@ -39,16 +39,16 @@
     }
 
     /**
-     * Whether the cause speaks against the health of the target.
+     * Returns whether the cause indicates a fault of the target.
      *
-     * @return true where it counts towards leaving the target out
+     * @return true if it counts towards the ejection of the target
      */
     public boolean isTargetFault() {
         return isTargetFault;
     }
 
     /**
-     * The kind of problem that the caller gets.
+     * Returns the kind of problem reported to the caller.
      *
      * @param outcome whether the call was run
      * @return the kind
--- a/core/src/main/java/org/sardinelift/core/outcome/IdempotencyRecord.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/IdempotencyRecord.java
@@ -1,17 +1,17 @@
 package org.sardinelift.core.outcome;
 
 /**
- * What is kept of a call that its caller named by an Idempotency-Key.
+ * Stored record of a call with an Idempotency-Key.
  *
- * @param mark unique mark of the request that wrote the intent
+ * @param intentId unique id of the request that wrote the intent
  * @param fingerprint hash of the request
- * @param state what became of it
- * @param untilMs time since the epoch past which a call still noted as running is given up,
+ * @param state state of the call
+ * @param giveUpAtMs time since the epoch after which a call still recorded as running is given up,
  *     milliseconds
- * @param status HTTP status of the answer, 0 without one
- * @param contentType content type of the answer, empty without one
- * @param body the answer, empty without one
- * @param isBodyKept whether the whole answer was small enough to be kept
+ * @param status HTTP status of the answer, 0 if there is none
+ * @param contentType content type of the answer, empty if there is none
+ * @param body body of the answer, empty if there is none
+ * @param isBodyKept whether the complete answer was small enough to be stored
  */
 public record IdempotencyRecord(
         String intentId,
@@ -23,56 +23,56 @@
         byte[] body,
         boolean isBodyKept) {
 
-    /** What became of a call. */
+    /** State of a call. */
     public enum State {
         /** The intent is written; the call may be running. */
         RUNNING,
         /** The call was run and answered. */
         FINISHED,
-        /** Nobody can tell whether the call was run to its end. */
+        /** It is unknown whether the call was run to its end. */
         UNCLEAR
     }
 
-    /** What a resent call gets. */
+    /** What a repeated call is answered with. */
     public enum Resolution {
         /** The key was used for another request. */
         KEY_REUSED,
         /** The first call is still running. */
         STILL_RUNNING,
-        /** The recorded answer. */
+        /** The stored answer is returned. */
         REPLAY,
-        /** The first call's outcome is unknown, for good. */
+        /** The first call's outcome is unknown and stays so. */
         OUTCOME_UNKNOWN,
-        /** The first call was given up; that is to be noted before it is said. */
+        /** The first call is given up; this must be recorded before it is answered. */
         GIVE_UP
     }
 
     private static final byte[] NO_BODY = {};
 
     /**
-     * The intent of a call, written before it is run.
+     * Creates the intent of a call, which is written before the call is run.
      *
-     * @param mark unique mark
+     * @param intentId unique id of the request
      * @param fingerprint hash of the request
-     * @param untilMs time past which the call is given up, milliseconds since the epoch
+     * @param giveUpAtMs time after which the call is given up, milliseconds since the epoch
      * @return the intent
      */
-    public static IdempotencyRecord intent(String mark, String fingerprint, long untilMs) {
+    public static IdempotencyRecord intent(String intentId, String fingerprint, long giveUpAtMs) {
         return new IdempotencyRecord(
-                mark, fingerprint, State.RUNNING, untilMs, 0, "", NO_BODY, false);
+                intentId, fingerprint, State.RUNNING, giveUpAtMs, 0, "", NO_BODY, false);
     }
 
     /**
-     * The record once the answer is known.
+     * Returns the record of the call with its answer.
      *
      * @param answerStatus HTTP status
      * @param answerType content type
-     * @param answer the answer, empty where it is too large
-     * @param kept whether the whole answer is part of the record
+     * @param answer body of the answer, empty if it is too large
+     * @param isKept whether the complete body is part of the record
      * @return the finished record
      */
     public IdempotencyRecord finished(
-            int answerStatus, String answerType, byte[] answer, boolean kept) {
+            int answerStatus, String answerType, byte[] answer, boolean isKept) {
         return new IdempotencyRecord(
                 intentId,
                 fingerprint,
@@ -81,11 +81,11 @@
                 answerStatus,
                 answerType,
                 answer,
-                kept);
+                isKept);
     }
 
     /**
-     * The record of a call whose outcome nobody can tell.
+     * Returns the record of the call with an unknown outcome.
      *
      * @return the unclear record
      */
@@ -95,14 +95,14 @@
     }
 
     /**
-     * Decides what a resent call gets; it is never run a second time.
+     * Determines what a repeated call is answered with; it is never run a second time.
      *
-     * @param resent hash of the resent request
+     * @param repeatedFingerprint hash of the repeated request
      * @param nowMs time since the epoch, milliseconds
-     * @return the verdict
+     * @return the resolution
      */
-    public Resolution resolve(String resent, long nowMs) {
-        if (!fingerprint.equals(resent)) {
+    public Resolution resolve(String repeatedFingerprint, long nowMs) {
+        if (!fingerprint.equals(repeatedFingerprint)) {
             return Resolution.KEY_REUSED;
         }
         return switch (state) {
--- a/core/src/main/java/org/sardinelift/core/outcome/Problem.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/Problem.java
@@ -4,21 +4,21 @@
 import java.util.Optional;
 
 /**
- * A refusal or failure as the caller gets it.
+ * A refusal or failure as reported to the caller.
  *
- * @param kind what was wrong
+ * @param kind kind of the problem
  * @param outcome whether the call was run
- * @param detail what was wrong in this case; never holds a key
- * @param retryAfter when to come back, where that makes sense
+ * @param detail description of this case; never contains a key
+ * @param retryAfter time after which to retry, if that makes sense
  */
 public record Problem(
         ProblemKind kind, RunOutcome outcome, String detail, Optional<Duration> retryAfter) {
 
     /**
-     * A refusal of a call that was not run.
+     * Creates the refusal of a call that was not run.
      *
-     * @param kind what was wrong
-     * @param detail what was wrong in this case
+     * @param kind kind of the problem
+     * @param detail description of this case
      * @return the problem
      */
     public static Problem notRun(ProblemKind kind, String detail) {
@@ -26,11 +26,11 @@
     }
 
     /**
-     * A refusal of a call that was not run, with the time to come back.
+     * Creates the refusal of a call that was not run, with a time to retry.
      *
-     * @param kind what was wrong
-     * @param detail what was wrong in this case
-     * @param retryAfter when to come back
+     * @param kind kind of the problem
+     * @param detail description of this case
+     * @param retryAfter time after which to retry; zero for none
      * @return the problem
      */
     public static Problem notRun(ProblemKind kind, String detail, Duration retryAfter) {
@@ -39,11 +39,11 @@
     }
 
     /**
-     * A failure of a call that was or may have been run.
+     * Creates the failure of a call that was or may have been run.
      *
-     * @param kind what was wrong
+     * @param kind kind of the problem
      * @param outcome whether the call was run
-     * @param detail what was wrong in this case
+     * @param detail description of this case
      * @return the problem
      */
     public static Problem failed(ProblemKind kind, RunOutcome outcome, String detail) {
--- a/core/src/main/java/org/sardinelift/core/outcome/ProblemKind.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/ProblemKind.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Kinds of refusal and failure; names are stable towards callers. */
+/** Kinds of refusal and failure. Callers rely on the names, so they must not change. */
 public enum ProblemKind {
     MALFORMED_HTTP(400, "Send a well-formed HTTP/1.1 request."),
     HEADERS_TOO_LARGE(431, "Send fewer or shorter headers."),
@@ -42,7 +42,7 @@
     }
 
     /**
-     * The HTTP status code.
+     * Returns the HTTP status code.
      *
      * @return status code
      */
@@ -51,7 +51,7 @@
     }
 
     /**
-     * What the caller can do about it.
+     * Returns what the caller can do about the problem.
      *
      * @return one sentence
      */
@@ -60,7 +60,7 @@
     }
 
     /**
-     * The stable name towards callers.
+     * Returns the name that callers see.
      *
      * @return lower-case name with underscores
      */
--- a/core/src/main/java/org/sardinelift/core/outcome/RetryBudget.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/RetryBudget.java
@@ -1,40 +1,40 @@
 package org.sardinelift.core.outcome;
 
 /**
- * Retries of one team as a share of its first attempts, so that failing targets never meet a storm
- * of retries. Not safe for use by several threads at once.
+ * Limits the retries of one team to a fraction of its first attempts, so that failing targets do
+ * not receive a storm of retries. Not thread-safe.
  */
 public final class RetryBudget {
-    private final double share;
-    private final double most;
+    private final double retriesPerAttempt;
+    private final double maxTokens;
     private double tokens;
 
-    private RetryBudget(double share, double most) {
-        this.share = share;
-        this.most = most;
-        this.tokens = most;
+    private RetryBudget(double retriesPerAttempt, double maxTokens) {
+        this.retriesPerAttempt = retriesPerAttempt;
+        this.maxTokens = maxTokens;
+        this.tokens = maxTokens;
     }
 
     /**
-     * A full budget.
+     * Creates a full budget.
      *
-     * @param share retries that each first attempt earns, 0 to 1
-     * @param most retries that can be saved up
+     * @param retriesPerAttempt retries added by each first attempt, 0 to 1
+     * @param maxTokens maximum number of retries in the budget
      * @return the budget of one team
      */
-    public static RetryBudget of(double share, double most) {
-        return new RetryBudget(share, most);
+    public static RetryBudget of(double retriesPerAttempt, double maxTokens) {
+        return new RetryBudget(retriesPerAttempt, maxTokens);
     }
 
     /** A call's first attempt was made. */
     public void onFirstAttempt() {
-        tokens = Math.min(most, tokens + share);
+        tokens = Math.min(maxTokens, tokens + retriesPerAttempt);
     }
 
     /**
-     * Takes one retry.
+     * Acquires one retry.
      *
-     * @return false where the budget is spent
+     * @return false if the budget is exhausted
      */
     public boolean tryAcquire() {
         if (tokens < 1) {
--- a/core/src/main/java/org/sardinelift/core/outcome/RetryPolicy.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/RetryPolicy.java
@@ -6,49 +6,53 @@
 /**
  * Decides whether a failed attempt is followed by another.
  *
- * @param maxAttempts attempts of one call, the first included
- * @param firstBackoff pause before the second attempt
- * @param longestBackoff longest pause
+ * @param maxAttempts maximum number of attempts of one call, including the first
+ * @param firstBackoff backoff before the second attempt
+ * @param longestBackoff longest backoff
  */
 public record RetryPolicy(int maxAttempts, Duration firstBackoff, Duration longestBackoff) {
 
     /**
-     * Decides.
+     * Decides whether to retry, and after which time.
      *
      * @param failed how the attempt ended
      * @param attempt number of the attempt, from 1
-     * @param idempotent whether running the call twice does no harm
-     * @param delivered whether body bytes were passed to the caller, which a second run could not
-     *     continue
+     * @param isIdempotent whether running the call twice does no harm
+     * @param hasDelivered whether body bytes were passed to the caller, which a second run could
+     *     not continue
      * @param left time left for the whole call
      * @param jitter random number from 0 to 1
-     * @param budget the team's budget, drawn on only where all else allows a retry
-     * @return the pause before the next attempt, or empty for no retry
+     * @param budget the team's budget, used only if everything else allows a retry
+     * @return the backoff before the next attempt, or empty for no retry
      */
     public Optional<Duration> backoff(
             AttemptStep.Failed failed,
             int attempt,
-            boolean idempotent,
-            boolean delivered,
+            boolean isIdempotent,
+            boolean hasDelivered,
             Duration left,
             double jitter,
             RetryBudget budget) {
-        boolean allowed =
-                failed.outcome().mayRetry(idempotent)
-                        && worthwhile(failed.cause())
-                        && !delivered
+        boolean isAllowed =
+                failed.outcome().mayRetry(isIdempotent)
+                        && isRetriable(failed.cause())
+                        && !hasDelivered
                         && attempt < maxAttempts;
         Duration pause = pause(failed, attempt, jitter);
-        boolean afforded = allowed && pause.compareTo(left) < 0 && afforded(failed, budget);
-        return afforded ? Optional.of(pause) : Optional.empty();
+        boolean isWithinBudget =
+                isAllowed && pause.compareTo(left) < 0 && isWithinBudget(failed, budget);
+        return isWithinBudget ? Optional.of(pause) : Optional.empty();
     }
 
-    /** Calls that were on a target when it died run again one by one, which is bound enough. */
-    private static boolean afforded(AttemptStep.Failed failed, RetryBudget budget) {
+    /**
+     * Calls that were on a target when it died are retried one at a time, which limits them without
+     * a budget.
+     */
+    private static boolean isWithinBudget(AttemptStep.Failed failed, RetryBudget budget) {
         return failed.cause() == FailureCause.TARGET_DIED || budget.tryAcquire();
     }
 
-    private static boolean worthwhile(FailureCause cause) {
+    private static boolean isRetriable(FailureCause cause) {
         return switch (cause) {
             case DEADLINE_EXCEEDED, CANCELLED, STALE_FENCE, NONE -> false;
             default -> true;
@@ -56,8 +60,8 @@
     }
 
     private Duration pause(AttemptStep.Failed failed, int attempt, double jitter) {
-        long doubled = firstBackoff.toNanos() << Math.min(20, attempt - 1);
-        long bounded = Math.min(longestBackoff.toNanos(), doubled);
+        long exponential = firstBackoff.toNanos() << Math.min(20, attempt - 1);
+        long bounded = Math.min(longestBackoff.toNanos(), exponential);
         Duration backoff = Duration.ofNanos((long) (bounded * (0.5 + jitter / 2)));
         return failed.cause() == FailureCause.QUEUE_FULL
                         && failed.retryAfter().compareTo(backoff) > 0
--- a/core/src/main/java/org/sardinelift/core/outcome/RunOutcome.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/RunOutcome.java
@@ -1,35 +1,35 @@
 package org.sardinelift.core.outcome;
 
-/** Whether a call reached the point where its target may have acted on it. */
+/** Whether a target has acted, or may have acted, on a call. */
 public enum RunOutcome {
-    /** The target certainly never acted on the call: it may be sent again, whatever its method. */
+    /** The target certainly did not act on the call. It may be sent again, whatever its method. */
     NOT_RUN(true),
     /** The target acted on the call. */
     RUN(false),
-    /** Nobody can tell. Only an idempotent call may be sent again. */
+    /** Unknown. Only an idempotent call may be sent again. */
     UNKNOWN(false);
 
-    private final boolean repeatable;
+    private final boolean isRepeatable;
 
-    RunOutcome(boolean repeatable) {
-        this.repeatable = repeatable;
+    RunOutcome(boolean isRepeatable) {
+        this.isRepeatable = isRepeatable;
     }
 
     /**
-     * Whether the call may be sent again.
+     * Returns whether the call may be sent again.
      *
-     * @param idempotent whether running the call twice does no harm
-     * @return true where a second attempt is allowed
+     * @param isIdempotent whether running the call twice does no harm
+     * @return true if a second attempt is allowed
      */
-    public boolean mayRetry(boolean idempotent) {
-        return repeatable || idempotent;
+    public boolean mayRetry(boolean isIdempotent) {
+        return isRepeatable || isIdempotent;
     }
 
     /**
-     * The outcome of a call over two of its attempts.
+     * Returns the outcome of a call over two of its attempts.
      *
      * @param other outcome of the other attempt
-     * @return {@link #NOT_RUN} only where neither attempt can have run
+     * @return {@link #NOT_RUN} only if neither attempt can have run
      */
     public RunOutcome combine(RunOutcome other) {
         if (this == RUN || other == RUN) {
@@ -39,7 +39,7 @@
     }
 
     /**
-     * The name used towards callers.
+     * Returns the name that callers see.
      *
      * @return {@code not_run}, {@code run} or {@code unknown}
      */
--- a/core/src/main/java/org/sardinelift/core/outcome/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/package-info.java
@@ -1,4 +1,4 @@
-/** What became of a call: run outcomes, problems, retries. */
+/** Outcomes of calls: whether a call was run, the problem reported to its caller, and retries. */
 @NullMarked
 package org.sardinelift.core.outcome;
 
--- a/core/src/test/java/org/sardinelift/core/outcome/CallAttemptTest.java
+++ b/core/src/test/java/org/sardinelift/core/outcome/CallAttemptTest.java
@@ -18,12 +18,16 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
+/**
+ * Lost or duplicate frames and lost connections must neither corrupt an answer nor let a call run
+ * twice.
+ */
 class CallAttemptTest {
     private static final int ATTEMPT = 2;
 
-    /** Frames are lost, doubled, late and crossed; connections break at any point. */
+    /** Frames are lost, duplicated, late and out of order; connections break at any point. */
     @Property(seed = "11", tries = 2_000)
-    void theCallerGetsTheWholeAnswerOrAPrefixOfIt(
+    void theCallerReceivesTheCompleteAnswerOrAPrefixOfIt(
             @ForAll @IntRange(max = 200) int length, @ForAll Random random) {
         byte[] body = new byte[length];
         random.nextBytes(body);
@@ -40,12 +44,14 @@
                 caller.take(wire.deliverOne(attempt), wire);
             }
             assertArrayEquals(
-                    Arrays.copyOf(body, caller.got.size()), caller.got.toByteArray(), "prefix");
+                    Arrays.copyOf(body, caller.received.size()),
+                    caller.received.toByteArray(),
+                    "prefix");
         }
-        if (caller.whole) {
-            assertArrayEquals(body, caller.got.toByteArray());
+        if (caller.isComplete) {
+            assertArrayEquals(body, caller.received.toByteArray());
         }
-        assertTrue(caller.heads <= 1);
+        assertTrue(caller.headCount <= 1);
     }
 
     private static void reconnect(CallAttempt attempt, Wire wire, Caller caller) {
@@ -92,7 +98,7 @@
         assertFalse(attempt.isEnded());
     }
 
-    /** Body frames under way to the entry, in some order, some of them lost. */
+    /** Body frames on the way to the entry, reordered and some of them lost. */
     private static final class Wire {
         private final byte[] body;
         private final Random random;
@@ -118,10 +124,10 @@
             if (frames.isEmpty()) {
                 return new AttemptStep.QueryState(attempt.receivedBytes());
             }
-            boolean crossed = random.nextInt(10) == 0;
-            int number = crossed ? ATTEMPT - 1 : ATTEMPT;
+            boolean isOldAttempt = random.nextInt(10) == 0;
+            int number = isOldAttempt ? ATTEMPT - 1 : ATTEMPT;
             int index = random.nextInt(6) == 0 ? random.nextInt(frames.size()) : 0;
-            int[] frame = crossed ? frames.get(index) : take(index);
+            int[] frame = isOldAttempt ? frames.get(index) : take(index);
             if (frame[0] == -1) {
                 return attempt.onHead(number, 200, Map.of());
             }
@@ -138,19 +144,19 @@
         }
     }
 
-    /** What reached the caller. */
+    /** What the caller received. */
     private static final class Caller {
-        final ByteArrayOutputStream got = new ByteArrayOutputStream();
-        int heads;
-        boolean whole;
+        final ByteArrayOutputStream received = new ByteArrayOutputStream();
+        int headCount;
+        boolean isComplete;
 
         void take(AttemptStep step, Wire wire) {
             if (step instanceof AttemptStep.ResponseHead) {
-                heads++;
+                headCount++;
             } else if (step instanceof AttemptStep.BodyPart deliver) {
-                got.writeBytes(deliver.part());
+                received.writeBytes(deliver.part());
             } else if (step instanceof AttemptStep.Completed) {
-                whole = true;
+                isComplete = true;
             } else if (step instanceof AttemptStep.QueryState ask) {
                 wire.restart((int) ask.offset());
             }
--- a/core/src/test/java/org/sardinelift/core/outcome/ProblemTest.java
+++ b/core/src/test/java/org/sardinelift/core/outcome/ProblemTest.java
@@ -6,14 +6,15 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** A refusal must not ask the caller to retry after 0 s. */
 class ProblemTest {
     @Test
-    void aPauseOfNothingIsNoPause() {
-        assertEquals(Optional.empty(), pause(Duration.ZERO));
-        assertEquals(Optional.of(Duration.ofMillis(1)), pause(Duration.ofMillis(1)));
+    void aZeroRetryAfterIsOmitted() {
+        assertEquals(Optional.empty(), retryAfter(Duration.ZERO));
+        assertEquals(Optional.of(Duration.ofMillis(1)), retryAfter(Duration.ofMillis(1)));
     }
 
-    private static Optional<Duration> pause(Duration after) {
-        return Problem.notRun(ProblemKind.DEADLINE_EXCEEDED, "late", after).retryAfter();
+    private static Optional<Duration> retryAfter(Duration duration) {
+        return Problem.notRun(ProblemKind.DEADLINE_EXCEEDED, "late", duration).retryAfter();
     }
 }
--- a/core/src/test/java/org/sardinelift/core/outcome/RetryPolicyTest.java
+++ b/core/src/test/java/org/sardinelift/core/outcome/RetryPolicyTest.java
@@ -10,24 +10,28 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
+/**
+ * Retries must not repeat a call that may run only once, start past its deadline or multiply the
+ * load.
+ */
 class RetryPolicyTest {
     private static final RetryPolicy POLICY =
             new RetryPolicy(3, Duration.ofMillis(20), Duration.ofSeconds(1));
     private static final int CALLS = 20_000;
 
     @Property(seed = "21")
-    void aCallThatMayHaveRunIsRepeatedOnlyWhereThatDoesNoHarm(
+    void aCallThatMayHaveRunIsRepeatedOnlyIfThatDoesNoHarm(
             @ForAll RunOutcome outcome,
             @ForAll FailureCause cause,
-            @ForAll boolean idempotent,
-            @ForAll boolean delivered,
+            @ForAll boolean isIdempotent,
+            @ForAll boolean hasDelivered,
             @ForAll @IntRange(min = 1, max = 5) int attempt) {
         Optional<Duration> pause =
-                backoff(outcome, cause, idempotent, delivered, attempt, Duration.ofMinutes(1));
-        if (outcome != RunOutcome.NOT_RUN && !idempotent) {
+                backoff(outcome, cause, isIdempotent, hasDelivered, attempt, Duration.ofMinutes(1));
+        if (outcome != RunOutcome.NOT_RUN && !isIdempotent) {
             assertTrue(pause.isEmpty());
         }
-        if (delivered || attempt >= POLICY.maxAttempts()) {
+        if (hasDelivered || attempt >= POLICY.maxAttempts()) {
             assertTrue(pause.isEmpty());
         }
     }
@@ -39,9 +43,9 @@
                 .ifPresent(pause -> assertTrue(pause.compareTo(left) < 0));
     }
 
-    /** Half of the targets fail each call; each attempt meets a target at random. */
+    /** Half of the targets fail every call; each attempt goes to a random target. */
     @Property(seed = "23", tries = 20)
-    void halfOfTheTargetsFailingMeetNoRetryStorm(@ForAll Random random) {
+    void failingTargetsReceiveNoRetryStorm(@ForAll Random random) {
         RetryBudget budget = RetryBudget.of(0.1, 10);
         long attempts = 0;
         for (int call = 0; call < CALLS; call++) {
@@ -62,23 +66,24 @@
                 attempts++;
             }
         }
-        double load = (double) attempts / CALLS;
-        assertTrue(load < 1.2, "load on targets " + load + " times the offered load");
+        double relativeLoad = (double) attempts / CALLS;
+        assertTrue(
+                relativeLoad < 1.2, "load on targets " + relativeLoad + " times the offered load");
     }
 
     @Property(seed = "24")
-    void aBudgetNeverGivesMoreThanItsShareAndItsSavings(@ForAll Random random) {
+    void aBudgetNeverGrantsMoreThanItsRatioAndItsBurst(@ForAll Random random) {
         RetryBudget budget = RetryBudget.of(0.2, 5);
-        int first = 0;
+        int firstAttempts = 0;
         int retries = 0;
         for (int step = 0; step < 500; step++) {
             if (random.nextBoolean()) {
                 budget.onFirstAttempt();
-                first++;
+                firstAttempts++;
             } else if (budget.tryAcquire()) {
                 retries++;
             }
-            assertTrue(retries <= 5 + 0.2 * first + 1e-6);
+            assertTrue(retries <= 5 + 0.2 * firstAttempts + 1e-6);
         }
         assertFalse(retries == 0);
     }
@@ -86,15 +91,15 @@
     private static Optional<Duration> backoff(
             RunOutcome outcome,
             FailureCause cause,
-            boolean idempotent,
-            boolean delivered,
+            boolean isIdempotent,
+            boolean hasDelivered,
             int attempt,
             Duration left) {
         return POLICY.backoff(
                 failed(outcome, cause),
                 attempt,
-                idempotent,
-                delivered,
+                isIdempotent,
+                hasDelivered,
                 left,
                 0.5,
                 RetryBudget.of(0.1, 10));
