--- a/core/src/main/java/org/sardinelift/core/stream/EventStreamParser.java
+++ b/core/src/main/java/org/sardinelift/core/stream/EventStreamParser.java
@@ -11,17 +11,17 @@
 import java.util.stream.Collectors;
 
 /**
- * Cuts the bytes of a server-sent event stream into whole events and checks their order. An event
- * of which only a part has come is held back. Not safe for use by several threads at once.
+ * Parses the bytes of a server-sent event stream into complete events and checks their order. The
+ * bytes of an incomplete event are buffered. Not thread-safe.
  */
 public final class EventStreamParser {
     private static final String ID = "id:";
     private static final String DATA = "data:";
 
-    /** Longest event, bytes: a peer that sends no end of an event must not fill the memory. */
+    /** A peer that never ends an event must not fill the memory. */
     private static final int MAX_EVENT_BYTES = 1 << 20;
 
-    private byte[] pending = new byte[0];
+    private byte[] buffer = new byte[0];
     private OptionalLong lastId;
     private Optional<String> fault = Optional.empty();
 
@@ -30,47 +30,47 @@
     }
 
     /**
-     * Reads a stream whose first event may have any number.
+     * Creates a parser of a stream whose first event may have any number.
      *
-     * @return the reader
+     * @return the parser
      */
     public static EventStreamParser fromStart() {
         return new EventStreamParser(OptionalLong.empty());
     }
 
     /**
-     * Reads a stream that goes on after an event.
+     * Creates a parser of a stream that resumes after an event.
      *
      * @param lastId number of that event
-     * @return the reader
+     * @return the parser
      */
     public static EventStreamParser resumingAfter(long lastId) {
         return new EventStreamParser(OptionalLong.of(lastId));
     }
 
     /**
-     * Takes the next bytes.
+     * Parses the next bytes.
      *
-     * @param bytes what was received
-     * @return the events that are whole now; none once the stream is faulty
+     * @param bytes the bytes received
+     * @return the events completed by them; none after a fault of the stream
      */
     public List<StreamEvent> parse(byte[] bytes) {
-        pending = joined(pending, bytes);
+        buffer = concatenate(buffer, bytes);
         List<StreamEvent> events = new ArrayList<>();
-        int end = endOfEvent(pending);
+        int end = endOfEvent(buffer);
         while (end > 0 && fault.isEmpty()) {
-            take(slice(pending, 0, end)).ifPresent(events::add);
-            pending = slice(pending, end, pending.length);
-            end = endOfEvent(pending);
+            parseEvent(slice(buffer, 0, end)).ifPresent(events::add);
+            buffer = slice(buffer, end, buffer.length);
+            end = endOfEvent(buffer);
         }
-        if (pending.length > MAX_EVENT_BYTES) {
+        if (buffer.length > MAX_EVENT_BYTES) {
             fault = Optional.of("an event is longer than " + MAX_EVENT_BYTES + " bytes");
         }
         return events;
     }
 
     /**
-     * Number of the last whole event.
+     * Returns the number of the last complete event.
      *
      * @return its number, or empty before the first
      */
@@ -79,31 +79,31 @@
     }
 
     /**
-     * What is wrong with the stream.
+     * Returns the fault of the stream.
      *
-     * @return the fault, or empty
+     * @return description of the fault, or empty if there is none
      */
     public Optional<String> fault() {
         return fault;
     }
 
     /**
-     * Whether bytes of an event have come whose end has not.
+     * Returns whether an event has been received in part.
      *
-     * @return true within an event
+     * @return true if the end of an event is missing
      */
     public boolean hasPartialEvent() {
-        return pending.length > 0;
+        return buffer.length > 0;
     }
 
-    private Optional<StreamEvent> take(byte[] raw) {
-        Optional<String> text = text(raw);
+    private Optional<StreamEvent> parseEvent(byte[] raw) {
+        Optional<String> text = decode(raw);
         if (text.isEmpty()) {
             fault = Optional.of("an event is not UTF-8");
             return Optional.empty();
         }
         List<String> lines = text.get().lines().toList();
-        Optional<Long> id = number(lines);
+        Optional<Long> id = parseId(lines);
         if (id.isEmpty()) {
             fault = Optional.of("an event has no number");
             return Optional.empty();
@@ -121,7 +121,7 @@
         return Optional.of(new StreamEvent(id.get(), data, raw));
     }
 
-    private static Optional<Long> number(List<String> lines) {
+    private static Optional<Long> parseId(List<String> lines) {
         try {
             return lines.stream()
                     .filter(line -> line.startsWith(ID))
@@ -137,7 +137,7 @@
         return rest.startsWith(" ") ? rest.substring(1) : rest;
     }
 
-    private static Optional<String> text(byte[] raw) {
+    private static Optional<String> decode(byte[] raw) {
         try {
             return Optional.of(
                     StandardCharsets.UTF_8
@@ -151,13 +151,14 @@
         }
     }
 
-    /** Index after the first empty line, 0 where there is none. */
+    /** Returns the index after the first empty line, 0 if there is none. */
     private static int endOfEvent(byte[] bytes) {
         int lineStart = 0;
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] == '\n') {
-                boolean empty = i == lineStart || i == lineStart + 1 && bytes[lineStart] == '\r';
-                if (empty) {
+                boolean isEmptyLine =
+                        i == lineStart || i == lineStart + 1 && bytes[lineStart] == '\r';
+                if (isEmptyLine) {
                     return i + 1;
                 }
                 lineStart = i + 1;
@@ -166,7 +167,7 @@
         return 0;
     }
 
-    private static byte[] joined(byte[] first, byte[] second) {
+    private static byte[] concatenate(byte[] first, byte[] second) {
         if (first.length == 0) {
             return second;
         }
--- a/core/src/main/java/org/sardinelift/core/stream/StreamEvent.java
+++ b/core/src/main/java/org/sardinelift/core/stream/StreamEvent.java
@@ -3,8 +3,8 @@
 /**
  * One event of a stream.
  *
- * @param id its number
- * @param data its data lines, joined by line feeds
- * @param rawBytes its bytes as received, with the empty line that ends it
+ * @param id number of the event
+ * @param data data lines, joined by line feeds
+ * @param rawBytes bytes as received, including the empty line that ends the event
  */
 public record StreamEvent(long id, String data, byte[] rawBytes) {}
--- a/core/src/main/java/org/sardinelift/core/stream/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/stream/package-info.java
@@ -1,4 +1,4 @@
-/** Streams of events as targets send them. */
+/** Event streams sent by targets. */
 @NullMarked
 package org.sardinelift.core.stream;
 
