--- a/core/src/main/java/org/sardinelift/core/peer/Peer.java
+++ b/core/src/main/java/org/sardinelift/core/peer/Peer.java
@@ -4,25 +4,25 @@
 import java.util.Set;
 
 /**
- * Another instance, as its last report shows it.
+ * Another instance, as of its last report.
  *
  * @param name name of the instance
  * @param host IP address
  * @param port port for reports and internal calls
  * @param zone availability zone, empty before the first report
- * @param role what it does, as far as it is known
- * @param incarnation its life; 0 before the first report
+ * @param role its role, assumed to be a gateway before the first report
+ * @param incarnation its incarnation; 0 before the first report
  * @param sequence number of its last report
- * @param planVersion version of the configuration that it serves by
- * @param leaving whether it is about to stop
- * @param jobs hashes of the jobs that it runs
+ * @param planVersion version of the configuration that it applies
+ * @param isLeaving whether it is about to stop
+ * @param jobHashes hashes of the jobs that it runs
  * @param planReadAt when it confirmed the configuration with the store itself, nanoseconds; empty
- *     where it never did
- * @param targetsReadAt when it read the targets from the store itself, nanoseconds; empty where it
+ *     if it never did
+ * @param targetsReadAt when it read the targets from the store itself, nanoseconds; empty if it
  *     never did
- * @param targetsRevision revision at which the targets that it holds had changed last
- * @param heardAt when its last report came, nanoseconds
- * @param heard whether any report has come
+ * @param targetsRevision revision of the last change of the targets that it knows
+ * @param lastReportAt when its last report arrived, nanoseconds
+ * @param hasReported whether it has sent any report
  */
 public record Peer(
         String name,
@@ -42,7 +42,7 @@
         boolean hasReported) {
 
     /**
-     * An instance of which only the address is known.
+     * Creates a peer of which only the address is known.
      *
      * @param name its name
      * @param host IP address
@@ -69,7 +69,7 @@
                 false);
     }
 
-    Peer at(String newHost, int newPort) {
+    Peer withAddress(String newHost, int newPort) {
         return new Peer(
                 name,
                 newHost,
--- a/core/src/main/java/org/sardinelift/core/peer/PeerRole.java
+++ b/core/src/main/java/org/sardinelift/core/peer/PeerRole.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** What an instance of the serving path does. */
+/** Role of an instance on the path of calls. */
 public enum PeerRole {
-    /** Takes callers' requests and sends them to targets. */
+    /** Receives requests of callers and sends them to targets. */
     GATEWAY,
-    /** Keeps and runs batch jobs. */
+    /** Stores and runs batch jobs. */
     WORKER;
 
     /**
-     * The name on the wire and in settings.
+     * Returns the name on the wire and in settings.
      *
      * @return the name in lower case
      */
@@ -21,10 +21,10 @@
     }
 
     /**
-     * Finds a role by its name.
+     * Returns the role with a name.
      *
      * @param label the name in lower case
-     * @return the role, or empty where there is none of that name
+     * @return the role, or empty if there is none of that name
      */
     public static Optional<PeerRole> fromLabel(String label) {
         return Stream.of(values()).filter(role -> role.label().equals(label)).findFirst();
--- a/core/src/main/java/org/sardinelift/core/peer/PeerTable.java
+++ b/core/src/main/java/org/sardinelift/core/peer/PeerTable.java
@@ -15,11 +15,11 @@
 import java.util.stream.Stream;
 
 /**
- * The instances known to this one and which of them are live. Times are nanoseconds of a monotonic
- * clock. Not safe for use by several threads at once.
+ * The peers known to this instance, and which of them are live. Times are nanoseconds of a
+ * monotonic clock. Not thread-safe.
  */
 public final class PeerTable {
-    /** Workers go first: they have no callers who wait. */
+    /** Workers relay before gateways, because no callers wait for them. */
     private static final Comparator<RelayRank> RELAY_ORDER =
             Comparator.comparing((RelayRank rank) -> rank.role() != PeerRole.WORKER)
                     .thenComparing(RelayRank::name);
@@ -27,66 +27,66 @@
     private record RelayRank(PeerRole role, String name) {}
 
     private final String self;
-    private final long silenceNanos;
-    private final long forgetNanos;
+    private final long silenceTimeoutNanos;
+    private final long removalTimeoutNanos;
     private final Map<String, Peer> peers = new HashMap<>();
 
-    private PeerTable(String self, Duration silence, Duration forget) {
+    private PeerTable(String self, Duration silenceTimeout, Duration removalTimeout) {
         this.self = self;
-        this.silenceNanos = silence.toNanos();
-        this.forgetNanos = forget.toNanos();
+        this.silenceTimeoutNanos = silenceTimeout.toNanos();
+        this.removalTimeoutNanos = removalTimeout.toNanos();
     }
 
     /**
-     * A book without peers.
+     * Creates a table without peers.
      *
      * @param self name of this instance
-     * @param silence time without a report after which a peer counts as lost
-     * @param forget time without a report after which a peer is forgotten
-     * @return the book
+     * @param silenceTimeout time without a report after which a peer is considered lost
+     * @param removalTimeout time without a report after which a peer is removed
+     * @return the table
      */
-    public static PeerTable create(String self, Duration silence, Duration forget) {
-        return new PeerTable(self, silence, forget);
+    public static PeerTable create(String self, Duration silenceTimeout, Duration removalTimeout) {
+        return new PeerTable(self, silenceTimeout, removalTimeout);
     }
 
     /**
-     * The address of an instance was learned from elsewhere than a report of its own.
+     * The address of an instance was learned from a source other than its own report.
      *
      * @param name its name
      * @param host IP address
      * @param port port
      * @param now the time
-     * @return whether it was unknown
+     * @return whether the instance was unknown
      */
     public boolean onAddress(String name, String host, int port, long now) {
         if (name.equals(self)) {
             return false;
         }
         Peer known = peers.get(name);
-        boolean lost = known != null && !isLive(known, now);
+        boolean isLost = known != null && !isLive(known, now);
         if (known == null) {
             peers.put(name, Peer.ofAddress(name, host, port, now));
-        } else if (lost) {
-            peers.put(name, known.at(host, port));
+        } else if (isLost) {
+            peers.put(name, known.withAddress(host, port));
         }
         return known == null;
     }
 
-    /** What a report told. */
+    /** Effect of a report. */
     public enum ReportResult {
-        /** It is older than one that came before. */
+        /** It is older than one already received. */
         STALE,
-        /** A known peer goes on. */
+        /** The peer was already known and live. */
         KNOWN,
-        /** The peer was unknown, lost, or has started anew. */
+        /** The peer was unknown or lost, or has restarted. */
         JOINED
     }
 
     /**
-     * Takes a report.
+     * A peer sent a report.
      *
-     * @param report the peer as it shows itself
-     * @return what it told
+     * @param report the peer as it reports itself
+     * @return the effect of the report
      */
     public ReportResult onReport(Peer report) {
         if (report.name().equals(self)) {
@@ -97,12 +97,12 @@
             return ReportResult.STALE;
         }
         peers.put(report.name(), report);
-        boolean joined =
+        boolean hasJoined =
                 known == null
                         || !known.hasReported()
                         || known.incarnation() != report.incarnation()
-                        || report.lastReportAt() - known.lastReportAt() >= silenceNanos;
-        return joined ? ReportResult.JOINED : ReportResult.KNOWN;
+                        || report.lastReportAt() - known.lastReportAt() >= silenceTimeoutNanos;
+        return hasJoined ? ReportResult.JOINED : ReportResult.KNOWN;
     }
 
     private static boolean isOlder(Peer report, Peer known) {
@@ -112,34 +112,34 @@
     }
 
     /**
-     * Forgets the peers that have been silent for long.
+     * Removes the peers that have been silent for the removal timeout.
      *
      * @param now the time
-     * @return names of those forgotten
+     * @return names of the removed peers
      */
     public List<String> removeSilent(long now) {
-        List<String> gone =
+        List<String> removed =
                 peers.values().stream()
-                        .filter(peer -> now - peer.lastReportAt() >= forgetNanos)
+                        .filter(peer -> now - peer.lastReportAt() >= removalTimeoutNanos)
                         .map(Peer::name)
                         .toList();
-        gone.forEach(peers::remove);
-        return gone;
+        removed.forEach(peers::remove);
+        return removed;
     }
 
     /**
-     * Whether a peer has reported lately.
+     * Returns whether a peer has reported recently.
      *
      * @param peer the peer
      * @param now the time
-     * @return true within the silence bound
+     * @return true within the silence timeout
      */
     public boolean isLive(Peer peer, long now) {
-        return peer.hasReported() && now - peer.lastReportAt() < silenceNanos;
+        return peer.hasReported() && now - peer.lastReportAt() < silenceTimeoutNanos;
     }
 
     /**
-     * All peers, live or not.
+     * Returns all peers, live or not.
      *
      * @return the peers
      */
@@ -148,7 +148,7 @@
     }
 
     /**
-     * The live peers of a role that aren't about to stop.
+     * Returns the live peers of a role that are not about to stop.
      *
      * @param role the role
      * @param now the time
@@ -160,12 +160,12 @@
     }
 
     /**
-     * Peers to ask, in the order in which they are to be tried: those of a zone first, each group
-     * in an order of its own for each draw.
+     * Returns the peers to query, in the order in which to try them: those of a zone first, each
+     * group in an order that depends on the draw.
      *
      * @param role the role
-     * @param zone the zone preferred
-     * @param draw number spread evenly over the calls
+     * @param zone the preferred zone
+     * @param draw number distributed evenly over the calls
      * @param now the time
      * @return the peers
      */
@@ -178,15 +178,15 @@
     }
 
     /**
-     * Whether another instance of a zone reads something from the store for this one: a live peer
-     * whose name comes before this one's and whose own last read is recent. Where that peer is lost
-     * or can't read, the next one reads, and each goes back when it sees an earlier one read again.
+     * Returns whether another instance of a zone reads something from the store for this one: a
+     * live peer whose name sorts before this one's and whose own last read is recent. If that peer
+     * is lost or cannot read, the next one reads, and it stops once an earlier one reads again.
      *
      * @param zone the zone
-     * @param readAt when a peer read it last
+     * @param readAt when a peer last read it
      * @param limit age from which a read is too old to rely on
      * @param now the time
-     * @return true where this instance need not read it
+     * @return true if this instance need not read it
      */
     public boolean isReadByOther(
             String zone, Function<Peer, OptionalLong> readAt, Duration limit, long now) {
@@ -197,23 +197,26 @@
                 .anyMatch(at -> at.isPresent() && now - at.getAsLong() < limit.toNanos());
     }
 
-    /** Whether the work of an instance that is to go for good has somebody to go to. */
+    /** Whether another instance can take over the work of this one when it retires. */
     public enum SuccessorState {
         /** Another instance of the role stays. */
         PRESENT,
-        /** All others are about to go as well, and one whose name comes first decides to stay. */
+        /**
+         * All others are about to stop too, and one whose name sorts before this one's decides to
+         * stay.
+         */
         PENDING,
-        /** Nobody else will stay, so that this instance must. */
+        /** No other instance will stay, so this one must. */
         NONE
     }
 
     /**
-     * Who can take over from this instance. An instance that is about to go never counts: it may
-     * have relied on this one.
+     * Returns whether another instance can take over from this one. An instance that is about to
+     * stop never counts, since it may rely on this one.
      *
      * @param role the role of this instance
      * @param now the time
-     * @return what is known of the others
+     * @return the state of a successor
      */
     public SuccessorState successorState(PeerRole role, long now) {
         List<Peer> others =
@@ -229,11 +232,11 @@
     }
 
     /**
-     * Whether every known peer of a role has reported lately.
+     * Returns whether every known peer of a role has reported recently.
      *
      * @param role the role
      * @param now the time
-     * @return false where one is silent and not yet forgotten
+     * @return false if one is silent and not yet removed
      */
     public boolean isEveryPeerLive(PeerRole role, long now) {
         return peers.values().stream()
@@ -242,12 +245,12 @@
     }
 
     /**
-     * Whether this instance passes reports on between its zone and the others.
+     * Returns whether this instance relays reports between its zone and the others.
      *
      * @param role its role
      * @param zone its zone
      * @param now the time
-     * @return true where no live peer of the zone comes before it
+     * @return true if no live peer of the zone precedes it
      */
     public boolean isRelay(PeerRole role, String zone, long now) {
         return relayCandidates(now)
@@ -259,9 +262,9 @@
     }
 
     /**
-     * The instances that pass reports on in the other zones, one for each.
+     * Returns the peers that relay reports in the other zones, one for each zone.
      *
-     * @param ownZone the zone left out
+     * @param ownZone the zone to exclude
      * @param now the time
      * @return the peers
      */
@@ -286,9 +289,9 @@
     }
 
     /**
-     * The live peer with the newest configuration, where it is newer than a version.
+     * Returns the live peer with the newest configuration if that is newer than a version.
      *
-     * @param version the version held
+     * @param version the version to exceed
      * @param now the time
      * @return the peer, or empty
      */
--- a/core/src/main/java/org/sardinelift/core/peer/RelayBuffer.java
+++ b/core/src/main/java/org/sardinelift/core/peer/RelayBuffer.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Reports that an instance has still to pass on, the newest of each sender.
+ * Buffers the reports that a relay still has to pass on, the newest of each sender.
  *
- * <p>Load answered: reports from each instance to each other one grow with the square of the fleet,
- * and most of them cross zones. Here the changes of a whole zone leave it in one message to each
- * other zone, so that they grow with the instances and with the square of the zones. Not safe for
- * use by several threads at once.
+ * <p>If each instance reported to each other one, the reports would grow with the square of the
+ * fleet, and most of them would cross zones. With relays, the changes of a whole zone leave it in
+ * one message to each other zone, so they grow with the number of instances and the square of the
+ * number of zones. Not thread-safe.
  */
 public final class RelayBuffer {
     private final int maxBytes;
@@ -22,9 +22,9 @@
     }
 
     /**
-     * An empty buffer.
+     * Creates an empty buffer.
      *
-     * @param maxBytes bytes of the reports that one message takes
+     * @param maxBytes maximum size of the reports in one message
      * @return the buffer
      */
     public static RelayBuffer create(int maxBytes) {
@@ -32,39 +32,40 @@
     }
 
     /**
-     * Takes a report; it replaces an earlier one of its sender.
+     * Adds a report, which replaces an earlier one of its sender.
      *
      * @param sender name of the instance that sent it
-     * @param report the report as it came
+     * @param report the report as received
      */
     public void put(String sender, byte[] report) {
         reports.put(sender, report);
     }
 
     /**
-     * Whether there is nothing to pass on.
+     * Returns whether there is nothing to pass on.
      *
-     * @return true without reports
+     * @return true if there are no reports
      */
     public boolean isEmpty() {
         return reports.isEmpty();
     }
 
     /**
-     * Takes all reports out.
+     * Removes all reports, grouped into messages. A report longer than the maximum has a message of
+     * its own.
      *
      * @return the reports of each message, none of which is empty
      */
     public List<List<byte[]>> drain() {
         List<List<byte[]>> messages = new ArrayList<>();
-        int used = maxBytes;
+        int usedBytes = maxBytes;
         for (byte[] report : reports.values()) {
-            if (used + report.length > maxBytes) {
+            if (usedBytes + report.length > maxBytes) {
                 messages.add(new ArrayList<>());
-                used = 0;
+                usedBytes = 0;
             }
             messages.get(messages.size() - 1).add(report);
-            used += report.length;
+            usedBytes += report.length;
         }
         reports.clear();
         return messages;
--- a/core/src/main/java/org/sardinelift/core/peer/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/peer/package-info.java
@@ -1,4 +1,4 @@
-/** The other instances, as their reports show them. */
+/** The other instances (peers), as known from their reports. */
 @NullMarked
 package org.sardinelift.core.peer;
 
--- a/core/src/test/java/org/sardinelift/core/peer/RelayBufferTest.java
+++ b/core/src/test/java/org/sardinelift/core/peer/RelayBufferTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** A relay must pass each sender's newest report on once, in messages of bounded size. */
 class RelayBufferTest {
     private final RelayBuffer buffer = RelayBuffer.create(10);
 
@@ -32,7 +33,7 @@
     }
 
     @Test
-    void aReportLongerThanTheBoundGoesAlone() {
+    void aReportLongerThanTheBoundHasItsOwnMessage() {
         buffer.put("a", new byte[4]);
         buffer.put("b", new byte[40]);
         buffer.put("c", new byte[4]);
