--- a/core/src/main/java/org/sardinelift/core/fleet/FleetView.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/FleetView.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The instances that this instance takes to be live; immutable.
+ * The instances that this instance considers to be members of the fleet. Immutable.
  *
  * @param entries entries, this one included, by name
  * @param companions companions, by name
@@ -11,7 +11,7 @@
 public record FleetView(List<InstanceInfo> entries, List<InstanceInfo> companions) {
 
     /**
-     * A view before the list was read.
+     * Creates the view before the platform's list was read.
      *
      * @return an empty view
      */
--- a/core/src/main/java/org/sardinelift/core/fleet/HeartbeatAction.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/HeartbeatAction.java
@@ -1,9 +1,9 @@
 package org.sardinelift.core.fleet;
 
-/** What one end of a connection does next to know that the path is alive. */
+/** Action that a {@link HeartbeatMonitor} requires of its end of the connection. */
 public sealed interface HeartbeatAction {
 
-    /** Nothing is due. */
+    /** No action is due. */
     record Wait() implements HeartbeatAction {}
 
     /**
@@ -14,9 +14,9 @@
     record SendHeartbeat(long sequence) implements HeartbeatAction {}
 
     /**
-     * The path is silent: close the connection.
+     * Close the connection, which is silent.
      *
-     * @param reason what was missed and for how long
+     * @param reason what was missing and for how long
      */
     record Close(String reason) implements HeartbeatAction {}
 }
--- a/core/src/main/java/org/sardinelift/core/fleet/HeartbeatMonitor.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/HeartbeatMonitor.java
@@ -3,64 +3,67 @@
 import java.time.Duration;
 
 /**
- * One end's watch over a connection. The end that opened the connection sends heartbeats and the
- * other end answers them: the answer proves both directions to the opener, the heartbeat proves its
- * own direction to the acceptor. A direction that only the opener can see to be broken reaches the
- * acceptor as the opener's close, or as silence. Times are nanoseconds of a monotonic clock. Not
- * safe for use by several threads.
+ * Detects at one end of a connection that it is silent. The end that opened the connection sends
+ * heartbeats and the other end answers them: an answer proves both directions to the opener, a
+ * heartbeat proves its own direction to the acceptor. If only the opener can detect that a
+ * direction is broken, the acceptor sees the opener close the connection, or silence. Times are
+ * nanoseconds of a monotonic clock. Not thread-safe.
  */
 public final class HeartbeatMonitor {
-    private final boolean opener;
-    private final long heartbeatNanos;
-    private final long silenceNanos;
-    private long lastBytesNanos;
-    private long nextHeartbeatNanos;
+    private final boolean isOpener;
+    private final long heartbeatIntervalNanos;
+    private final long silenceTimeoutNanos;
+    private long lastBytesAtNanos;
+    private long nextHeartbeatAtNanos;
     private long unansweredSinceNanos;
     private long sentSequence;
-    private boolean unanswered;
+    private boolean hasUnansweredHeartbeat;
 
-    private HeartbeatMonitor(boolean opener, Duration heartbeat, Duration silence, long nowNanos) {
-        this.opener = opener;
-        heartbeatNanos = heartbeat.toNanos();
-        silenceNanos = silence.toNanos();
-        lastBytesNanos = nowNanos;
-        nextHeartbeatNanos = nowNanos + heartbeatNanos;
+    private HeartbeatMonitor(
+            boolean isOpener, Duration heartbeatInterval, Duration silenceTimeout, long nowNanos) {
+        this.isOpener = isOpener;
+        heartbeatIntervalNanos = heartbeatInterval.toNanos();
+        silenceTimeoutNanos = silenceTimeout.toNanos();
+        lastBytesAtNanos = nowNanos;
+        nextHeartbeatAtNanos = nowNanos + heartbeatIntervalNanos;
     }
 
     /**
-     * Starts the watch of the end that opened the connection.
+     * Creates the monitor of the end that opened the connection.
      *
-     * @param heartbeat time between two heartbeats
-     * @param silence time without a byte, or without an answer, after which the path is silent
+     * @param heartbeatInterval time between two heartbeats
+     * @param silenceTimeout time without a byte, or without an answer to a heartbeat, after which
+     *     the connection is silent
      * @param nowNanos time at which the connection was opened
-     * @return the watch
+     * @return the monitor
      */
-    public static HeartbeatMonitor ofOpener(Duration heartbeat, Duration silence, long nowNanos) {
-        return new HeartbeatMonitor(true, heartbeat, silence, nowNanos);
+    public static HeartbeatMonitor ofOpener(
+            Duration heartbeatInterval, Duration silenceTimeout, long nowNanos) {
+        return new HeartbeatMonitor(true, heartbeatInterval, silenceTimeout, nowNanos);
     }
 
     /**
-     * Starts the watch of the end that accepted the connection.
+     * Creates the monitor of the end that accepted the connection.
      *
-     * @param silence time without a byte after which the path is silent
+     * @param silenceTimeout time without a byte after which the connection is silent
      * @param nowNanos time at which the connection was accepted
-     * @return the watch
+     * @return the monitor
      */
-    public static HeartbeatMonitor ofAcceptor(Duration silence, long nowNanos) {
-        return new HeartbeatMonitor(false, silence, silence, nowNanos);
+    public static HeartbeatMonitor ofAcceptor(Duration silenceTimeout, long nowNanos) {
+        return new HeartbeatMonitor(false, silenceTimeout, silenceTimeout, nowNanos);
     }
 
     /**
-     * Bytes have come.
+     * Bytes were received.
      *
      * @param nowNanos time now
-     * @return false where they came after a silence, so that they may be long out of date
+     * @return false if they came after the silence timeout, so that they may be out of date
      */
     public boolean onBytesReceived(long nowNanos) {
-        if (nowNanos - lastBytesNanos > silenceNanos) {
+        if (nowNanos - lastBytesAtNanos > silenceTimeoutNanos) {
             return false;
         }
-        lastBytesNanos = nowNanos;
+        lastBytesAtNanos = nowNanos;
         return true;
     }
 
@@ -70,8 +73,8 @@
      * @param nowNanos time now
      */
     public void onHeartbeatWritten(long nowNanos) {
-        if (!unanswered) {
-            unanswered = true;
+        if (!hasUnansweredHeartbeat) {
+            hasUnansweredHeartbeat = true;
             unansweredSinceNanos = nowNanos;
         }
     }
@@ -83,47 +86,48 @@
      * @param nowNanos time now
      */
     public void onHeartbeatAnswered(long sequence, long nowNanos) {
-        unanswered = sequence < sentSequence;
+        hasUnansweredHeartbeat = sequence < sentSequence;
         unansweredSinceNanos = nowNanos;
     }
 
     /**
-     * Decides what is due.
+     * Determines the action that is due.
      *
      * @param nowNanos time now
-     * @return what to do
+     * @return the action
      */
     public HeartbeatAction check(long nowNanos) {
-        if (nowNanos - lastBytesNanos > silenceNanos) {
+        if (nowNanos - lastBytesAtNanos > silenceTimeoutNanos) {
             return new HeartbeatAction.Close(
-                    "no byte came for " + millis(nowNanos - lastBytesNanos));
+                    "no byte came for " + millis(nowNanos - lastBytesAtNanos));
         }
-        if (unanswered && nowNanos - unansweredSinceNanos > silenceNanos) {
+        if (hasUnansweredHeartbeat && nowNanos - unansweredSinceNanos > silenceTimeoutNanos) {
             return new HeartbeatAction.Close(
                     "no heartbeat was answered for " + millis(nowNanos - unansweredSinceNanos));
         }
-        if (opener && nowNanos - nextHeartbeatNanos >= 0) {
-            nextHeartbeatNanos = nowNanos + heartbeatNanos;
+        if (isOpener && nowNanos - nextHeartbeatAtNanos >= 0) {
+            nextHeartbeatAtNanos = nowNanos + heartbeatIntervalNanos;
             return new HeartbeatAction.SendHeartbeat(++sentSequence);
         }
         return new HeartbeatAction.Wait();
     }
 
     /**
-     * When {@link #check} is due again, if nothing comes until then.
+     * Returns when {@link #check} is due again if nothing is received until then.
      *
      * @param nowNanos time now
      * @return time from now, in nanoseconds, at least 1
      */
     public long nextCheckInNanos(long nowNanos) {
-        long due = lastBytesNanos + silenceNanos + 1 - nowNanos;
-        if (unanswered) {
-            due = Math.min(due, unansweredSinceNanos + silenceNanos + 1 - nowNanos);
+        long dueInNanos = lastBytesAtNanos + silenceTimeoutNanos + 1 - nowNanos;
+        if (hasUnansweredHeartbeat) {
+            dueInNanos =
+                    Math.min(dueInNanos, unansweredSinceNanos + silenceTimeoutNanos + 1 - nowNanos);
         }
-        if (opener) {
-            due = Math.min(due, nextHeartbeatNanos - nowNanos);
+        if (isOpener) {
+            dueInNanos = Math.min(dueInNanos, nextHeartbeatAtNanos - nowNanos);
         }
-        return Math.max(1, due);
+        return Math.max(1, dueInNanos);
     }
 
     private static String millis(long nanos) {
--- a/core/src/main/java/org/sardinelift/core/fleet/InstanceInfo.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/InstanceInfo.java
@@ -3,13 +3,13 @@
 /**
  * One instance of the system.
  *
- * @param name unique name; a replacement has another
+ * @param name unique name; a replacement has another one
  * @param role {@code entry} or {@code companion}
  * @param zone availability zone
  * @param host IP address
  * @param port port of the process protocol
  * @param target target beside a companion, empty for an entry
- * @param isLeaving whether it is being taken away
+ * @param isLeaving whether it is leaving the fleet
  */
 public record InstanceInfo(
         String name,
@@ -21,12 +21,12 @@
         boolean isLeaving) {
 
     /**
-     * This instance with another word on its leaving.
+     * Returns a copy that differs in whether the instance is leaving.
      *
-     * @param isLeaving whether it is being taken away
-     * @return the instance
+     * @param isLeaving whether it is leaving the fleet
+     * @return the copy
      */
-    public InstanceInfo isLeaving(boolean isLeaving) {
+    public InstanceInfo withLeaving(boolean isLeaving) {
         return new InstanceInfo(name, role, zone, host, port, target, isLeaving);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/fleet/Membership.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/Membership.java
@@ -9,29 +9,32 @@
 import java.util.Set;
 
 /**
- * Who is a member, and who may conclude what from which evidence.
+ * Determines the members of the fleet from the platform's list, the open connections and the
+ * instances' own notices.
  *
  * <ul>
  *   <li>The platform's list is the only evidence that an instance exists, and the only source of
  *       its address. It lags both ways: it may show an instance that is gone and miss a new one.
- *   <li>An instance's own word that it leaves is final for that name: nothing takes it back, not
- *       even a list that still shows the instance as live. It gets no new work from then on, and
- *       what runs there goes on. An instance that stays must come back under a new name.
- *   <li>A name is one life of an instance. A replacement has another name, also at the same
- *       address; then the older one at that address is left out of new work, since a connection to
- *       the address reaches the newer one.
- *   <li>An open connection proves that the instance lives, whatever the list says: an instance that
- *       is missing from the list is kept while its connection is open.
- *   <li>A closed or silent connection proves nothing but that this path is closed. The instance
- *       stays a member; whoever routes work leaves it out until a connection is open again. It is
- *       no evidence about calls under way there.
- *   <li>An instance is gone when the list has missed it for a time and no connection is open. Even
- *       then it may be alive, cut off and at work, so being gone here never frees anything that it
- *       holds; {@code core.limit} and the batch claims wait for their own bounds.
- *   <li>While the platform doesn't answer nothing is concluded from its silence: the members stay.
+ *   <li>An instance's own notice that it is leaving is final for that name: nothing revokes it, not
+ *       even a list that still shows the instance as live. From then on it gets no new work, and
+ *       calls that run there continue. An instance that stays must come back under a new name.
+ *   <li>A name belongs to one incarnation of an instance. A replacement has another name, even at
+ *       the same address; the older instance at that address then gets no new work, since a
+ *       connection to the address reaches the newer one.
+ *   <li>An open connection proves that the instance is alive, whatever the list says: an instance
+ *       that is missing from the list is kept while its connection is open.
+ *   <li>A closed or silent connection proves only that this path is closed. The instance stays a
+ *       member, but no work is routed to it until a connection is open again. It is no evidence
+ *       about calls that run there.
+ *   <li>An instance is gone when it has been missing from the list for a time and no connection to
+ *       it is open. Even then it may be alive, disconnected and running calls, so its removal here
+ *       never frees anything that it holds; {@code core.limit} and the batch claims wait for their
+ *       own time limits.
+ *   <li>While the platform does not answer, nothing is concluded from its silence: the members
+ *       stay.
  * </ul>
  *
- * <p>Times are milliseconds of a monotonic clock. Not safe for use by several threads.
+ * <p>Times are milliseconds of a monotonic clock. Not thread-safe.
  */
 public final class Membership {
     private static final int MAX_LEAVING_NAMES = 10_000;
@@ -39,18 +42,18 @@
     private final MembershipTimings timings;
     private final Map<String, Member> members = new HashMap<>();
     private final Set<String> connected = new HashSet<>();
-    private final Set<String> saidLeaving = new LinkedHashSet<>();
-    private long lists;
+    private final Set<String> leavingNames = new LinkedHashSet<>();
+    private long listCount;
 
     private Membership(MembershipTimings timings) {
         this.timings = timings;
     }
 
     /**
-     * Starts with no members.
+     * Creates a membership without members.
      *
-     * @param timings bounds
-     * @return a new membership
+     * @param timings interval and time limit
+     * @return the membership
      */
     public static Membership create(MembershipTimings timings) {
         return new Membership(timings);
@@ -59,42 +62,42 @@
     /**
      * The platform's list was read.
      *
-     * @param listed instances that it shows
+     * @param listed instances in the list
      * @param nowMs the time
      */
     public void onList(List<InstanceInfo> listed, long nowMs) {
-        lists++;
+        listCount++;
         listed.forEach(
                 info ->
                         members.compute(
                                 info.name(),
-                                (name, held) ->
-                                        held == null
-                                                ? new Member(info, lists, nowMs, lists)
-                                                : held.seen(info, nowMs, lists)));
+                                (name, known) ->
+                                        known == null
+                                                ? new Member(info, listCount, nowMs, listCount)
+                                                : known.listedAgain(info, nowMs, listCount)));
         members.values().removeIf(member -> isGone(member, nowMs));
     }
 
     /**
-     * An instance has said that it is leaving.
+     * An instance has announced that it is leaving.
      *
      * @param instance its name
      */
     public void onLeaving(String instance) {
-        saidLeaving.add(instance);
-        if (saidLeaving.size() > MAX_LEAVING_NAMES) {
-            saidLeaving.remove(saidLeaving.iterator().next());
+        leavingNames.add(instance);
+        if (leavingNames.size() > MAX_LEAVING_NAMES) {
+            leavingNames.remove(leavingNames.iterator().next());
         }
     }
 
     /**
      * A connection to an instance was opened or lost.
      *
-     * @param instance its name, as it said in its hello
-     * @param up whether one is open now
+     * @param instance its name, as stated in its hello frame
+     * @param isOpen whether a connection is open now
      */
-    public void onConnectionChanged(String instance, boolean up) {
-        if (up) {
+    public void onConnectionChanged(String instance, boolean isOpen) {
+        if (isOpen) {
             connected.add(instance);
         } else {
             connected.remove(instance);
@@ -102,54 +105,54 @@
     }
 
     /**
-     * Time for which the list has missed an instance.
+     * Returns how long an instance has been missing from the list.
      *
      * @param instance its name
      * @param nowMs the time
-     * @return milliseconds, 0 where the newest list shows it, the greatest number where it was
-     *     never or no longer known
+     * @return milliseconds, 0 if the newest list contains it, {@link Long#MAX_VALUE} if it is not
+     *     known
      */
     public long missingMs(String instance, long nowMs) {
         Member member = members.get(instance);
         if (member == null) {
             return Long.MAX_VALUE;
         }
-        return member.lastList() == lists ? 0 : nowMs - member.lastSeenMs();
+        return member.lastList() == listCount ? 0 : nowMs - member.lastSeenMs();
     }
 
     /**
-     * The members.
+     * Returns the members.
      *
-     * @return an immutable view, by name
+     * @return an immutable view, sorted by name
      */
     public FleetView view() {
-        return new FleetView(role("entry"), role("companion"));
+        return new FleetView(membersWithRole("entry"), membersWithRole("companion"));
     }
 
-    private List<InstanceInfo> role(String role) {
+    private List<InstanceInfo> membersWithRole(String role) {
         return members.values().stream()
                 .filter(member -> member.info().role().equals(role))
-                .map(member -> member.info().isLeaving(isLeaving(member)))
+                .map(member -> member.info().withLeaving(isLeaving(member)))
                 .sorted(Comparator.comparing(InstanceInfo::name))
                 .toList();
     }
 
     private boolean isLeaving(Member member) {
         return member.info().isLeaving()
-                || saidLeaving.contains(member.info().name())
+                || leavingNames.contains(member.info().name())
                 || members.values().stream().anyMatch(other -> other.replaces(member));
     }
 
     private boolean isGone(Member member, long nowMs) {
-        return member.lastList() != lists
+        return member.lastList() != listCount
                 && !connected.contains(member.info().name())
                 && nowMs - member.lastSeenMs() >= timings.goneAfter().toMillis();
     }
 
     private record Member(InstanceInfo info, long firstList, long lastSeenMs, long lastList) {
-        Member seen(InstanceInfo newer, long nowMs, long list) {
-            InstanceInfo kept = newer.isLeaving(newer.isLeaving() || info.isLeaving());
-            return new Member(kept, firstList, nowMs, list);
+        Member listedAgain(InstanceInfo newer, long nowMs, long list) {
+            InstanceInfo updated = newer.withLeaving(newer.isLeaving() || info.isLeaving());
+            return new Member(updated, firstList, nowMs, list);
         }
 
         boolean replaces(Member older) {
--- a/core/src/main/java/org/sardinelift/core/fleet/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** Instances of the fleet and the evidence for their state. */
+/** Membership of the fleet and heartbeats on its connections. */
 @NullMarked
 package org.sardinelift.core.fleet;
 
--- a/core/src/test/java/org/sardinelift/core/fleet/HeartbeatMonitorTest.java
+++ b/core/src/test/java/org/sardinelift/core/fleet/HeartbeatMonitorTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Both ends of one connection in virtual time, one millisecond a step. */
+/**
+ * A silent connection must be closed in time, whichever direction broke. Both ends run in virtual
+ * time, in steps of one millisecond.
+ */
 class HeartbeatMonitorTest {
     private static final Duration HEARTBEAT = Duration.ofMillis(750);
     private static final Duration SILENCE = Duration.ofMillis(2_000);
@@ -24,45 +27,45 @@
     private final HeartbeatMonitor acceptor = HeartbeatMonitor.ofAcceptor(SILENCE, 0);
     private final List<long[]> toAcceptor = new ArrayList<>();
     private final List<long[]> toOpener = new ArrayList<>();
-    private boolean toAcceptorCut;
-    private boolean toOpenerCut;
-    private boolean open = true;
-    private long frames;
+    private boolean isToAcceptorCut;
+    private boolean isToOpenerCut;
+    private boolean isOpen = true;
+    private long sentFrames;
 
     @ParameterizedTest
     @CsvSource({"true,false", "false,true", "true,true"})
     void aSilentPathIsNoticedWithinItsBoundWhicheverDirectionBroke(
             boolean cutToAcceptor, boolean cutToOpener) {
         run(0, CUT_MS);
-        assertTrue(open);
-        toAcceptorCut = cutToAcceptor;
-        toOpenerCut = cutToOpener;
+        assertTrue(isOpen);
+        isToAcceptorCut = cutToAcceptor;
+        isToOpenerCut = cutToOpener;
         run(CUT_MS, BOUND_MS);
-        assertFalse(open);
+        assertFalse(isOpen);
     }
 
     @Test
     void anIdlePathStaysOpenWithOneExchangeForBothDirections() {
         run(0, 60_000);
-        assertTrue(open);
-        assertEquals(2 * 60_000 / 750, frames, 2);
+        assertTrue(isOpen);
+        assertEquals(2 * 60_000 / 750, sentFrames, 2);
     }
 
     @Test
     void anOpenerThatIsSentReportsButNoAnswersNoticesByItself() {
-        for (long ms = 0; ms < BOUND_MS - CUT_MS && open; ms++) {
+        for (long ms = 0; ms < BOUND_MS - CUT_MS && isOpen; ms++) {
             opener.onBytesReceived(ms * MILLI);
             check(opener, ms * MILLI);
         }
-        assertFalse(open);
+        assertFalse(isOpen);
     }
 
     @Test
     void anAcceptorNoticesAFrozenOpenerByItself() {
-        for (long ms = 0; ms <= SILENCE.toMillis() + 1 && open; ms++) {
+        for (long ms = 0; ms <= SILENCE.toMillis() + 1 && isOpen; ms++) {
             check(acceptor, ms * MILLI);
         }
-        assertFalse(open);
+        assertFalse(isOpen);
     }
 
     @Test
@@ -78,20 +81,20 @@
         assertEquals(HEARTBEAT.toNanos(), opener.nextCheckInNanos(0));
     }
 
-    /** Each end wakes only when it is due, as a driver does. */
+    /** Checks each end only when a check is due, as the connection does. */
     private void run(long fromMs, long untilMs) {
-        for (long ms = fromMs; ms < untilMs && open; ms++) {
+        for (long ms = fromMs; ms < untilMs && isOpen; ms++) {
             long now = ms * MILLI;
             deliver(toAcceptor, now)
                     .forEach(
                             sequence -> {
-                                open &= acceptor.onBytesReceived(now);
-                                send(toOpener, toOpenerCut, sequence, now);
+                                isOpen &= acceptor.onBytesReceived(now);
+                                send(toOpener, isToOpenerCut, sequence, now);
                             });
             deliver(toOpener, now)
                     .forEach(
                             sequence -> {
-                                open &= opener.onBytesReceived(now);
+                                isOpen &= opener.onBytesReceived(now);
                                 opener.onHeartbeatAnswered(sequence, now);
                             });
             check(opener, now);
@@ -105,24 +108,24 @@
         }
         HeartbeatAction step = end.check(now);
         if (step instanceof HeartbeatAction.Close) {
-            open = false;
+            isOpen = false;
         } else if (step instanceof HeartbeatAction.SendHeartbeat heartbeat) {
-            send(toAcceptor, toAcceptorCut, heartbeat.sequence(), now);
+            send(toAcceptor, isToAcceptorCut, heartbeat.sequence(), now);
             opener.onHeartbeatWritten(now);
         }
     }
 
-    private void send(List<long[]> way, boolean cut, long sequence, long now) {
-        frames++;
-        if (!cut) {
-            way.add(new long[] {now + DELAY_MS * MILLI, sequence});
+    private void send(List<long[]> frames, boolean isCut, long sequence, long now) {
+        sentFrames++;
+        if (!isCut) {
+            frames.add(new long[] {now + DELAY_MS * MILLI, sequence});
         }
     }
 
-    private static List<Long> deliver(List<long[]> way, long now) {
+    private static List<Long> deliver(List<long[]> frames, long now) {
         List<Long> due =
-                way.stream().filter(frame -> frame[0] <= now).map(frame -> frame[1]).toList();
-        way.removeIf(frame -> frame[0] <= now);
+                frames.stream().filter(frame -> frame[0] <= now).map(frame -> frame[1]).toList();
+        frames.removeIf(frame -> frame[0] <= now);
         return due;
     }
 }
--- a/core/src/test/java/org/sardinelift/core/fleet/MembershipTest.java
+++ b/core/src/test/java/org/sardinelift/core/fleet/MembershipTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Old lists and lost connections must neither restore leaving instances nor remove live ones. */
 class MembershipTest {
     private static final MembershipTimings TIMINGS =
             new MembershipTimings(Duration.ofMillis(1_000), Duration.ofMillis(10_000));
@@ -15,7 +16,7 @@
     private final Membership membership = Membership.create(TIMINGS);
 
     @Test
-    void anInstanceThatSaidItLeavesStaysLeavingThoughTheListShowsItLive() {
+    void anInstanceThatAnnouncedItsLeavingStaysLeavingThoughTheListShowsItLive() {
         membership.onList(List.of(companion("c1", 7001)), 0);
         membership.onLeaving("c1");
         membership.onList(List.of(companion("c1", 7001)), 1_000);
@@ -23,12 +24,12 @@
     }
 
     @Test
-    void aReplacementAtTheSameAddressTakesNewWorkAndTheOldNameDoesNot() {
+    void onlyTheReplacementAtTheSameAddressGetsNewWork() {
         membership.onList(List.of(companion("c1", 7001)), 0);
         membership.onList(List.of(companion("c1", 7001), companion("c2", 7001)), 1_000);
-        List<InstanceInfo> seen = membership.view().companions();
-        assertTrue(seen.get(0).isLeaving());
-        assertFalse(seen.get(1).isLeaving());
+        List<InstanceInfo> companions = membership.view().companions();
+        assertTrue(companions.get(0).isLeaving());
+        assertFalse(companions.get(1).isLeaving());
     }
 
     @Test
