--- a/core/src/test/java/org/sardinelift/core/DecisionPurityTest.java
+++ b/core/src/test/java/org/sardinelift/core/DecisionPurityTest.java
@@ -7,7 +7,9 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** Holds the decision module free of I/O, threads, the wall clock and global random numbers. */
+/**
+ * Checks that core, which makes the decisions, uses no I/O, threads, clock or global randomness.
+ */
 @AnalyzeClasses(
         packages = "org.sardinelift.core",
         importOptions = ImportOption.DoNotIncludeTests.class)
@@ -37,7 +39,7 @@
                                     + "locks\\..*)|java\\.util\\.Timer");
 
     @ArchTest
-    static final ArchRule NO_WALL_CLOCK =
+    static final ArchRule NO_CLOCK_OR_GLOBAL_RANDOMNESS =
             noClasses()
                     .should()
                     .callMethod(System.class, "nanoTime")
