--- a/core/src/main/java/org/sardinelift/core/batch/BatchScheduler.java
+++ b/core/src/main/java/org/sardinelift/core/batch/BatchScheduler.java
@@ -10,20 +10,20 @@
 import java.util.function.Predicate;
 
 /**
- * Orders the items that wait on one entry: teams by weight, a team's jobs by deadline, a job's
- * items by shared prefix in input order.
+ * Queue of the batch items that wait on one entry. Teams are served by weight, a team's jobs by
+ * deadline, and a job's items in input order, grouped by shared prefix.
  *
  * @param <T> type of item
  */
 public final class BatchScheduler<T> {
     private final Map<String, Team<T>> teams = new HashMap<>();
-    private double served;
+    private double currentServed;
     private int waitingCount;
 
     private BatchScheduler() {}
 
     /**
-     * Makes a scheduler without items.
+     * Creates a scheduler without items.
      *
      * @param <T> type of item
      * @return the scheduler
@@ -35,12 +35,13 @@
     /**
      * Adds an item.
      *
-     * @param team its team
+     * @param team team of the item
      * @param weight the team's share of batch work
-     * @param job its job
+     * @param job job of the item
      * @param deadlineMs when the job is due, epoch milliseconds, {@link Long#MAX_VALUE} for never
-     * @param lane equal for items of the job that can start or not start alike
-     * @param group equal for items that go together, such as those with a shared prefix
+     * @param lane the same for items of the job that need the same kind of slot, so that either all
+     *     or none of them can start
+     * @param group the same for items to run one after another, such as those with a shared prefix
      * @param item the item
      */
     public void add(
@@ -51,45 +52,45 @@
             String lane,
             String group,
             T item) {
-        Team<T> owner = teams.computeIfAbsent(team, name -> new Team<>(served));
+        Team<T> owner = teams.computeIfAbsent(team, name -> new Team<>(currentServed));
         owner.weight = Math.max(1, weight);
         owner.jobs.computeIfAbsent(job, name -> new Job<>(deadlineMs)).add(lane, group, item);
         waitingCount++;
     }
 
     /**
-     * Takes the next item that can start.
+     * Removes the next item that can start now.
      *
-     * @param startable whether an item can start now
+     * @param canStart whether an item can start now
      * @return the item, or empty where none can start
      */
-    public Optional<T> dequeue(Predicate<T> startable) {
+    public Optional<T> dequeue(Predicate<T> canStart) {
         Optional<Team<T>> chosen =
                 teams.values().stream()
-                        .filter(team -> team.head(startable).isPresent())
+                        .filter(team -> team.nextJob(canStart).isPresent())
                         .min(Comparator.comparingDouble(team -> team.served));
         return chosen.map(
                 team -> {
-                    served = team.served;
+                    currentServed = team.served;
                     team.served += 1.0 / team.weight;
                     waitingCount--;
-                    T item = team.take(startable);
+                    T item = team.dequeue(canStart);
                     teams.values().removeIf(other -> other.jobs.isEmpty());
                     return item;
                 });
     }
 
     /**
-     * Drops the waiting items of a job.
+     * Removes the waiting items of a job.
      *
-     * @param team its team
+     * @param team team of the job
      * @param job the job
      */
     public void removeJob(String team, String job) {
         Team<T> owner = teams.get(team);
         if (owner != null) {
-            Job<T> dropped = owner.jobs.remove(job);
-            waitingCount -= dropped == null ? 0 : dropped.size();
+            Job<T> removed = owner.jobs.remove(job);
+            waitingCount -= removed == null ? 0 : removed.size();
             if (owner.jobs.isEmpty()) {
                 teams.remove(team);
             }
@@ -97,9 +98,9 @@
     }
 
     /**
-     * Items that wait, by lane and team.
+     * Counts the waiting items by lane and team.
      *
-     * @return numbers above zero
+     * @return counts above zero, by lane and then by team
      */
     public Map<String, Map<String, Integer>> waitingByLane() {
         Map<String, Map<String, Integer>> waitingByLane = new HashMap<>();
@@ -110,9 +111,9 @@
     }
 
     /**
-     * Items that wait.
+     * Counts the waiting items.
      *
-     * @return their number
+     * @return number of items
      */
     public int waitingCount() {
         return waitingCount;
@@ -127,15 +128,15 @@
             this.served = served;
         }
 
-        Optional<Job<T>> head(Predicate<T> startable) {
+        Optional<Job<T>> nextJob(Predicate<T> canStart) {
             return jobs.values().stream()
-                    .filter(job -> job.startable(startable).isPresent())
+                    .filter(job -> job.startableLane(canStart).isPresent())
                     .min(Comparator.comparingLong(job -> job.deadlineMs));
         }
 
-        T take(Predicate<T> startable) {
-            Job<T> job = head(startable).orElseThrow();
-            T item = job.take(startable);
+        T dequeue(Predicate<T> canStart) {
+            Job<T> job = nextJob(canStart).orElseThrow();
+            T item = job.dequeue(canStart);
             jobs.values().removeIf(other -> other.size() == 0);
             return item;
         }
@@ -163,17 +164,17 @@
                                     .merge(team, items.size, Integer::sum));
         }
 
-        Optional<String> startable(Predicate<T> startable) {
+        Optional<String> startableLane(Predicate<T> canStart) {
             return lanes.entrySet().stream()
-                    .filter(lane -> startable.test(lane.getValue().peek()))
+                    .filter(lane -> canStart.test(lane.getValue().peek()))
                     .findFirst()
                     .map(Map.Entry::getKey);
         }
 
-        T take(Predicate<T> startable) {
-            String name = startable(startable).orElseThrow();
+        T dequeue(Predicate<T> canStart) {
+            String name = startableLane(canStart).orElseThrow();
             Lane<T> lane = lanes.get(name);
-            T item = lane.take();
+            T item = lane.dequeue();
             if (lane.groups.isEmpty()) {
                 lanes.remove(name);
             }
@@ -199,7 +200,7 @@
             return groups.values().iterator().next().element();
         }
 
-        T take() {
+        T dequeue() {
             Map.Entry<String, Deque<T>> group = groups.entrySet().iterator().next();
             size--;
             T item = group.getValue().remove();
--- a/core/src/main/java/org/sardinelift/core/batch/ChunkPacker.java
+++ b/core/src/main/java/org/sardinelift/core/batch/ChunkPacker.java
@@ -6,20 +6,20 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Packs items, in order, into chunks that fit one object of the platform.
+ * Splits items, in order, into chunks that each fit one object of the platform.
  *
- * @param maxItems items in a chunk
- * @param maxUnrepeatable items in a chunk that holds a call which must not be repeated; bounds how
- *     many items end as unknown with the loss of a holder
- * @param maxBytes bytes in a chunk
+ * @param maxItems most items in a chunk
+ * @param maxUnrepeatable most items in a chunk with a call that must not be repeated; bounds how
+ *     many items end with an unknown outcome when the entry that runs the job is lost
+ * @param maxBytes most bytes in a chunk
  */
 public record ChunkPacker(int maxItems, int maxUnrepeatable, int maxBytes) {
 
     /**
-     * Packs items.
+     * Splits items into chunks.
      *
      * @param items the items in order
-     * @param bytes size of an item within a chunk, bytes
+     * @param bytes size of an item in a chunk, bytes
      * @param repeatable whether an item's call may be repeated
      * @param <T> type of item
      * @return chunks in order, none empty
--- a/core/src/main/java/org/sardinelift/core/batch/ChunkResult.java
+++ b/core/src/main/java/org/sardinelift/core/batch/ChunkResult.java
@@ -1,20 +1,20 @@
 package org.sardinelift.core.batch;
 
 /**
- * Where the results of one chunk are, and how its items ended.
+ * Location of the results of one chunk, and counts of how its items ended.
  *
- * @param mark unique mark of the attempt that wrote them
+ * @param writeId unique identifier of the write, part of the names of the result objects
  * @param parts number of result objects
  * @param completed items with a result
- * @param failed items that ended with a reason instead
- * @param cancelled items that a cancel ended
+ * @param failed items that ended with a problem instead of a result
+ * @param cancelled items that were cancelled
  */
 public record ChunkResult(String writeId, int parts, int completed, int failed, int cancelled) {
 
     /**
-     * Items that ended.
+     * Counts the items that ended.
      *
-     * @return their number
+     * @return number of items
      */
     public int itemCount() {
         return completed + failed + cancelled;
--- a/core/src/main/java/org/sardinelift/core/batch/CompletionEstimate.java
+++ b/core/src/main/java/org/sardinelift/core/batch/CompletionEstimate.java
@@ -1,21 +1,21 @@
 package org.sardinelift.core.batch;
 
 /**
- * Estimates when a job ends, from the pace since its claim.
+ * Estimate of when a job ends, from the rate at which items ended since the job was claimed.
  *
- * @param sinceMs epoch milliseconds from which items are counted
+ * @param startMs start of the count, epoch milliseconds
  * @param ended items ended since then
  */
 public record CompletionEstimate(long startMs, int ended) {
-    /** Shortest time over which a pace is taken, milliseconds. */
+    /** Shortest time from which a rate is computed, milliseconds. */
     private static final long MIN_SAMPLE_MS = 500;
 
     /**
-     * When the job is expected to end.
+     * Returns when the job is expected to end.
      *
-     * @param nowMs epoch milliseconds
+     * @param nowMs current time, epoch milliseconds
      * @param open items that have not ended
-     * @return epoch milliseconds, 0 while the pace is unknown
+     * @return epoch milliseconds, 0 while the rate is unknown
      */
     public long expectedEndMs(long nowMs, int open) {
         long elapsed = nowMs - startMs;
@@ -28,7 +28,7 @@
     /**
      * Adds ended items.
      *
-     * @param more their number
+     * @param more number of items
      * @return the next estimate
      */
     public CompletionEstimate plusEnded(int more) {
--- a/core/src/main/java/org/sardinelift/core/batch/EntryRendezvous.java
+++ b/core/src/main/java/org/sardinelift/core/batch/EntryRendezvous.java
@@ -4,21 +4,23 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** Rendezvous hashing: all that see the same entries choose the same one for a job. */
+/**
+ * Rendezvous hashing of jobs onto entries: whoever sees the same live entries chooses the same one.
+ */
 public final class EntryRendezvous {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
-    private static final long MIX = 0xff51afd7ed558ccdL;
-    private static final int SHIFT = 33;
+    private static final long MIX_MULTIPLIER = 0xff51afd7ed558ccdL;
+    private static final int MIX_SHIFT = 33;
 
     private EntryRendezvous() {}
 
     /**
-     * Chooses an entry.
+     * Chooses the entry that runs a job.
      *
      * @param job name of the job
      * @param entries names of live entries
-     * @return the first in the job's order, or empty where there is none
+     * @return the entry with the highest hash for the job, or empty without entries
      */
     public static Optional<String> choose(String job, Collection<String> entries) {
         return entries.stream()
@@ -33,7 +35,7 @@
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
-        hash = (hash ^ (hash >>> SHIFT)) * MIX;
-        return hash ^ (hash >>> SHIFT);
+        hash = (hash ^ (hash >>> MIX_SHIFT)) * MIX_MULTIPLIER;
+        return hash ^ (hash >>> MIX_SHIFT);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/batch/Holder.java
+++ b/core/src/main/java/org/sardinelift/core/batch/Holder.java
@@ -1,7 +1,7 @@
 package org.sardinelift.core.batch;
 
 /**
- * An entry that may hold jobs.
+ * An incarnation of an entry, as the holder of a job or lease.
  *
  * @param instance instance name
  * @param incarnation unique for each start of the process
@@ -11,7 +11,7 @@
     public static final Holder NONE = new Holder("", "");
 
     /**
-     * Whether this names an entry.
+     * Whether there is a holder.
      *
      * @return false for {@link #NONE}
      */
--- a/core/src/main/java/org/sardinelift/core/batch/JobCounts.java
+++ b/core/src/main/java/org/sardinelift/core/batch/JobCounts.java
@@ -1,19 +1,20 @@
 package org.sardinelift.core.batch;
 
 /**
- * What became of a job's items. The four parts always add up to the items accepted.
+ * Counts of a job's items by outcome. Completed, failed, cancelled and open items always add up to
+ * the items accepted.
  *
  * @param accepted items accepted
  * @param completed items with a result
- * @param failed items that ended with a reason instead
- * @param cancelled items that a cancel ended
+ * @param failed items that ended with a problem instead of a result
+ * @param cancelled items that were cancelled
  */
 public record JobCounts(int accepted, int completed, int failed, int cancelled) {
 
     /**
-     * Items that have not ended.
+     * Counts the items that have not ended.
      *
-     * @return their number
+     * @return number of items
      */
     public int open() {
         return accepted - completed - failed - cancelled;
--- a/core/src/main/java/org/sardinelift/core/batch/JobPhase.java
+++ b/core/src/main/java/org/sardinelift/core/batch/JobPhase.java
@@ -1,12 +1,12 @@
 package org.sardinelift.core.batch;
 
-/** Phases of a job; each says what may still happen to it. */
+/** Phase of a job. */
 public enum JobPhase {
-    /** Items are run and results added. */
+    /** Items run and results are added. */
     OPEN(false, "in_progress"),
-    /** A cancel was asked for; nothing is started any more. */
+    /** A cancel was requested; no further item is started. */
     CANCELLING(false, "cancelling"),
-    /** The cancel holds; nothing is added any more. */
+    /** The job was cancelled; no further result is added. */
     CANCELLED(true, "cancelled"),
     /** Every item has ended. */
     COMPLETED(true, "completed");
@@ -14,22 +14,22 @@
     private final boolean isTerminal;
     private final String label;
 
-    JobPhase(boolean terminal, String label) {
-        this.isTerminal = terminal;
+    JobPhase(boolean isTerminal, String label) {
+        this.isTerminal = isTerminal;
         this.label = label;
     }
 
     /**
      * Whether the job has ended.
      *
-     * @return true where nothing changes any more
+     * @return true if the job can no longer change
      */
     public boolean isTerminal() {
         return isTerminal;
     }
 
     /**
-     * The name towards callers.
+     * Returns the name of the phase in the API.
      *
      * @return lower-case name
      */
--- a/core/src/main/java/org/sardinelift/core/batch/JobState.java
+++ b/core/src/main/java/org/sardinelift/core/batch/JobState.java
@@ -5,20 +5,21 @@
 import java.util.TreeMap;
 
 /**
- * All that is decided about one job, held as one object of the platform and changed only by
- * conditional update. Each transition may be applied again without harm, so that a write whose
- * answer was lost is simply decided anew from what is read back.
+ * State of one job, stored as one object of the platform and changed only by conditional update.
+ * Each transition is idempotent: after a write whose answer was lost, it is applied again to the
+ * state read back.
  *
  * @param team team that the job runs for
- * @param items items accepted
- * @param chunkCount chunks of the input
+ * @param items number of items accepted
+ * @param chunkCount number of chunks of the input
  * @param phase phase of the job
- * @param fence grows by one with each claim
+ * @param fence fencing number; grows by one with each claim
  * @param holder the entry that runs the job
  * @param chunks results by chunk
- * @param intents fence under which calls that must not be repeated were about to start, by chunk
- * @param expectedEndMs when the holder expects the end, or when the job ended, epoch milliseconds,
- *     0 for unknown
+ * @param intents for each chunk, the fence under which its calls that must not be repeated were
+ *     about to start
+ * @param expectedEndMs when the holder expects the job to end, or when it ended, epoch
+ *     milliseconds, 0 if unknown
  */
 public record JobState(
         String team,
@@ -31,19 +32,19 @@
         SortedMap<Integer, Long> intents,
         long expectedEndMs) {
 
-    /** Copies the maps. */
+    /** Copies the maps, so that the state stays unchanged. */
     public JobState {
         chunks = new TreeMap<>(chunks);
         intents = new TreeMap<>(intents);
     }
 
     /**
-     * The state of a job that nobody has claimed.
+     * Creates the state of a job that no entry has claimed.
      *
      * @param team team that the job runs for
-     * @param items items accepted
-     * @param chunkCount chunks of the input
-     * @return the first state
+     * @param items number of items accepted
+     * @param chunkCount number of chunks of the input
+     * @return the initial state
      */
     public static JobState accepted(String team, int items, int chunkCount) {
         return new JobState(
@@ -59,31 +60,32 @@
     }
 
     /**
-     * Claims the job. The former holder's fence is void from then on.
+     * Claims the job. From then on, the former holder's fence is no longer valid.
      *
      * @param next the new holder
-     * @return the next state; this one where the job has ended
+     * @return the next state; this one if the job has ended
      */
     public JobState claim(Holder next) {
         return phase.isTerminal() ? this : with(phase, fence + 1, next, chunks, intents);
     }
 
     /**
-     * Gives the job up, so that another entry may claim it at once.
+     * Releases the job, so that another entry can claim it at once.
      *
      * @param byFence fence of the holder
-     * @return the next state; this one where the fence is void
+     * @return the next state; this one if the fence is not valid
      */
     public JobState release(long byFence) {
         return isWritableUnder(byFence) ? with(phase, fence, Holder.NONE, chunks, intents) : this;
     }
 
     /**
-     * Notes that calls which must not be repeated are about to start.
+     * Records that calls which must not be repeated are about to start.
      *
      * @param byFence fence of the holder
      * @param chunk chunk of these calls
-     * @return the next state; this one where the fence is void or an older intent stands
+     * @return the next state; this one if the fence is not valid, no call may be started any more
+     *     or the chunk already has an intent
      */
     public JobState recordIntent(long byFence, int chunk) {
         if (!isWritableUnder(byFence) || phase != JobPhase.OPEN || intents.containsKey(chunk)) {
@@ -95,11 +97,11 @@
     }
 
     /**
-     * Adds results. A chunk that has results keeps them. The job is completed with its last chunk.
+     * Adds results. A chunk that has results already keeps them. The last chunk completes the job.
      *
      * @param byFence fence of the holder
      * @param results results by chunk
-     * @return the next state; this one where the fence is void
+     * @return the next state; this one if the fence is not valid
      */
     public JobState commit(long byFence, Map<Integer, ChunkResult> results) {
         if (!isWritableUnder(byFence)) {
@@ -115,9 +117,9 @@
     }
 
     /**
-     * Asks for a cancel.
+     * Requests that the job be cancelled.
      *
-     * @return the next state; this one where the job has ended
+     * @return the next state; this one if the job has ended or is being cancelled
      */
     public JobState requestCancel() {
         return phase == JobPhase.OPEN
@@ -126,10 +128,10 @@
     }
 
     /**
-     * Ends a cancel: what has no result by now never gets one.
+     * Completes a cancel: items without a result by now never get one.
      *
      * @param byFence fence of the holder
-     * @return the next state; this one where the fence is void or no cancel was asked for
+     * @return the next state; this one if the fence is not valid or no cancel was requested
      */
     public JobState finishCancel(long byFence) {
         return isWritableUnder(byFence) && phase == JobPhase.CANCELLING
@@ -138,9 +140,9 @@
     }
 
     /**
-     * Notes when the end is expected.
+     * Returns the state with another expected end.
      *
-     * @param endMs epoch milliseconds, 0 for unknown
+     * @param endMs epoch milliseconds, 0 if unknown
      * @return the next state
      */
     public JobState withExpectedEnd(long endMs) {
@@ -148,27 +150,27 @@
     }
 
     /**
-     * Whether a fence still allows changes.
+     * Whether the holder of a fence may still change the state.
      *
      * @param byFence fence of a holder
-     * @return true where it is the newest and the job has not ended
+     * @return true if the fence is the newest and the job is held and has not ended
      */
     public boolean isWritableUnder(long byFence) {
         return fence == byFence && holder.isPresent() && !phase.isTerminal();
     }
 
     /**
-     * Whether calls of a chunk that must not be repeated may have been run by a former holder.
+     * Whether a former holder may have run calls of a chunk that must not be repeated.
      *
      * @param chunk the chunk
-     * @return true where an intent of an older fence stands
+     * @return true if the chunk has an intent of an older fence
      */
     public boolean mayHaveRun(int chunk) {
         return intents.getOrDefault(chunk, fence) < fence;
     }
 
     /**
-     * What became of the items.
+     * Counts the items by outcome.
      *
      * @return the counts
      */
--- a/core/src/main/java/org/sardinelift/core/batch/LaneShares.java
+++ b/core/src/main/java/org/sardinelift/core/batch/LaneShares.java
@@ -6,9 +6,10 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Shares of batch slots over the whole fleet. Each entry tells the others with its lease how many
- * calls each team has running and waiting on each lane; a team above its due starts nothing while a
- * team below its due waits on the same lane, on whichever entry.
+ * Weighted fair sharing of batch slots over all entries. A lane stands for calls that need the same
+ * kind of slot. Each entry publishes with its lease how many calls each team has running and
+ * waiting on each lane. A team above its fair share starts no call while, on any entry, a team
+ * below its share waits on the same lane.
  */
 public final class LaneShares {
     private final Map<String, Map<String, Map<String, Load>>> others = new HashMap<>();
@@ -16,18 +17,18 @@
     private LaneShares() {}
 
     /**
-     * Makes shares of a fleet of which nothing is known.
+     * Creates an instance that knows no other entry.
      *
-     * @return the shares
+     * @return the instance
      */
     public static LaneShares create() {
         return new LaneShares();
     }
 
     /**
-     * What one team has on one lane of one entry.
+     * Load of one team on one lane of one entry.
      *
-     * @param running calls under way
+     * @param running calls that are running
      * @param waiting items that wait for a slot
      */
     public record Load(int running, int waiting) {
@@ -40,9 +41,9 @@
     }
 
     /**
-     * Notes what another entry has.
+     * Replaces the loads of another entry.
      *
-     * @param instance the entry
+     * @param instance name of the entry
      * @param loads loads by lane and team
      */
     public void update(String instance, Map<String, Map<String, Load>> loads) {
@@ -50,7 +51,7 @@
     }
 
     /**
-     * Forgets entries that are not live.
+     * Removes the loads of entries that are not live.
      *
      * @param live names of live entries
      */
@@ -65,8 +66,9 @@
      * @param lane the lane
      * @param own loads of this entry on the lane, by team
      * @param free free slots of the lane
-     * @param weight weight of a team
-     * @return false while the team is above its due and another waits below its own
+     * @param weight returns the weight of a team
+     * @return false if the team is at or above its fair share while another team waits below its
+     *     own
      */
     public boolean mayStart(
             String team,
--- a/core/src/main/java/org/sardinelift/core/batch/LeaseMonitor.java
+++ b/core/src/main/java/org/sardinelift/core/batch/LeaseMonitor.java
@@ -7,48 +7,48 @@
 import java.util.Optional;
 
 /**
- * Judges other entries' leases by this entry's own monotonic clock: a lease lapses when its object
- * has not changed for the timeout. Time in which the platform could not be watched counts for
- * nobody, so that an outage makes no lease lapse.
+ * Detects lapsed leases of other entries by this entry's monotonic clock: a lease lapses when its
+ * object has not changed for the timeout. Time without a working watch of the platform does not
+ * count, so an outage of the platform makes no lease lapse.
  */
 public final class LeaseMonitor {
     private final long timeoutNanos;
-    private final Map<String, Seen> leases = new HashMap<>();
+    private final Map<String, LeaseVersion> leases = new HashMap<>();
     private long watchedSinceNanos;
     private long watchedUntilNanos;
-    private boolean watching;
+    private boolean isWatching;
 
     private LeaseMonitor(Duration timeout) {
         timeoutNanos = timeout.toNanos();
     }
 
     /**
-     * Makes a watch that has seen nothing.
+     * Creates a monitor that knows no lease.
      *
      * @param timeout time without a change after which a lease has lapsed
-     * @return the watch
+     * @return the monitor
      */
     public static LeaseMonitor of(Duration timeout) {
         return new LeaseMonitor(timeout);
     }
 
     /**
-     * Notes a state of a lease object.
+     * A state of a lease object was read; an older one than the newest known is ignored.
      *
      * @param instance instance that the lease belongs to
      * @param incarnation incarnation that wrote it
      * @param version version of the object
-     * @param nowNanos time
+     * @param nowNanos current time, monotonic
      */
     public void onChanged(String instance, String incarnation, long version, long nowNanos) {
-        Seen seen = leases.get(instance);
-        if (seen == null || seen.version() < version) {
-            leases.put(instance, new Seen(incarnation, version, nowNanos));
+        LeaseVersion known = leases.get(instance);
+        if (known == null || known.version() < version) {
+            leases.put(instance, new LeaseVersion(incarnation, version, nowNanos));
         }
     }
 
     /**
-     * Notes that a lease was given back.
+     * A lease object was deleted.
      *
      * @param instance instance that the lease belonged to
      */
@@ -57,70 +57,71 @@
     }
 
     /**
-     * Notes that the platform answered a watch. A pause longer than the timeout since the last
-     * answer starts the time of every lease anew.
+     * The platform answered a watch. After a gap between answers longer than the timeout, the time
+     * of every lease starts anew.
      *
-     * @param nowNanos time
+     * @param nowNanos current time, monotonic
      */
     public void onWatchAnswered(long nowNanos) {
-        if (!watching || nowNanos - watchedUntilNanos > timeoutNanos) {
+        if (!isWatching || nowNanos - watchedUntilNanos > timeoutNanos) {
             watchedSinceNanos = nowNanos;
         }
-        watching = true;
+        isWatching = true;
         watchedUntilNanos = nowNanos;
     }
 
-    /** Notes that the platform did not answer a watch. */
+    /** The platform did not answer a watch. */
     public void onWatchFailed() {
-        watching = false;
+        isWatching = false;
     }
 
     /**
-     * Whether an entry certainly cannot count on its lease any more.
+     * Whether a holder's lease is certainly no longer valid.
      *
-     * @param holder entry that held a job
-     * @param nowNanos time
-     * @return true where the lease lapsed, is gone or belongs to another incarnation
+     * @param holder the holder
+     * @param nowNanos current time, monotonic
+     * @return true if the lease has lapsed, is gone or belongs to another incarnation; false while
+     *     the platform cannot be watched
      */
     public boolean hasLapsed(Holder holder, long nowNanos) {
-        if (!watching || nowNanos - watchedUntilNanos > timeoutNanos) {
+        if (!isWatching || nowNanos - watchedUntilNanos > timeoutNanos) {
             return false;
         }
-        Seen seen = leases.get(holder.instance());
-        if (seen == null) {
+        LeaseVersion known = leases.get(holder.instance());
+        if (known == null) {
             return nowNanos - watchedSinceNanos > timeoutNanos;
         }
-        return !seen.incarnation().equals(holder.incarnation()) || stale(seen, nowNanos);
+        return !known.incarnation().equals(holder.incarnation()) || isExpired(known, nowNanos);
     }
 
     /**
-     * Entries with a lease that has not lapsed.
+     * Returns the entries whose lease has not lapsed.
      *
-     * @param nowNanos time
-     * @return their instance names
+     * @param nowNanos current time, monotonic
+     * @return sorted names of their instances
      */
     public List<String> liveInstances(long nowNanos) {
         return leases.entrySet().stream()
-                .filter(lease -> !stale(lease.getValue(), nowNanos))
+                .filter(lease -> !isExpired(lease.getValue(), nowNanos))
                 .map(Map.Entry::getKey)
                 .sorted()
                 .toList();
     }
 
     /**
-     * The incarnation that last wrote a lease.
+     * Returns the incarnation that last wrote a lease.
      *
      * @param instance instance name
-     * @return the incarnation, or empty where no lease is known
+     * @return the incarnation, or empty if no lease is known
      */
     public Optional<String> incarnationOf(String instance) {
-        return Optional.ofNullable(leases.get(instance)).map(Seen::incarnation);
+        return Optional.ofNullable(leases.get(instance)).map(LeaseVersion::incarnation);
     }
 
-    private boolean stale(Seen seen, long nowNanos) {
-        long since = Math.max(seen.atNanos(), watchedSinceNanos);
+    private boolean isExpired(LeaseVersion known, long nowNanos) {
+        long since = Math.max(known.atNanos(), watchedSinceNanos);
         return nowNanos - since > timeoutNanos;
     }
 
-    private record Seen(String incarnation, long version, long atNanos) {}
+    private record LeaseVersion(String incarnation, long version, long atNanos) {}
 }
--- a/core/src/main/java/org/sardinelift/core/batch/OwnLease.java
+++ b/core/src/main/java/org/sardinelift/core/batch/OwnLease.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * This entry's own lease, judged by its monotonic clock at each use, since a paused process cannot
- * know that it was paused.
+ * This entry's own lease. Each use checks its validity against the monotonic clock, since a process
+ * cannot know that it was paused.
  */
 public final class OwnLease {
     private final long validNanos;
     private long confirmedNanos;
-    private boolean confirmed;
+    private boolean isConfirmed;
     private long unansweredNanos;
-    private boolean detached;
+    private boolean isPlatformUnreachable;
 
     private OwnLease(Duration valid) {
         validNanos = valid.toNanos();
     }
 
     /**
-     * Makes a lease that is not yet held.
+     * Creates a lease that is not held yet.
      *
-     * @param valid time that a renewal holds, counted from before it was sent; less than the time
-     *     after which others take it to have lapsed
+     * @param valid time for which a renewal is valid, counted from before it was sent; less than
+     *     the timeout after which other entries consider the lease lapsed
      * @return the lease
      */
     public static OwnLease of(Duration valid) {
@@ -29,52 +29,53 @@
     }
 
     /**
-     * Notes a confirmed renewal.
+     * The platform confirmed a renewal.
      *
-     * @param sentNanos time at which it was sent
+     * @param sentNanos time before the renewal was sent, monotonic
      */
     public void onRenewed(long sentNanos) {
         confirmedNanos = sentNanos;
-        confirmed = true;
-        detached = false;
+        isConfirmed = true;
+        isPlatformUnreachable = false;
     }
 
     /**
-     * Notes that the platform did not answer a renewal.
+     * The platform did not answer a renewal.
      *
-     * @param nowNanos time
+     * @param nowNanos current time, monotonic
      */
     public void onUnanswered(long nowNanos) {
         unansweredNanos = nowNanos;
-        detached = true;
+        isPlatformUnreachable = true;
     }
 
-    /** Notes that the lease belongs to another incarnation. */
+    /** The lease was given up or belongs to another incarnation. */
     public void onLost() {
-        confirmed = false;
-        detached = false;
+        isConfirmed = false;
+        isPlatformUnreachable = false;
     }
 
     /**
-     * Whether the lease holds.
+     * Whether the lease is valid, so that any call may be started.
      *
-     * @param nowNanos time
-     * @return true where anything may be started
+     * @param nowNanos current time, monotonic
+     * @return true if it is valid
      */
     public boolean isValid(long nowNanos) {
-        return confirmed && nowNanos - confirmedNanos < validNanos;
+        return isConfirmed && nowNanos - confirmedNanos < validNanos;
     }
 
     /**
-     * Whether calls that may be repeated may be started: while the lease holds, and through an
-     * outage of the platform, in which nobody can claim. The outage must have been seen lately, as
-     * this entry may have been paused since. Results still count only under the fence.
+     * Whether calls that may be repeated may be started: while the lease is valid, and during an
+     * outage of the platform, when no other entry can claim the jobs. The outage must have been
+     * seen recently, as this entry may have been paused since. Results are still accepted only
+     * under the current fence.
      *
-     * @param nowNanos time
-     * @return true where repeatable calls may be started
+     * @param nowNanos current time, monotonic
+     * @return true if they may be started
      */
     public boolean mayStartRepeatable(long nowNanos) {
         return isValid(nowNanos)
-                || confirmed && detached && nowNanos - unansweredNanos < validNanos;
+                || isConfirmed && isPlatformUnreachable && nowNanos - unansweredNanos < validNanos;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/batch/RemovalStage.java
+++ b/core/src/main/java/org/sardinelift/core/batch/RemovalStage.java
@@ -1,11 +1,11 @@
 package org.sardinelift.core.batch;
 
-/** How far the removal of a job has come. */
+/** Stage of the removal of a job. */
 public enum RemovalStage {
-    /** The job is there for callers. */
+    /** Callers can find the job. */
     LIVE,
-    /** Callers no longer find the job; its objects are still there for those that read them. */
+    /** Callers can no longer find the job; its objects still exist for readers under way. */
     RETIRED,
-    /** All objects of the job but its header are gone. */
+    /** All objects of the job but its header are deleted. */
     EMPTIED
 }
--- a/core/src/main/java/org/sardinelift/core/batch/RetentionPolicy.java
+++ b/core/src/main/java/org/sardinelift/core/batch/RetentionPolicy.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * Decides what is removed of a job, and when. The header is retired, then the other objects go,
- * then the header, with a hold between: a call that was sent before one step has taken effect, or
- * never will, before the next step.
+ * Decides which objects of a job are removed, and when. The header is retired, then the other
+ * objects are deleted, then the header. Each step waits a while, so that a call sent before the
+ * preceding step has taken effect by then or never will.
  *
- * @param keepMs time from a job's end for which its results stay readable, milliseconds
- * @param holdMs time between two steps, milliseconds; longer than any call is under way
+ * @param retentionMs time from a job's end for which its results stay readable, milliseconds
+ * @param stepDelayMs time between two steps, milliseconds; longer than any call takes
  */
 public record RetentionPolicy(long retentionMs, long stepDelayMs) {
 
@@ -16,10 +16,10 @@
      * What is known of a job.
      *
      * @param stage stage of its header
-     * @param sinceMs when that stage was reached, epoch milliseconds
+     * @param stageSinceMs when that stage was reached, epoch milliseconds
      * @param createdMs when the job was accepted, epoch milliseconds
-     * @param state its state, empty where it certainly has none
-     * @param hasMarker whether its marker is there
+     * @param state its state, empty only if it certainly has none
+     * @param hasMarker whether its marker as an open job exists
      */
     public record JobInfo(
             RemovalStage stage,
@@ -28,13 +28,13 @@
             Optional<JobState> state,
             boolean hasMarker) {}
 
-    /** The next step. */
+    /** Next step of the removal. */
     public sealed interface Step {}
 
     /**
-     * Nothing is due.
+     * No step is due yet.
      *
-     * @param dueMs when to look again, epoch milliseconds
+     * @param dueMs when to check again, epoch milliseconds
      */
     public record Wait(long dueMs) implements Step {}
 
@@ -50,30 +50,32 @@
     /**
      * Decides the next step.
      *
-     * @param facts what is known of the job
-     * @param lookMs when this look at the job was due, epoch milliseconds
-     * @param nowMs the time, epoch milliseconds
+     * @param job what is known of the job
+     * @param checkDueMs when this check of the job was due, epoch milliseconds
+     * @param nowMs current time, epoch milliseconds
      * @return the step
      */
-    public Step nextStep(JobInfo facts, long lookMs, long nowMs) {
-        return switch (facts.stage()) {
-            case LIVE -> live(facts, lookMs, nowMs);
-            case RETIRED -> due(facts.stageSinceMs() + stepDelayMs, nowMs, new DeleteObjects());
-            case EMPTIED -> due(facts.stageSinceMs() + stepDelayMs, nowMs, new DeleteHeader());
+    public Step nextStep(JobInfo job, long checkDueMs, long nowMs) {
+        return switch (job.stage()) {
+            case LIVE -> stepOfLiveJob(job, checkDueMs, nowMs);
+            case RETIRED ->
+                    stepWhenDue(job.stageSinceMs() + stepDelayMs, nowMs, new DeleteObjects());
+            case EMPTIED ->
+                    stepWhenDue(job.stageSinceMs() + stepDelayMs, nowMs, new DeleteHeader());
         };
     }
 
-    private Step live(JobInfo facts, long lookMs, long nowMs) {
-        boolean running = facts.state().map(state -> !state.phase().isTerminal()).orElse(false);
-        boolean unclaimed = facts.state().isEmpty() && facts.hasMarker();
-        if (running || unclaimed) {
-            return new Wait(Math.max(lookMs + retentionMs, nowMs + stepDelayMs));
+    private Step stepOfLiveJob(JobInfo job, long checkDueMs, long nowMs) {
+        boolean isRunning = job.state().map(state -> !state.phase().isTerminal()).orElse(false);
+        boolean isUnclaimed = job.state().isEmpty() && job.hasMarker();
+        if (isRunning || isUnclaimed) {
+            return new Wait(Math.max(checkDueMs + retentionMs, nowMs + stepDelayMs));
         }
-        long endMs = facts.state().map(JobState::expectedEndMs).orElse(0L);
-        return due(Math.max(facts.createdMs(), endMs) + retentionMs, nowMs, new Retire());
+        long endMs = job.state().map(JobState::expectedEndMs).orElse(0L);
+        return stepWhenDue(Math.max(job.createdMs(), endMs) + retentionMs, nowMs, new Retire());
     }
 
-    private static Step due(long dueMs, long nowMs, Step step) {
+    private static Step stepWhenDue(long dueMs, long nowMs, Step step) {
         return dueMs <= nowMs ? step : new Wait(dueMs);
     }
 
@@ -81,8 +83,8 @@
      * Whether a job that was never accepted in full is too old to be accepted after all.
      *
      * @param createdMs when its header was written, epoch milliseconds
-     * @param nowMs the time, epoch milliseconds
-     * @return true where it may be about to be removed
+     * @param nowMs current time, epoch milliseconds
+     * @return true if its removal may be about to start
      */
     public boolean isTooOldToAccept(long createdMs, long nowMs) {
         return createdMs + retentionMs - stepDelayMs <= nowMs;
--- a/core/src/main/java/org/sardinelift/core/batch/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/batch/package-info.java
@@ -1,4 +1,4 @@
-/** Batch jobs: what decides their acceptance, claims, items, results and end. */
+/** Batch jobs: state, claims and leases, scheduling and retries of items, results and removal. */
 @NullMarked
 package org.sardinelift.core.batch;
 
--- a/core/src/test/java/org/sardinelift/core/batch/BatchSchedulerTest.java
+++ b/core/src/test/java/org/sardinelift/core/batch/BatchSchedulerTest.java
@@ -12,59 +12,59 @@
 import org.junit.jupiter.api.Test;
 
 class BatchSchedulerTest {
-    private static final int WAITING = 400;
+    private static final int WAITING_PER_TEAM = 400;
 
     private final BatchScheduler<String> scheduler = BatchScheduler.create();
 
-    private void add(String team, int weight, String job, long due, String lane, String group) {
+    private void add(String team, int weight, String job, long dueMs, String lane, String group) {
         String item = String.join("/", team, job, lane, group);
-        scheduler.add(team, weight, job, due, lane, group, item);
+        scheduler.add(team, weight, job, dueMs, lane, group, item);
     }
 
-    private List<String> take(int count) {
+    private List<String> dequeue(int count) {
         return IntStream.range(0, count)
                 .mapToObj(i -> scheduler.dequeue(item -> true).orElseThrow())
                 .toList();
     }
 
     @Property(tries = 50, seed = "11")
-    void teamsShareByWeightWhileBothWait(
+    void teamsAreServedByWeightWhileBothWait(
             @ForAll @IntRange(min = 1, max = 5) int first,
             @ForAll @IntRange(min = 1, max = 5) int second) {
         BatchScheduler<String> fair = BatchScheduler.create();
-        IntStream.range(0, WAITING)
+        IntStream.range(0, WAITING_PER_TEAM)
                 .forEach(
                         i -> {
                             fair.add("a", first, "j", 0, "l", "", "a");
                             fair.add("b", second, "k", 0, "l", "", "b");
                         });
         int rounds = 30;
-        int taken = rounds * (first + second);
+        int dequeued = rounds * (first + second);
         long ofFirst =
-                IntStream.range(0, taken)
+                IntStream.range(0, dequeued)
                         .mapToObj(i -> fair.dequeue(item -> true).orElseThrow())
                         .filter("a"::equals)
                         .count();
-        assertTrue(Math.abs(ofFirst - rounds * first) <= 1, () -> ofFirst + " of " + taken);
+        assertTrue(Math.abs(ofFirst - rounds * first) <= 1, () -> ofFirst + " of " + dequeued);
     }
 
     @Test
-    void theEarliestDeadlineGoesFirstWithinATeam() {
+    void jobWithTheEarliestDeadlineGoesFirstWithinATeam() {
         add("a", 1, "later", 200, "l", "");
         add("a", 1, "sooner", 100, "l", "");
-        assertEquals("a/sooner/l/", take(1).get(0));
+        assertEquals("a/sooner/l/", dequeue(1).get(0));
     }
 
     @Test
-    void sharedPrefixesGoTogether() {
+    void itemsWithASharedPrefixGoTogether() {
         add("a", 1, "j", 0, "l", "x");
         add("a", 1, "j", 0, "l", "y");
         add("a", 1, "j", 0, "l", "x");
-        assertEquals(List.of("a/j/l/x", "a/j/l/x", "a/j/l/y"), take(3));
+        assertEquals(List.of("a/j/l/x", "a/j/l/x", "a/j/l/y"), dequeue(3));
     }
 
     @Test
-    void aLaneThatCannotStartHoldsUpNoOther() {
+    void laneThatCannotStartDoesNotBlockOthers() {
         add("a", 1, "j", 0, "blocked", "");
         add("a", 1, "j", 0, "free", "");
         add("b", 1, "k", 0, "blocked", "");
@@ -74,11 +74,11 @@
     }
 
     @Test
-    void aDroppedJobWaitsNoMore() {
+    void removedJobHasNoWaitingItems() {
         add("a", 1, "j", 0, "l", "");
         add("a", 1, "k", 0, "l", "");
         scheduler.removeJob("a", "j");
         assertEquals(1, scheduler.waitingCount());
-        assertEquals(List.of("a/k/l/"), take(1));
+        assertEquals(List.of("a/k/l/"), dequeue(1));
     }
 }
--- a/core/src/test/java/org/sardinelift/core/batch/JobStateTest.java
+++ b/core/src/test/java/org/sardinelift/core/batch/JobStateTest.java
@@ -22,8 +22,8 @@
         return JobState.accepted("compliance", CHUNKS * CHUNK_ITEMS, CHUNKS);
     }
 
-    private static ChunkResult result(String mark) {
-        return new ChunkResult(mark, 1, CHUNK_ITEMS - 1, 1, 0);
+    private static ChunkResult result(String writeId) {
+        return new ChunkResult(writeId, 1, CHUNK_ITEMS - 1, 1, 0);
     }
 
     private static JobState apply(JobState state, int step) {
@@ -41,7 +41,7 @@
     }
 
     @Property(tries = 2_000, seed = "7")
-    void countsAddUpAndWhatIsDecidedStays(
+    void countsAddUpAndResultsAndEndAreFinal(
             @ForAll @Size(max = 60) List<@IntRange(max = 1_000) Integer> steps) {
         JobState state = accepted();
         for (int step : steps) {
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aVoidFenceChangesNothing() {
+    void invalidFenceChangesNothing() {
         JobState second = accepted().claim(FIRST).claim(SECOND);
         assertEquals(second, second.commit(1, Map.of(0, result("late"))));
         assertEquals(second, second.recordIntent(1, 0));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anIntentOfAFormerHolderSaysThatCallsMayHaveRun() {
+    void intentOfAFormerHolderMeansThatCallsMayHaveRun() {
         JobState first = accepted().claim(FIRST).recordIntent(1, 2);
         assertFalse(first.mayHaveRun(2));
         JobState second = first.claim(SECOND);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void cancelAndCompletionAreDecidedByWhicheverComesFirst() {
+    void firstOfCancelAndCompletionWins() {
         JobState running = accepted().claim(FIRST);
         Map<Integer, ChunkResult> all =
                 Map.of(0, result("a"), 1, result("b"), 2, result("c"), 3, result("d"));
