--- a/core/src/main/java/org/sardinelift/core/joblog/CopyCount.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/CopyCount.java
@@ -3,87 +3,91 @@
 import java.util.Optional;
 
 /**
- * Counts the disks that hold a job, from the answers of those that were asked to. Not safe for use
- * by several threads at once.
+ * Counts the disks that hold a copy of a job, from the answers of those asked to store one. Not
+ * thread-safe.
  */
 public final class CopyCount {
-    private final int wanted;
-    private int open;
+    private final int required;
+    private int pending;
     private int copies;
-    private boolean unclear;
+    private boolean hasLostAnswer;
 
-    private CopyCount(int wanted, int asked) {
-        this.wanted = wanted;
-        this.open = asked;
+    private CopyCount(int required, int asked) {
+        this.required = required;
+        this.pending = asked;
     }
 
     /**
-     * A count before any answer.
+     * Creates a count without answers.
      *
-     * @param wanted disks that must hold the job
-     * @param asked disks that are asked to
+     * @param required number of copies required
+     * @param asked number of disks asked to store the job
      * @return the count
      */
-    public static CopyCount of(int wanted, int asked) {
-        return new CopyCount(wanted, asked);
+    public static CopyCount of(int required, int asked) {
+        return new CopyCount(required, asked);
     }
 
     /**
-     * Whether the answers to come can still suffice; where they can't, nobody should be asked.
+     * Whether the pending answers can still bring the required number of copies. If not, no disk
+     * should be asked.
      *
-     * @return false where too few disks are asked
+     * @return false if too few disks are asked
      */
     public boolean canSuffice() {
-        return copies + open >= wanted;
+        return copies + pending >= required;
     }
 
-    /** What became of a job. */
+    /** Result of storing the copies. */
     public enum Outcome {
-        /** Enough disks hold it. */
+        /** Enough disks hold the job. */
         KEPT,
-        /** No disk holds it. */
+        /** No disk holds the job. */
         NOT_KEPT,
-        /** Too few disks hold it, but one does or may, so that it may run. */
+        /**
+         * Too few disks are known to hold the job, but at least one does or may, so the job may
+         * run.
+         */
         UNCLEAR
     }
 
     /**
      * A disk has answered.
      *
-     * @param holds whether it holds the job
+     * @param isStored whether the disk holds the job
      */
-    public void onAnswer(boolean holds) {
-        open--;
-        copies += holds ? 1 : 0;
+    public void onAnswer(boolean isStored) {
+        pending--;
+        copies += isStored ? 1 : 0;
     }
 
-    /** A disk was asked and its answer is lost. */
+    /** A disk was asked, but its answer was lost. */
     public void onNoAnswer() {
-        open--;
-        unclear = true;
+        pending--;
+        hasLostAnswer = true;
     }
 
     /**
-     * Disks that are known to hold the job.
+     * Counts the disks known to hold the job.
      *
-     * @return their number
+     * @return number of copies
      */
     public int copies() {
         return copies;
     }
 
     /**
-     * What became of the job.
+     * Returns the result.
      *
-     * @return empty while answers are missing that can still decide it
+     * @return the result, or empty while a pending answer can still change it
      */
     public Optional<Outcome> outcome() {
-        if (copies >= wanted) {
+        if (copies >= required) {
             return Optional.of(Outcome.KEPT);
         }
-        if (open > 0) {
+        if (pending > 0) {
             return Optional.empty();
         }
-        return Optional.of(copies == 0 && !unclear ? Outcome.NOT_KEPT : Outcome.UNCLEAR);
+        return Optional.of(copies == 0 && !hasLostAnswer ? Outcome.NOT_KEPT : Outcome.UNCLEAR);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/joblog/ItemProgress.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/ItemProgress.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** How far an item has come on this worker. Not safe for use by several threads at once. */
+/** Progress of an item on this worker. Not thread-safe. */
 public final class ItemProgress {
     private final JobItem item;
     private final List<String> output = new ArrayList<>();
     private OptionalLong lastEventId = OptionalLong.empty();
     private int failedRuns;
-    private int cuts;
-    private boolean setRunning;
-    private long delayUntil = Long.MIN_VALUE;
+    private int interruptions;
+    private boolean isRunning;
+    private long delayedUntil = Long.MIN_VALUE;
 
     ItemProgress(JobItem item) {
         this.item = item;
     }
 
     /**
-     * The item.
+     * Returns the item.
      *
      * @return its specification
      */
@@ -28,18 +28,18 @@
     }
 
     /**
-     * Number of the last event held, from which a target can go on.
+     * Returns the id of the last event received, after which a target can resume.
      *
-     * @return the number, or empty before the first
+     * @return the id, or empty before the first event
      */
     public OptionalLong lastEventId() {
         return lastEventId;
     }
 
     /**
-     * Events held.
+     * Counts the events received.
      *
-     * @return their number
+     * @return number of events
      */
     public int eventCount() {
         return output.size();
@@ -48,22 +48,25 @@
     /**
      * A target sent the next event.
      *
-     * @param id its number
-     * @param data its data
+     * @param id id of the event
+     * @param data data of the event
      */
     public void onEvent(long id, String data) {
         lastEventId = OptionalLong.of(id);
         output.add(data);
     }
 
-    /** A target can't go on after the last event held: the next run begins anew. */
+    /**
+     * Discards the output, so that the next run starts from the beginning; used if no target can
+     * resume.
+     */
     public void discardOutput() {
         output.clear();
         lastEventId = OptionalLong.empty();
     }
 
     /**
-     * The whole output.
+     * Returns the whole output.
      *
      * @return data of all events, joined by line feeds
      */
@@ -74,60 +77,60 @@
     /**
      * A target ran the item and answered with a failure.
      *
-     * @return failed runs so far
+     * @return number of failed runs so far
      */
     public int onFailedRun() {
         return ++failedRuns;
     }
 
     /**
-     * A run ended midway, without an answer that says why.
+     * A run was interrupted, without an answer that says why.
      *
-     * @return such ends in a row
+     * @return number of interruptions in a row
      */
     public int onRunInterrupted() {
-        return ++cuts;
+        return ++interruptions;
     }
 
-    /** A run made progress: earlier cuts tell nothing about the item. */
+    /** A run made progress, so that earlier interruptions no longer count against the item. */
     public void onProgress() {
-        cuts = 0;
+        interruptions = 0;
     }
 
     /**
      * Whether a target runs the item now.
      *
-     * @return true from its start to its end
+     * @return true from the start of a run to its end
      */
     public boolean isRunning() {
-        return setRunning;
+        return isRunning;
     }
 
     /**
      * Sets whether a target runs the item.
      *
-     * @param isRunning true from its start to its end
+     * @param isNowRunning true from the start of a run to its end
      */
-    public void setRunning(boolean isRunning) {
-        setRunning = isRunning;
+    public void setRunning(boolean isNowRunning) {
+        isRunning = isNowRunning;
     }
 
     /**
-     * Puts the next run off.
+     * Delays the next run.
      *
-     * @param nanos time before which it isn't started
+     * @param nanos time before which the run must not start, monotonic
      */
     public void delayUntil(long nanos) {
-        delayUntil = nanos;
+        delayedUntil = nanos;
     }
 
     /**
      * Whether the item may be started.
      *
-     * @param now the time, nanoseconds
-     * @return true where it doesn't run and its pause is over
+     * @param now current time, monotonic, nanoseconds
+     * @return true if it is not running and its delay is over
      */
     public boolean isStartable(long now) {
-        return !setRunning && (delayUntil == Long.MIN_VALUE || now - delayUntil >= 0);
+        return !isRunning && (delayedUntil == Long.MIN_VALUE || now - delayedUntil >= 0);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/joblog/ItemResult.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/ItemResult.java
@@ -1,27 +1,27 @@
 package org.sardinelift.core.joblog;
 
 /**
- * How an item ended.
+ * Result of an item that has ended.
  *
- * @param itemId name of the item
- * @param outcome whether it was done
+ * @param itemId id of the item
+ * @param outcome whether it was completed
  * @param output data of all its events in order, joined by line feeds
  */
 public record ItemResult(String itemId, Outcome outcome, String output) {
 
-    /** How an item can end. */
+    /** Way in which an item ended. */
     public enum Outcome {
-        /** A target ran it to its end. */
+        /** A target ran the item to its end. */
         COMPLETED,
-        /** It was given up. */
+        /** The item was given up. */
         GIVEN_UP
     }
 
     /**
-     * An item that a target ran to its end.
+     * Creates the result of an item that a target ran to its end.
      *
-     * @param itemId name of the item
-     * @param output its whole output
+     * @param itemId id of the item
+     * @param output whole output
      * @return the result
      */
     public static ItemResult completed(String itemId, String output) {
@@ -29,9 +29,9 @@
     }
 
     /**
-     * An item that was given up.
+     * Creates the result of an item that was given up.
      *
-     * @param itemId name of the item
+     * @param itemId id of the item
      * @return the result
      */
     public static ItemResult givenUp(String itemId) {
--- a/core/src/main/java/org/sardinelift/core/joblog/ItemSchedule.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/ItemSchedule.java
@@ -7,133 +7,141 @@
 import java.util.stream.Stream;
 
 /**
- * Order in which the items of batch jobs get slots.
+ * Order in which the items of batch jobs get slots and give them up.
  *
- * <p>Load answered: jobs come evenly, but the slots that online calls leave come in steps, and
- * there are times with fewer slots than work. An item runs for seconds and may be cut and resumed.
- * By earliest due time alone, all items would be late where only some can be in time. So items that
- * were begun and can still be in time go first, the one with the least left before the others
- * (shortest remaining processing time); then items not begun that can be in time, earliest due
- * first; last those that will be late. Slots are given up in the opposite manner: by what will be
- * late anyway, then by the item with the most time to spare.
+ * <p>Jobs arrive evenly, but the slots left by online calls change in steps, and at times there are
+ * fewer slots than items. An item runs for seconds and may be interrupted and resumed. With the
+ * earliest deadline alone, all items would be late when only some can be in time. So the order is:
+ * first items already started that can still be in time, by shortest remaining time; then items not
+ * started that can be in time, by earliest deadline; last items that will be late. For preemption
+ * it is the opposite: first an item that will be late anyway, then the one with the most time to
+ * spare.
  *
- * <p>Not safe for use by several threads at once.
+ * <p>Not thread-safe.
  */
 public final class ItemSchedule {
-    /** Weight of the newest run in the running means. */
-    private static final double WEIGHT = 0.1;
+    /** Weight of the latest run in the moving averages. */
+    private static final double AVERAGE_WEIGHT = 0.1;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final double marginMs;
-    private double usualEvents;
-    private double eventMs;
+    private double meanEvents;
+    private double meanEventMs;
 
-    private ItemSchedule(double usualEvents, Duration event, Duration margin) {
-        this.usualEvents = usualEvents;
-        this.eventMs = event.toNanos() / NANOS_PER_MILLI;
+    private ItemSchedule(double meanEvents, Duration event, Duration margin) {
+        this.meanEvents = meanEvents;
+        this.meanEventMs = event.toNanos() / NANOS_PER_MILLI;
         this.marginMs = margin.toMillis();
     }
 
     /**
-     * Makes a schedule.
+     * Creates a schedule.
      *
-     * @param usualEvents events of an item, until runs have shown it
-     * @param event time between two events, until runs have shown it
+     * @param meanEvents initial estimate of the events of an item; runs adjust it
+     * @param event initial estimate of the time between two events; runs adjust it
      * @param margin time from the end of an item until its caller can read the result
      * @return the schedule
      */
-    public static ItemSchedule of(int usualEvents, Duration event, Duration margin) {
-        return new ItemSchedule(usualEvents, event, margin);
+    public static ItemSchedule of(int meanEvents, Duration event, Duration margin) {
+        return new ItemSchedule(meanEvents, event, margin);
     }
 
     /**
-     * An item and when it is due.
+     * An item with the deadline of its job.
      *
-     * @param job its job
-     * @param item its progress
-     * @param dueMs when its job is due, Unix milliseconds
+     * @param job job of the item
+     * @param item progress of the item
+     * @param dueMs deadline of the job, Unix milliseconds
      */
     public record ScheduledItem(JobProgress job, ItemProgress item, long dueMs) {}
 
     /**
      * An item has run to its end.
      *
-     * @param events events that it had in all
-     * @param runEvents events of its last run
-     * @param run time of its last run
+     * @param events number of events of the item
+     * @param runEvents number of events of its last run
+     * @param run duration of its last run
      */
     public void onItemCompleted(int events, int runEvents, Duration run) {
-        usualEvents += WEIGHT * (events - usualEvents);
+        meanEvents += AVERAGE_WEIGHT * (events - meanEvents);
         if (runEvents > 1) {
             double sample = run.toNanos() / NANOS_PER_MILLI / runEvents;
-            eventMs += WEIGHT * (sample - eventMs);
+            meanEventMs += AVERAGE_WEIGHT * (sample - meanEventMs);
         }
     }
 
-    /** Time that an item still has to run, milliseconds. */
-    private double leftMs(ItemProgress item) {
-        return Math.max(1, usualEvents - item.eventCount()) * eventMs;
+    /** Estimated time that an item still has to run, milliseconds. */
+    private double remainingMs(ItemProgress item) {
+        return Math.max(1, meanEvents - item.eventCount()) * meanEventMs;
     }
 
-    /** Time to spare until an item is due, milliseconds; negative where it will be late. */
-    private double slackMs(ScheduledItem due, long nowMs) {
-        return due.dueMs() - nowMs - marginMs - leftMs(due.item());
+    /**
+     * Estimated time to spare until the deadline, milliseconds; negative if the item will be late.
+     */
+    private double slackMs(ScheduledItem scheduled, long nowMs) {
+        return scheduled.dueMs() - nowMs - marginMs - remainingMs(scheduled.item());
     }
 
-    /** What an item can still earn, best first. */
-    private enum Prospect {
-        BEGUN,
-        NOT_BEGUN,
+    /** Priority class of an item, highest first. */
+    private enum Priority {
+        STARTED,
+        NOT_STARTED,
         LATE
     }
 
-    private Prospect prospect(ScheduledItem due, long nowMs) {
-        if (slackMs(due, nowMs) < 0) {
-            return Prospect.LATE;
+    private Priority priority(ScheduledItem scheduled, long nowMs) {
+        if (slackMs(scheduled, nowMs) < 0) {
+            return Priority.LATE;
         }
-        return due.item().eventCount() > 0 ? Prospect.BEGUN : Prospect.NOT_BEGUN;
+        return scheduled.item().eventCount() > 0 ? Priority.STARTED : Priority.NOT_STARTED;
     }
 
-    private double rank(ScheduledItem due, Prospect prospect) {
-        return prospect == Prospect.NOT_BEGUN ? due.dueMs() : leftMs(due.item());
+    private double rank(ScheduledItem scheduled, Priority priority) {
+        return priority == Priority.NOT_STARTED ? scheduled.dueMs() : remainingMs(scheduled.item());
     }
 
     /**
-     * The item to start next.
+     * Selects the item to start next.
      *
-     * @param items items of all jobs run here
-     * @param nowNanos monotonic time, for pauses
-     * @param nowMs Unix time, for due times
-     * @return the item, or empty where none may be started
+     * @param items items of all jobs that this worker runs
+     * @param nowNanos current time, monotonic, for delays
+     * @param nowMs current time, Unix milliseconds, for deadlines
+     * @return the item, or empty if none may be started
      */
     public Optional<ScheduledItem> selectNext(
             Stream<ScheduledItem> items, long nowNanos, long nowMs) {
-        return items.filter(due -> due.item().isStartable(nowNanos))
+        return items.filter(scheduled -> scheduled.item().isStartable(nowNanos))
                 .min(
-                        Comparator.<ScheduledItem, Prospect>comparing(due -> prospect(due, nowMs))
-                                .thenComparingDouble(due -> rank(due, prospect(due, nowMs))));
+                        Comparator.<ScheduledItem, Priority>comparing(
+                                        scheduled -> priority(scheduled, nowMs))
+                                .thenComparingDouble(
+                                        scheduled -> rank(scheduled, priority(scheduled, nowMs))));
     }
 
     /**
-     * The running item that gives up its slot first.
+     * Selects the running item that gives up its slot first.
      *
      * @param running items that run on the target whose slot is needed
-     * @param nowMs Unix time
-     * @return the item, or empty where none runs
+     * @param nowMs current time, Unix milliseconds
+     * @return the item, or empty if none is running
      */
     public Optional<ScheduledItem> selectForPreemption(
             Collection<ScheduledItem> running, long nowMs) {
         return running.stream()
                 .max(
                         Comparator.<ScheduledItem>comparingInt(
-                                        due -> slackMs(due, nowMs) < 0 ? 1 : 0)
-                                .thenComparingDouble(due -> yieldRank(due, nowMs)));
+                                        scheduled -> slackMs(scheduled, nowMs) < 0 ? 1 : 0)
+                                .thenComparingDouble(
+                                        scheduled -> preemptionRank(scheduled, nowMs)));
     }
 
-    /** Of those that will be late the one with the most left, of others the one with most time. */
-    private double yieldRank(ScheduledItem due, long nowMs) {
-        double slack = slackMs(due, nowMs);
-        return slack < 0 ? leftMs(due.item()) : slack;
+    /**
+     * Prefers, of the items that will be late, the one with the most left to run; of the others,
+     * the one with the most time to spare.
+     */
+    private double preemptionRank(ScheduledItem scheduled, long nowMs) {
+        double slack = slackMs(scheduled, nowMs);
+        return slack < 0 ? remainingMs(scheduled.item()) : slack;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/joblog/JobAssignment.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/JobAssignment.java
@@ -8,10 +8,9 @@
 import org.sardinelift.core.route.Rendezvous;
 
 /**
- * Which worker runs a job. Workers report the jobs that they run; a job that no live worker reports
- * goes to the one with the highest rendezvous weight. Two workers that run one job waste work but
- * can't give an item two results, so no lease is needed. Not safe for use by several threads at
- * once.
+ * Decides which worker runs a job. Workers report the jobs that they run; a job that no live worker
+ * reports goes to the worker with the highest rendezvous weight. Two workers that run the same job
+ * waste work but can't give an item two results, so no lease is needed. Not thread-safe.
  */
 public final class JobAssignment {
     private final String self;
@@ -24,10 +23,10 @@
     }
 
     /**
-     * Makes the assignment of one worker.
+     * Creates the assignment of one worker.
      *
-     * @param self its name
-     * @param grace time for the report of another worker that runs a job to come
+     * @param self name of the worker
+     * @param grace time to wait for a report of another worker that runs the job
      * @return the assignment
      */
     public static JobAssignment of(String self, Duration grace) {
@@ -35,26 +34,26 @@
     }
 
     /**
-     * Whether this worker runs a job.
+     * Whether a job is assigned to this worker.
      *
      * @param job name of the job
-     * @param running whether it runs it now
-     * @param claims live workers by whether they report to run the job; this one is not among them
-     * @param now the time, nanoseconds
-     * @return whether it is to run it from now on
+     * @param isRunning whether this worker runs the job now
+     * @param claims for each other live worker, whether it reports that it runs the job
+     * @param now current time, monotonic, nanoseconds
+     * @return true if this worker is to run it from now on
      */
     public boolean isAssignedHere(
-            String job, boolean running, Map<String, Boolean> claims, long now) {
-        boolean claimed = claims.containsValue(true);
-        if (claimed) {
+            String job, boolean isRunning, Map<String, Boolean> claims, long now) {
+        boolean isClaimed = claims.containsValue(true);
+        if (isClaimed) {
             unclaimedSince.remove(job);
-            return running && claims.entrySet().stream().noneMatch(other -> yieldsTo(job, other));
+            return isRunning && claims.entrySet().stream().noneMatch(other -> yieldsTo(job, other));
         }
-        if (running) {
+        if (isRunning) {
             return true;
         }
         long since = unclaimedSince.computeIfAbsent(job, key -> now);
-        return now - since >= graceNanos && isFirst(job, claims.keySet());
+        return now - since >= graceNanos && hasHighestWeight(job, claims.keySet());
     }
 
     private boolean yieldsTo(String job, Map.Entry<String, Boolean> other) {
@@ -62,7 +61,7 @@
                 && Rendezvous.weight(job, other.getKey()) > Rendezvous.weight(job, self);
     }
 
-    private boolean isFirst(String job, Set<String> others) {
+    private boolean hasHighestWeight(String job, Set<String> others) {
         long own = Rendezvous.weight(job, self);
         return others.stream()
                 .map(other -> Rendezvous.weight(job, other))
@@ -72,7 +71,7 @@
     }
 
     /**
-     * Forgets a job that is closed.
+     * Removes a job that is closed.
      *
      * @param job name of the job
      */
--- a/core/src/main/java/org/sardinelift/core/joblog/JobItem.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/JobItem.java
@@ -5,8 +5,8 @@
 /**
  * One call of a batch job.
  *
- * @param id name of the item, unique in its job
- * @param path path at the target
+ * @param id id of the item, unique in its job
+ * @param path request path at the target
  * @param headers request headers
  * @param body request body
  */
--- a/core/src/main/java/org/sardinelift/core/joblog/JobProgress.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/JobProgress.java
@@ -8,10 +8,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/**
- * A job and its results as far as this worker knows its records. Not safe for use by several
- * threads at once.
- */
+/** A job with the results of the records that this worker knows. Not thread-safe. */
 public final class JobProgress {
     private final JobSpec spec;
     private final Map<String, JobItem> items = new HashMap<>();
@@ -19,7 +16,7 @@
     private final List<ItemResult> results = new ArrayList<>();
     private final Map<String, ItemResult> unrecordedResults = new LinkedHashMap<>();
     private int nextRecord;
-    private boolean ended;
+    private boolean isEnded;
 
     private JobProgress(JobSpec spec) {
         this.spec = spec;
@@ -32,7 +29,7 @@
     }
 
     /**
-     * A job without results.
+     * Creates the progress of a job without results.
      *
      * @param spec the job
      * @return its progress
@@ -42,7 +39,7 @@
     }
 
     /**
-     * The job.
+     * Returns the job.
      *
      * @return its specification
      */
@@ -51,7 +48,7 @@
     }
 
     /**
-     * Number of the first record that isn't known here.
+     * Returns the number of the first record not applied yet.
      *
      * @return record number, from 0
      */
@@ -59,22 +56,22 @@
         return nextRecord;
     }
 
-    /** What a record told. */
+    /** Result of applying a record. */
     public enum ApplyResult {
-        /** It was the next one. */
+        /** It was the next record, and its results were added. */
         APPLIED,
-        /** It was known. */
+        /** It had been applied before. */
         DUPLICATE,
-        /** Records before it are missing here. */
+        /** Records before it are missing. */
         GAP
     }
 
     /**
-     * Takes a record.
+     * Applies a record.
      *
-     * @param number its number
-     * @param recorded its results
-     * @return what it told
+     * @param number number of the record
+     * @param recorded results in the record
+     * @return whether its results were added
      */
     public ApplyResult applyRecord(int number, List<ItemResult> recorded) {
         if (number < nextRecord) {
@@ -94,20 +91,21 @@
     }
 
     /**
-     * Positions that are filled.
+     * Counts the filled positions.
      *
-     * @return their number
+     * @return number of results recorded
      */
     public int filledPositions() {
         return results.size();
     }
 
     /**
-     * Results from a position on.
+     * Returns results from a position on.
      *
      * @param after first position
-     * @param maxChars longest output of all of them; the first is given whatever its length
-     * @return the results, none where no position from there on is filled
+     * @param maxChars most characters of output in total; the first result is returned whatever its
+     *     length
+     * @return the results, none if no position from there on is filled
      */
     public List<ItemResult> results(int after, int maxChars) {
         List<ItemResult> page = new ArrayList<>();
@@ -122,31 +120,31 @@
         return page;
     }
 
-    /** The caller has ended the job: nothing of it is to run any more. */
+    /** Ends the job at the caller's request, so that none of its items runs any more. */
     public void end() {
-        ended = true;
+        isEnded = true;
     }
 
     /**
      * Whether the caller has ended the job.
      *
-     * @return true from the end on
+     * @return true once it was ended
      */
     public boolean hasEnded() {
-        return ended;
+        return isEnded;
     }
 
     /**
      * Whether nothing is left to run or to record.
      *
-     * @return true where each item has a position, or the job was ended
+     * @return true if each item has a position or the job was ended
      */
     public boolean isClosed() {
-        return ended || open.isEmpty();
+        return isEnded || open.isEmpty();
     }
 
     /**
-     * An item has ended here; its result counts once it is recorded.
+     * An item has ended on this worker; its result counts once it is recorded.
      *
      * @param result the result
      */
@@ -157,9 +155,10 @@
     }
 
     /**
-     * Results that wait to be recorded.
+     * Returns results that wait to be recorded.
      *
-     * @param maxChars longest output of all of them; the first is given whatever its length
+     * @param maxChars most characters of output in total; the first result is returned whatever its
+     *     length
      * @return the results in the order in which the items ended
      */
     public List<ItemResult> unrecordedResults(int maxChars) {
@@ -176,21 +175,21 @@
     }
 
     /**
-     * Items that have no result, recorded or not.
+     * Returns the items that have no result, recorded or not.
      *
      * @return their progress, none once the job was ended
      */
     public Stream<ItemProgress> openItems() {
-        return ended
+        return isEnded
                 ? Stream.empty()
                 : open.values().stream()
                         .filter(item -> !unrecordedResults.containsKey(item.item().id()));
     }
 
     /**
-     * An item that has no position yet.
+     * Finds an item that has no position yet.
      *
-     * @param itemId its name
+     * @param itemId id of the item
      * @return its progress, or empty
      */
     public Optional<ItemProgress> openItem(String itemId) {
@@ -198,10 +197,10 @@
     }
 
     /**
-     * Looks an item up, whether or not it has ended.
+     * Finds an item, whether or not it has ended.
      *
-     * @param itemId its name
-     * @return the item, or empty where the job has none of that name
+     * @param itemId id of the item
+     * @return the item, or empty if the job has none with that id
      */
     public Optional<JobItem> item(String itemId) {
         return Optional.ofNullable(items.get(itemId));
--- a/core/src/main/java/org/sardinelift/core/joblog/JobSpec.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/JobSpec.java
@@ -5,12 +5,12 @@
 /**
  * A batch job as it was accepted.
  *
- * @param id name of the job
- * @param team team that it runs for
- * @param route route that it came by
- * @param host host that the caller named
- * @param submittedMs when it was accepted, Unix milliseconds
- * @param items its items
+ * @param id id of the job
+ * @param team team that the job runs for
+ * @param route route by which the job was submitted
+ * @param host host named in the caller's request
+ * @param submittedMs when the job was accepted, Unix milliseconds
+ * @param items items of the job
  */
 public record JobSpec(
         String id, String team, String route, String host, long submittedMs, List<JobItem> items) {}
--- a/core/src/main/java/org/sardinelift/core/joblog/PreemptionShare.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/PreemptionShare.java
@@ -4,30 +4,30 @@
 import java.util.TreeMap;
 
 /**
- * How many of its batch items on a target a worker takes away where there are more calls than
- * slots. All workers reckon from the same reports in the same order, so that together they take
- * away as many as are needed and not each all of them.
+ * Number of batch items that a worker preempts on a target with more calls than slots. All workers
+ * compute it from the same reports in the same order, so that together, not each, they preempt as
+ * many items as needed.
  */
 public final class PreemptionShare {
     private PreemptionShare() {}
 
     /**
-     * The items that one worker takes away.
+     * Computes the number of items that one worker preempts.
      *
      * @param self name of the worker
-     * @param own its items on the target
-     * @param others items of other workers on the target, by worker
-     * @param excess calls beyond the slots
-     * @return its part, at most its own items
+     * @param own number of its items on the target
+     * @param others number of items on the target, by other worker
+     * @param excess calls on the target beyond its slots
+     * @return number of items, at most its own
      */
     public static int itemsToPreempt(
             String self, int own, Map<String, Integer> others, int excess) {
         TreeMap<String, Integer> items = new TreeMap<>(others);
         items.put(self, own);
-        int left = excess;
+        int remaining = excess;
         for (Map.Entry<String, Integer> each : items.headMap(self).entrySet()) {
-            left -= each.getValue();
+            remaining -= each.getValue();
         }
-        return Math.max(0, Math.min(own, left));
+        return Math.max(0, Math.min(own, remaining));
     }
 }
--- a/core/src/main/java/org/sardinelift/core/joblog/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Batch jobs whose results are kept in numbered records. A record is created once and never
- * changed, by whoever knows all records before it, so that each item has one position and each
- * position one item, whoever runs the job and however many do.
+ * Batch jobs whose results are kept in numbered records. Only a worker that knows all earlier
+ * records creates the next one, and a record never changes. So each item has one position and each
+ * position one item, whichever workers run the job and however many.
  */
 @NullMarked
 package org.sardinelift.core.joblog;
--- a/core/src/test/java/org/sardinelift/core/joblog/CopyCountTest.java
+++ b/core/src/test/java/org/sardinelift/core/joblog/CopyCountTest.java
@@ -10,7 +10,7 @@
 
 class CopyCountTest {
     @Test
-    void enoughCopiesKeepAJobWhateverTheOthersAnswer() {
+    void enoughCopiesKeepTheJobWhateverOtherDisksAnswer() {
         CopyCount count = CopyCount.of(2, 3);
         count.onAnswer(true);
         assertEquals(Optional.empty(), count.outcome());
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aRefusalByOneWaitsForTheOther() {
+    void outcomeAfterARefusalWaitsForTheOtherDisk() {
         CopyCount count = CopyCount.of(2, 2);
         count.onAnswer(false);
 
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aLostAnswerMayBeACopy() {
+    void lostAnswerMakesTheOutcomeUnclear() {
         CopyCount count = CopyCount.of(2, 2);
         count.onAnswer(false);
         count.onNoAnswer();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void onlyRefusalsMeanThatNothingIsKept() {
+    void refusalsByAllDisksMeanNotKept() {
         CopyCount count = CopyCount.of(2, 2);
         count.onAnswer(false);
         count.onAnswer(false);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void tooFewDisksCanNotSuffice() {
+    void fewerDisksThanRequiredCannotSuffice() {
         assertFalse(CopyCount.of(3, 2).canSuffice());
         assertTrue(CopyCount.of(3, 3).canSuffice());
     }
--- a/core/src/test/java/org/sardinelift/core/joblog/ItemScheduleTest.java
+++ b/core/src/test/java/org/sardinelift/core/joblog/ItemScheduleTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 class ItemScheduleTest {
-    /** Items of 200 events, one each 25 ms, that run for 5 s. */
+    /** Schedule for items of 200 events, one every 25 ms, which run for 5 s. */
     private final ItemSchedule schedule =
             ItemSchedule.of(200, Duration.ofMillis(25), Duration.ZERO);
 
-    private static ItemSchedule.ScheduledItem due(String id, long dueMs, int events) {
+    private static ItemSchedule.ScheduledItem scheduled(String id, long dueMs, int events) {
         JobItem item = new JobItem(id, "/p", Map.of(), new byte[0]);
         JobProgress job =
                 JobProgress.of(new JobSpec("j", "team", "route", "host", 0, List.of(item)));
@@ -29,78 +29,78 @@
     }
 
     @Test
-    void ofItemsNotBegunTheEarliestDueGoesFirst() {
-        assertEquals("b", next(due("a", 18_000, 0), due("b", 12_000, 0)));
+    void ofItemsNotStartedTheEarliestDeadlineGoesFirst() {
+        assertEquals("b", next(scheduled("a", 18_000, 0), scheduled("b", 12_000, 0)));
     }
 
     @Test
-    void ofItemsBegunTheOneWithLeastLeftGoesFirst() {
-        assertEquals("b", next(due("a", 12_000, 20), due("b", 18_000, 40)));
+    void ofStartedItemsTheOneWithTheLeastLeftGoesFirst() {
+        assertEquals("b", next(scheduled("a", 12_000, 20), scheduled("b", 18_000, 40)));
     }
 
     @Test
-    void whatWasBegunGoesBeforeWhatWasNot() {
-        assertEquals("b", next(due("a", 12_000, 0), due("b", 18_000, 40)));
+    void startedItemsGoBeforeItemsNotStarted() {
+        assertEquals("b", next(scheduled("a", 12_000, 0), scheduled("b", 18_000, 40)));
     }
 
     @Test
-    void whatWillBeLateWaitsForWhatCanBeInTime() {
-        assertEquals("a", next(due("a", 18_000, 0), due("b", 4_900, 0)));
-        assertEquals("a", next(due("a", 18_000, 0), due("b", 900, 150)));
-        assertEquals("b", next(due("a", 18_000, 0), due("b", 1_300, 150)));
+    void lateItemsWaitForItemsThatCanBeInTime() {
+        assertEquals("a", next(scheduled("a", 18_000, 0), scheduled("b", 4_900, 0)));
+        assertEquals("a", next(scheduled("a", 18_000, 0), scheduled("b", 900, 150)));
+        assertEquals("b", next(scheduled("a", 18_000, 0), scheduled("b", 1_300, 150)));
     }
 
     @Test
-    void estimatesFollowTheRuns() {
+    void estimatesFollowCompletedRuns() {
         for (int i = 0; i < 60; i++) {
             schedule.onItemCompleted(400, 400, Duration.ofSeconds(20));
         }
 
-        assertEquals("a", next(due("a", 30_000, 0), due("b", 15_000, 0)));
+        assertEquals("a", next(scheduled("a", 30_000, 0), scheduled("b", 15_000, 0)));
     }
 
     @Test
-    void runningAndPausedItemsAreNotStarted() {
-        ItemSchedule.ScheduledItem running = due("a", 1, 0);
+    void runningAndDelayedItemsAreNotStarted() {
+        ItemSchedule.ScheduledItem running = scheduled("a", 1, 0);
         running.item().setRunning(true);
-        ItemSchedule.ScheduledItem paused = due("b", 1, 0);
-        paused.item().delayUntil(100);
+        ItemSchedule.ScheduledItem delayed = scheduled("b", 1, 0);
+        delayed.item().delayUntil(100);
 
-        assertTrue(schedule.selectNext(Stream.of(running, paused), 99, 0).isEmpty());
+        assertTrue(schedule.selectNext(Stream.of(running, delayed), 99, 0).isEmpty());
         assertEquals(
                 "b",
-                schedule.selectNext(Stream.of(running, paused), 100, 0)
+                schedule.selectNext(Stream.of(running, delayed), 100, 0)
                         .orElseThrow()
                         .item()
                         .item()
                         .id());
     }
 
-    private ItemSchedule.ScheduledItem yielding(ItemSchedule.ScheduledItem... running) {
+    private ItemSchedule.ScheduledItem firstPreempted(ItemSchedule.ScheduledItem... running) {
         return schedule.selectForPreemption(List.of(running), 0).orElseThrow();
     }
 
     @Test
-    void theItemWithMostTimeToSpareYieldsFirst() {
-        ItemSchedule.ScheduledItem early = due("a", 12_000, 10);
-        ItemSchedule.ScheduledItem late = due("b", 18_000, 10);
-        ItemSchedule.ScheduledItem nearlyDone = due("c", 12_000, 190);
+    void itemWithTheMostTimeToSpareIsPreemptedFirst() {
+        ItemSchedule.ScheduledItem early = scheduled("a", 12_000, 10);
+        ItemSchedule.ScheduledItem late = scheduled("b", 18_000, 10);
+        ItemSchedule.ScheduledItem nearlyDone = scheduled("c", 12_000, 190);
 
-        assertEquals(late, yielding(early, late));
-        assertEquals(nearlyDone, yielding(early, nearlyDone));
+        assertEquals(late, firstPreempted(early, late));
+        assertEquals(nearlyDone, firstPreempted(early, nearlyDone));
     }
 
     @Test
-    void whatWillBeLateAnywayYieldsFirst() {
-        ItemSchedule.ScheduledItem late = due("a", 1_000, 10);
-        ItemSchedule.ScheduledItem later = due("b", 1_000, 100);
-        ItemSchedule.ScheduledItem inTime = due("c", 60_000, 10);
+    void itemThatWillBeLateAnywayIsPreemptedFirst() {
+        ItemSchedule.ScheduledItem late = scheduled("a", 1_000, 10);
+        ItemSchedule.ScheduledItem later = scheduled("b", 1_000, 100);
+        ItemSchedule.ScheduledItem inTime = scheduled("c", 60_000, 10);
 
-        assertEquals(late, yielding(late, later, inTime));
+        assertEquals(late, firstPreempted(late, later, inTime));
     }
 
     @Test
-    void workersTogetherYieldWhatIsNeeded() {
+    void workersTogetherPreemptAsManyItemsAsNeeded() {
         Map<String, Integer> items = Map.of("w1", 2, "w2", 1, "w3", 3);
         for (int excess = -1; excess <= 8; excess++) {
             int expected = Math.max(0, Math.min(6, excess));
--- a/core/src/test/java/org/sardinelift/core/joblog/JobAssignmentTest.java
+++ b/core/src/test/java/org/sardinelift/core/joblog/JobAssignmentTest.java
@@ -17,7 +17,7 @@
     private static final Duration GRACE = Duration.ofMillis(300);
 
     @Test
-    void aJobThatSomebodyRunsIsLeftToIt() {
+    void jobRunByAnotherWorkerIsLeftToIt() {
         JobAssignment assignment = JobAssignment.of("w1", GRACE);
 
         assertFalse(assignment.isAssignedHere("j", false, Map.of("w2", true), 0));
@@ -25,31 +25,34 @@
     }
 
     @Test
-    void aLostWorkersJobsAreTakenAfterTheGraceByOne() {
+    void jobOfALostWorkerIsAssignedToOneWorkerAfterTheGrace() {
         List<String> names = List.of("w1", "w2", "w3");
         for (int job = 0; job < 20; job++) {
             String id = "j" + job;
-            List<String> takers = names.stream().filter(name -> takes(name, names, id)).toList();
-            assertEquals(1, takers.size(), id + " " + takers);
+            List<String> assigned =
+                    names.stream().filter(name -> isAssignedAfterGrace(name, names, id)).toList();
+            assertEquals(1, assigned.size(), id + " " + assigned);
         }
     }
 
-    private static boolean takes(String self, List<String> names, String job) {
+    private static boolean isAssignedAfterGrace(String self, List<String> names, String job) {
         JobAssignment assignment = JobAssignment.of(self, GRACE);
         Map<String, Boolean> claims = others(self, names, false);
         assertFalse(assignment.isAssignedHere(job, false, claims, 0));
         return assignment.isAssignedHere(job, false, claims, 300 * MILLI);
     }
 
-    private static Map<String, Boolean> others(String self, List<String> names, boolean claim) {
+    private static Map<String, Boolean> others(String self, List<String> names, boolean isClaimed) {
         return names.stream()
                 .filter(name -> !name.equals(self))
-                .collect(Collectors.toMap(name -> name, name -> claim, (a, b) -> a, TreeMap::new));
+                .collect(
+                        Collectors.toMap(
+                                name -> name, name -> isClaimed, (a, b) -> a, TreeMap::new));
     }
 
     @Test
-    void ofTwoThatRunOneJobOneStops() {
-        long stays =
+    void oneOfTwoWorkersThatRunAJobStops() {
+        long continued =
                 IntStream.range(0, 20)
                         .filter(
                                 i -> {
@@ -67,18 +70,18 @@
                                 })
                         .count();
 
-        assertTrue(stays > 0 && stays < 20, "" + stays);
+        assertTrue(continued > 0 && continued < 20, "" + continued);
     }
 
     @Test
-    void aWorkerGoesOnWithItsJobWhenOthersJoin() {
+    void workerKeepsItsJobWhenOthersJoin() {
         JobAssignment assignment = JobAssignment.of("w1", GRACE);
 
         assertTrue(assignment.isAssignedHere("j", true, Map.of("w2", false, "w3", false), 0));
     }
 
     @Test
-    void theOnlyWorkerTakesEveryJob() {
+    void onlyWorkerIsAssignedEveryJobAfterTheGrace() {
         JobAssignment assignment = JobAssignment.of("w1", GRACE);
 
         assertFalse(assignment.isAssignedHere("j", false, Map.of(), 0));
--- a/core/src/test/java/org/sardinelift/core/joblog/JobProgressTest.java
+++ b/core/src/test/java/org/sardinelift/core/joblog/JobProgressTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aKnownRecordChangesNothingAndALaterOneWaits() {
+    void duplicateRecordChangesNothingAndLaterRecordIsNotApplied() {
         JobProgress job = job(3);
         job.applyRecord(0, List.of(ItemResult.completed("i2", "c")));
 
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aResultThatAnotherWorkerRecordedIsNotRecordedAgain() {
+    void resultRecordedByAnotherWorkerIsNotRecordedAgain() {
         JobProgress job = job(2);
         job.onResult(ItemResult.completed("i0", "mine"));
         job.applyRecord(0, List.of(ItemResult.completed("i0", "theirs")));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void onePageHoldsAtLeastOneResult() {
+    void pageHasAtLeastOneResult() {
         JobProgress job = job(2);
         job.applyRecord(
                 0,
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void anEndedJobHasNothingToRun() {
+    void endedJobHasNoItemsToRun() {
         JobProgress job = job(2);
         assertEquals(2, job.openItems().count());
 
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void anItemWhoseResultWaitsIsNotRunAgain() {
+    void itemWithAnUnrecordedResultIsNotRunAgain() {
         JobProgress job = job(2);
         job.onResult(ItemResult.completed("i0", "a"));
 
--- a/core/src/test/java/org/sardinelift/core/joblog/JobRecordsPropertyTest.java
+++ b/core/src/test/java/org/sardinelift/core/joblog/JobRecordsPropertyTest.java
@@ -14,14 +14,14 @@
 import net.jqwik.api.Property;
 
 /**
- * Several workers run one job against a store that creates each record once, loses answers and
- * carries out calls late. Whatever happens, each item gets one position, and what a reader has seen
- * never changes.
+ * Several workers run one job with a store that creates each record once but loses answers and
+ * applies calls late. Guards against an item with two positions or none, and against results that
+ * change after a reader has seen them.
  */
 class JobRecordsPropertyTest {
     private static final int ITEMS = 12;
 
-    /** A store whose answers may be lost and whose calls may take effect later. */
+    /** Store that creates each record once; late calls wait until they take effect. */
     private static final class Store {
         private final Map<Integer, List<ItemResult>> records = new TreeMap<>();
         private final List<Runnable> late = new ArrayList<>();
@@ -53,14 +53,14 @@
         for (int step = 0; step < 4_000 && !workers.get(0).isClosed(); step++) {
             int index = random.nextInt(workers.size());
             step(random, store, workers, index);
-            checkSeen(workers.get(index), seen);
+            assertSeenUnchanged(workers.get(index), seen);
         }
         store.late.forEach(Runnable::run);
 
-        JobProgress fresh = job();
-        store.records.forEach(fresh::applyRecord);
+        JobProgress reader = job();
+        store.records.forEach(reader::applyRecord);
         List<String> positions =
-                fresh.results(0, Integer.MAX_VALUE).stream().map(ItemResult::itemId).toList();
+                reader.results(0, Integer.MAX_VALUE).stream().map(ItemResult::itemId).toList();
         assertEquals(ITEMS, positions.size());
         assertEquals(ITEMS, new HashSet<>(positions).size());
     }
@@ -77,7 +77,7 @@
             }
             case 1, 2 -> record(random, store, worker);
             case 3 -> {
-                // A watch brings the next record.
+                // A watch reports the next record.
                 int next = worker.nextRecord();
                 if (store.records.containsKey(next)) {
                     worker.applyRecord(next, store.records.get(next));
@@ -90,7 +90,7 @@
             }
             default -> {
                 if (random.nextInt(40) == 0) {
-                    // The worker is lost with all that it knew.
+                    // The worker is lost with its state.
                     workers.set(index, job());
                 }
             }
@@ -113,14 +113,14 @@
         }
     }
 
-    private static void checkSeen(JobProgress worker, List<String> seen) {
+    private static void assertSeenUnchanged(JobProgress worker, List<String> seen) {
         List<ItemResult> results = worker.results(0, Integer.MAX_VALUE);
         for (int i = 0; i < results.size(); i++) {
-            String shown = results.get(i).itemId() + " " + results.get(i).output();
+            String result = results.get(i).itemId() + " " + results.get(i).output();
             if (i < seen.size()) {
-                assertEquals(seen.get(i), shown);
+                assertEquals(seen.get(i), result);
             } else {
-                seen.add(shown);
+                seen.add(result);
             }
         }
         assertTrue(seen.size() <= ITEMS);
