--- a/core/src/main/java/org/sardinelift/core/catalog/Catalog.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/Catalog.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 
 /**
- * The configuration in force on this instance; immutable.
+ * Immutable snapshot of the configuration that is in effect on this instance.
  *
- * @param revision the store's revision up to which it is complete, 0 for none yet
+ * @param revision store revision up to which it is complete, 0 if none was read yet
  * @param teams teams by name
- * @param keys keys by their identifier
+ * @param keys keys by identifier
  * @param services services by name
  */
 public record Catalog(
@@ -18,7 +18,7 @@
         Map<String, ServiceSpec> services) {
 
     /**
-     * A catalog before any configuration was read.
+     * Creates a catalog for the time before any configuration was read.
      *
      * @return an empty catalog
      */
@@ -30,7 +30,7 @@
      * Finds the service that serves a model.
      *
      * @param model model or adapter name
-     * @return the service, or empty where none serves it
+     * @return the service, or empty if none serves it
      */
     public Optional<ServiceSpec> serviceOfModel(String model) {
         return services.values().stream()
--- a/core/src/main/java/org/sardinelift/core/catalog/CatalogMerger.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/CatalogMerger.java
@@ -11,37 +11,37 @@
 import java.util.stream.Collectors;
 
 /**
- * Merges lists and watch changes, in whatever order they come, into the newest configuration known.
- * Each object keeps the state of the highest store revision ever seen; a deletion leaves a
- * tombstone with its revision, so that neither a late change nor a stale list brings the object
- * back. Not safe for use by several threads.
+ * Merges lists and watch changes, in whatever order they arrive, into the newest configuration
+ * known. Each object keeps the state of the highest store revision seen; a deletion leaves a
+ * tombstone with its revision, so that neither a late change nor a stale list restores the object.
+ * Not thread-safe.
  */
 public final class CatalogMerger {
     private final Map<ConfigRef, ConfigState> states = new HashMap<>();
     private final Map<ConfigKind, Long> listedAt = new EnumMap<>(ConfigKind.class);
-    private long markCompleteTo;
+    private long watchedRevision;
     private long newestRevision;
 
     private CatalogMerger() {}
 
     /**
-     * A log that knows nothing yet.
+     * Creates a merger without configuration.
      *
-     * @return an empty log
+     * @return the merger
      */
     public static CatalogMerger create() {
         return new CatalogMerger();
     }
 
     /**
-     * Takes one state from a watch or a read.
+     * Applies one state from a watch or a read.
      *
      * @param state the state
-     * @return whether it was newer than what was held
+     * @return whether it was newer than the state known
      */
     public boolean apply(ConfigState state) {
-        ConfigState held = states.get(state.ref());
-        if (held != null && held.revision() >= state.revision()) {
+        ConfigState current = states.get(state.ref());
+        if (current != null && current.revision() >= state.revision()) {
             return false;
         }
         states.put(state.ref(), state);
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Takes a whole list of one kind. Objects that are held but not listed are taken as deleted,
-     * unless the state held is newer than the list.
+     * Applies a full list of one kind. Known objects that are not listed count as deleted, unless
+     * the known state is newer than the list.
      *
      * @param kind the kind that was listed
      * @param revision store revision of the list
@@ -59,33 +59,33 @@
      * @return whether anything changed
      */
     public boolean applyList(ConfigKind kind, long revision, Collection<ConfigState> listed) {
-        if (revision < Math.max(markCompleteTo, listedAt.getOrDefault(kind, 0L))) {
+        if (revision < Math.max(watchedRevision, listedAt.getOrDefault(kind, 0L))) {
             return false;
         }
         Set<ConfigRef> present = listed.stream().map(ConfigState::ref).collect(Collectors.toSet());
         List<ConfigState> gone =
                 states.values().stream()
-                        .filter(held -> held.ref().kind() == kind && held.item() != null)
-                        .filter(held -> held.revision() <= revision)
-                        .filter(held -> !present.contains(held.ref()))
+                        .filter(current -> current.ref().kind() == kind && current.item() != null)
+                        .filter(current -> current.revision() <= revision)
+                        .filter(current -> !present.contains(current.ref()))
                         .toList();
-        gone.forEach(held -> states.put(held.ref(), tombstone(held.ref(), revision)));
+        gone.forEach(current -> states.put(current.ref(), tombstone(current.ref(), revision)));
         long applied = listed.stream().filter(this::apply).count();
         listedAt.put(kind, revision);
         return applied > 0 || !gone.isEmpty();
     }
 
     /**
-     * Notes up to which revision the changes of a watch were complete.
+     * Records the revision up to which the changes of a watch are complete.
      *
-     * @param revision that revision
+     * @param revision store revision
      */
     public void markCompleteTo(long revision) {
-        markCompleteTo = Math.max(markCompleteTo, revision);
+        watchedRevision = Math.max(watchedRevision, revision);
     }
 
     /**
-     * The store revision up to which nothing is missing.
+     * Returns the store revision up to which no change is missing.
      *
      * @return the revision, 0 until every kind was listed
      */
@@ -93,56 +93,56 @@
         return listedAt.size() < ConfigKind.values().length
                 ? 0
                 : Math.max(
-                        markCompleteTo, listedAt.values().stream().min(Long::compare).orElse(0L));
+                        watchedRevision, listedAt.values().stream().min(Long::compare).orElse(0L));
     }
 
     /**
-     * The highest revision at which a configuration object was seen to change. Instances compare
-     * this one: the store's own revision grows with every write of any kind.
+     * Returns the highest revision at which a configuration object was seen to change. Instances
+     * compare this one, since the store's own revision grows with every write of any kind.
      *
-     * @return the revision, 0 for none
+     * @return the revision, 0 if none
      */
     public long newestRevision() {
         return newestRevision;
     }
 
     /**
-     * The configuration held. A team whose template isn't there is not in force.
+     * Returns the configuration known. A team whose template doesn't exist is left out.
      *
      * @return an immutable snapshot
      */
     public Catalog catalog() {
         Map<String, TeamTemplate> templates =
-                inForce(ConfigKind.TEMPLATE, TeamTemplate.class, TeamTemplate::name);
+                itemsOf(ConfigKind.TEMPLATE, TeamTemplate.class, TeamTemplate::name);
         Map<String, TeamPlan> teams =
-                inForce(ConfigKind.TEAM, TeamSpec.class, TeamSpec::name).values().stream()
+                itemsOf(ConfigKind.TEAM, TeamSpec.class, TeamSpec::name).values().stream()
                         .filter(team -> templates.containsKey(team.template()))
                         .map(team -> team.resolve(templates.get(team.template())))
                         .collect(Collectors.toUnmodifiableMap(TeamPlan::name, plan -> plan));
         return new Catalog(
                 completeRevision(),
                 teams,
-                inForce(ConfigKind.KEY, KeyEntry.class, KeyEntry::id),
-                inForce(ConfigKind.SERVICE, ServiceSpec.class, ServiceSpec::name));
+                itemsOf(ConfigKind.KEY, KeyEntry.class, KeyEntry::id),
+                itemsOf(ConfigKind.SERVICE, ServiceSpec.class, ServiceSpec::name));
     }
 
     /**
-     * Objects that are held but not in force, with the reason.
+     * Returns why objects that are known are not in effect.
      *
-     * @return one problem for each team without its template
+     * @return one problem for each team whose template doesn't exist
      */
     public List<ConfigProblem> problems() {
         Set<String> templates =
                 new HashSet<>(
-                        inForce(ConfigKind.TEMPLATE, TeamTemplate.class, TeamTemplate::name)
+                        itemsOf(ConfigKind.TEMPLATE, TeamTemplate.class, TeamTemplate::name)
                                 .keySet());
-        return inForce(ConfigKind.TEAM, TeamSpec.class, TeamSpec::name).values().stream()
+        return itemsOf(ConfigKind.TEAM, TeamSpec.class, TeamSpec::name).values().stream()
                 .filter(team -> !templates.contains(team.template()))
                 .map(team -> ConfigProblem.missingTemplate(team.name(), team.template()))
                 .toList();
     }
 
-    private <T extends ConfigItem> Map<String, T> inForce(
+    private <T extends ConfigItem> Map<String, T> itemsOf(
             ConfigKind kind, Class<T> type, Function<T, String> name) {
         return states.values().stream()
                 .filter(state -> state.ref().kind() == kind)
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigCall.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigCall.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /**
- * A call to the platform that {@link ConfigSync} asks for; its outcome goes back with its number.
+ * A call to the platform that {@link ConfigSync} requests; its outcome is reported with its number.
  */
 public sealed interface ConfigCall {
 
     /**
-     * The number that the outcome must name.
+     * Returns the number to report the outcome with.
      *
-     * @return number, growing
+     * @return increasing number
      */
     long number();
 
     /**
-     * Write anything, to learn the store's revision from a write instead of a read.
+     * Write any value, to learn the store's revision from a write instead of a read.
      *
      * @param number number of the call
      */
@@ -29,10 +29,10 @@
     record ListAll(long number) implements ConfigCall {}
 
     /**
-     * Wait for changes.
+     * Watch for changes.
      *
      * @param number number of the call
-     * @param afterRevision the revision held
+     * @param afterRevision revision after which changes are wanted
      * @param maxWait longest wait
      */
     record Watch(long number, long afterRevision, Duration maxWait) implements ConfigCall {}
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigItem.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigItem.java
@@ -1,4 +1,4 @@
 package org.sardinelift.core.catalog;
 
-/** One object of the configuration, as its kind's codec reads it. */
+/** A configuration object, as read by the codec of its kind. */
 public sealed interface ConfigItem permits TeamTemplate, TeamSpec, KeyEntry, ServiceSpec {}
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigKind.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigKind.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Kinds of configuration that the platform's object API holds. */
+/** Kinds of configuration objects in the platform's object API. */
 public enum ConfigKind {
     TEMPLATE("template"),
     TEAM("team"),
@@ -17,7 +17,7 @@
     }
 
     /**
-     * The name of the kind in the platform's object API.
+     * Returns the name of the kind in the platform's object API.
      *
      * @return lower-case name
      */
@@ -29,7 +29,7 @@
      * Finds a kind by its name in the object API.
      *
      * @param label name of the kind
-     * @return the kind, or empty for kinds that hold no configuration
+     * @return the kind, or empty if the name is no kind of configuration
      */
     public static Optional<ConfigKind> of(String label) {
         return Arrays.stream(values()).filter(kind -> kind.label.equals(label)).findFirst();
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigProblem.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigProblem.java
@@ -1,20 +1,20 @@
 package org.sardinelift.core.catalog;
 
 /**
- * One thing wrong with a configuration object.
+ * A problem in a configuration object.
  *
- * @param path where, such as {@code team/north/ratePerSecond}
- * @param expected what was expected there
+ * @param path path of the value, such as {@code team/north/ratePerSecond}
+ * @param expected what was expected
  * @param found what was found
- * @param remedy what to do
+ * @param remedy what to do about it
  */
 public record ConfigProblem(String path, String expected, String found, String remedy) {
 
     /**
-     * A team that names a template which isn't there.
+     * Reports a team whose template doesn't exist.
      *
      * @param team team name
-     * @param template the template that it names
+     * @param template template named by the team
      * @return the problem
      */
     public static ConfigProblem missingTemplate(String team, String template) {
@@ -26,10 +26,10 @@
     }
 
     /**
-     * A key that was issued to a team which isn't there.
+     * Reports a key whose team doesn't exist.
      *
      * @param key key identifier
-     * @param team the team that it names
+     * @param team team named by the key
      * @return the problem
      */
     public static ConfigProblem missingTeam(String key, String team) {
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigRef.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigRef.java
@@ -1,9 +1,9 @@
 package org.sardinelift.core.catalog;
 
 /**
- * Names one object of the configuration.
+ * Reference to a configuration object.
  *
- * @param kind its kind
- * @param name its name within the kind
+ * @param kind kind of the object
+ * @param name name of the object, unique in its kind
  */
 public record ConfigRef(ConfigKind kind, String name) {}
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigState.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigState.java
@@ -5,9 +5,9 @@
 /**
  * State of one configuration object at one revision of the store.
  *
- * @param ref which object
+ * @param ref the object
  * @param revision revision of the store at which this state was written
- * @param item the object; null where it was deleted or can't be read, either of which takes it out
- *     of force
+ * @param item value of the object; null if it was deleted or can't be read, so that it is no longer
+ *     in effect
  */
 public record ConfigState(ConfigRef ref, long revision, @Nullable ConfigItem item) {}
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigSync.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigSync.java
@@ -7,12 +7,13 @@
 import java.util.Optional;
 
 /**
- * Keeps one instance's configuration up to date: a write at start, whose revision every later list
- * must have reached, so that a list from a lagging replica is noticed; then lists; then watches
- * from the revision held; lists again after a gap and when a peer holds a newer change for longer
- * than a bound. One call is under way at a time; a call without an answer is given up, and its late
- * answer still counts as information, since {@link CatalogMerger} only goes forward. Times are
- * milliseconds of a monotonic clock. Not safe for use by several threads.
+ * State machine that keeps one instance's configuration up to date. At start it writes a barrier;
+ * every later list must have reached the revision of that write, so that a list from a lagging
+ * replica is detected. Then it lists all kinds, then watches from the revision reached. It lists
+ * again after a gap, or when a peer has had a newer change for longer than a bound. One call is
+ * under way at a time. A call without an answer is given up, but a late answer is still merged,
+ * since {@link CatalogMerger} never goes back. Times are milliseconds of a monotonic clock. Not
+ * thread-safe.
  */
 public final class ConfigSync {
     private enum Phase {
@@ -26,14 +27,14 @@
     private final CatalogMerger merger = CatalogMerger.create();
     private final ConfigTimings timings;
     private Phase phase = Phase.BARRIER;
-    private long barrier;
+    private long barrierRevision;
     private long number;
-    private boolean waiting;
-    private long giveUpAt;
+    private boolean isCallPending;
+    private long callDeadline;
     private long nextCallAt;
-    private long platformAt = NEVER;
-    private long peerAt = NEVER;
-    private long heard;
+    private long lastPlatformContact = NEVER;
+    private long lastPeerContact = NEVER;
+    private long highestPeerRevision;
     private long behindSince = NEVER;
 
     private ConfigSync(ConfigTimings timings) {
@@ -41,38 +42,38 @@
     }
 
     /**
-     * Starts from nothing.
+     * Creates the state machine of an instance that has read no configuration.
      *
      * @param timings intervals and bounds
-     * @return a new state machine
+     * @return the state machine
      */
     public static ConfigSync create(ConfigTimings timings) {
         return new ConfigSync(timings);
     }
 
     /**
-     * Decides whether a call is due.
+     * Starts the next call if one is due.
      *
-     * @param nowMs the time
-     * @return the call to make, empty to wait
+     * @param nowMs current time
+     * @return the call to make, or empty if none is due
      */
     public Optional<ConfigCall> nextCall(long nowMs) {
-        if (waiting && nowMs >= giveUpAt) {
-            waiting = false;
+        if (isCallPending && nowMs >= callDeadline) {
+            isCallPending = false;
             nextCallAt = nowMs;
         }
         if (isBehindFor(timings.relistDelay(), nowMs) && phase == Phase.WATCH) {
             phase = Phase.LIST;
-            waiting = false;
+            isCallPending = false;
             nextCallAt = nowMs;
         }
-        if (waiting || nowMs < nextCallAt) {
+        if (isCallPending || nowMs < nextCallAt) {
             return Optional.empty();
         }
-        waiting = true;
+        isCallPending = true;
         number++;
         Duration wait = phase == Phase.WATCH ? timings.watchWait() : Duration.ZERO;
-        giveUpAt = nowMs + wait.plus(timings.callTimeout()).toMillis();
+        callDeadline = nowMs + wait.plus(timings.callTimeout()).toMillis();
         return Optional.of(
                 switch (phase) {
                     case BARRIER -> new ConfigCall.Barrier(number);
@@ -85,15 +86,15 @@
      * The barrier was written.
      *
      * @param call number of the call
-     * @param revision the store's revision of the write
-     * @param nowMs the time
+     * @param revision store revision of the write
+     * @param nowMs current time
      */
     public void onBarrierWritten(long call, long revision, long nowMs) {
-        platformAt = nowMs;
-        barrier = Math.max(barrier, revision);
+        lastPlatformContact = nowMs;
+        barrierRevision = Math.max(barrierRevision, revision);
         if (phase == Phase.BARRIER) {
             phase = Phase.LIST;
-            ended(call, nowMs, Duration.ZERO);
+            endCall(call, nowMs, Duration.ZERO);
         }
     }
 
@@ -101,140 +102,144 @@
      * All kinds were listed.
      *
      * @param call number of the call
-     * @param revisions the revision of each list
-     * @param listed states listed of each kind
-     * @param nowMs the time
-     * @return whether the configuration held has changed
+     * @param revisions revision of each list
+     * @param listed states listed, by kind
+     * @param nowMs current time
+     * @return whether the configuration has changed
      */
     public boolean onListed(
             long call,
             Map<ConfigKind, Long> revisions,
             Map<ConfigKind, ? extends Collection<ConfigState>> listed,
             long nowMs) {
-        platformAt = nowMs;
-        boolean changed = false;
+        lastPlatformContact = nowMs;
+        boolean hasChanged = false;
         for (Map.Entry<ConfigKind, Long> entry : revisions.entrySet()) {
-            changed |=
+            hasChanged |=
                     merger.applyList(entry.getKey(), entry.getValue(), listed.get(entry.getKey()));
         }
         long oldest = revisions.values().stream().min(Long::compare).orElse(0L);
-        boolean fresh = oldest >= Math.max(barrier, heard) && oldest >= merger.completeRevision();
-        if (fresh && phase == Phase.LIST) {
+        boolean isFresh =
+                oldest >= Math.max(barrierRevision, highestPeerRevision)
+                        && oldest >= merger.completeRevision();
+        if (isFresh && phase == Phase.LIST) {
             phase = Phase.WATCH;
         }
-        settleBehind(nowMs);
-        ended(call, nowMs, fresh ? Duration.ZERO : timings.retryPause());
-        return changed;
+        updateBehindSince(nowMs);
+        endCall(call, nowMs, isFresh ? Duration.ZERO : timings.retryPause());
+        return hasChanged;
     }
 
     /**
-     * A watch has answered.
+     * A watch was answered.
      *
      * @param call number of the call
-     * @param revision the revision up to which the changes are complete
+     * @param revision revision up to which the changes are complete
      * @param changes the changes
-     * @param nowMs the time
-     * @return whether the configuration held has changed
+     * @param nowMs current time
+     * @return whether the configuration has changed
      */
     public boolean onChanges(long call, long revision, List<ConfigState> changes, long nowMs) {
-        platformAt = nowMs;
-        boolean changed = changes.stream().map(merger::apply).reduce(false, Boolean::logicalOr);
+        lastPlatformContact = nowMs;
+        boolean hasChanged = changes.stream().map(merger::apply).reduce(false, Boolean::logicalOr);
         merger.markCompleteTo(revision);
-        settleBehind(nowMs);
-        ended(call, nowMs, timings.watchPause());
-        return changed;
+        updateBehindSince(nowMs);
+        endCall(call, nowMs, timings.watchPause());
+        return hasChanged;
     }
 
     /**
-     * A watch was too far behind.
+     * A watch started from a revision that the store no longer has.
      *
      * @param call number of the call
-     * @param nowMs the time
+     * @param nowMs current time
      */
     public void onGap(long call, long nowMs) {
-        platformAt = nowMs;
+        lastPlatformContact = nowMs;
         phase = phase == Phase.WATCH ? Phase.LIST : phase;
-        ended(call, nowMs, Duration.ZERO);
+        endCall(call, nowMs, Duration.ZERO);
     }
 
     /**
      * A call failed.
      *
      * @param call number of the call
-     * @param nowMs the time
+     * @param nowMs current time
      */
     public void onCallFailed(long call, long nowMs) {
-        ended(call, nowMs, timings.retryPause());
+        endCall(call, nowMs, timings.retryPause());
     }
 
     /**
-     * A peer has told its newest revision.
+     * A peer reported its newest revision.
      *
-     * @param revision revision of the newest configuration change that the peer holds
-     * @param nowMs the time
+     * @param revision revision of the newest configuration change that the peer knows
+     * @param nowMs current time
      */
     public void onPeerRevision(long revision, long nowMs) {
-        peerAt = nowMs;
-        heard = Math.max(heard, revision);
-        settleBehind(nowMs);
+        lastPeerContact = nowMs;
+        highestPeerRevision = Math.max(highestPeerRevision, revision);
+        updateBehindSince(nowMs);
     }
 
     /**
-     * Whether the configuration has been read as a whole, past the barrier.
+     * Whether the whole configuration has been read up to the barrier.
      *
-     * @return true once requests may be judged by it
+     * @return true once requests may be checked against it
      */
     public boolean isReady() {
-        return phase == Phase.WATCH || (merger.completeRevision() >= barrier && barrier > 0);
+        return phase == Phase.WATCH
+                || (merger.completeRevision() >= barrierRevision && barrierRevision > 0);
     }
 
     /**
-     * Whether this instance must stop accepting: it has heard neither platform nor peer for too
-     * long, or has known of a newer change for too long without being able to read it.
+     * Whether this instance must stop accepting requests: it has had contact with neither platform
+     * nor peers for too long, or has known of a newer change for too long without being able to
+     * read it.
      *
-     * @param nowMs the time
+     * @param nowMs current time
      * @return true while isolated
      */
     public boolean isIsolated(long nowMs) {
-        long silence = nowMs - Math.max(platformAt, peerAt);
-        return silence > timings.isolationTimeout().toMillis()
+        long contactAge = nowMs - Math.max(lastPlatformContact, lastPeerContact);
+        return contactAge > timings.isolationTimeout().toMillis()
                 || isBehindFor(timings.maxBehind(), nowMs);
     }
 
     /**
-     * The configuration held.
+     * Returns the configuration known.
      *
-     * @return the log
+     * @return the merger
      */
     public CatalogMerger merger() {
         return merger;
     }
 
     /**
-     * Time since the platform last answered.
+     * Returns the time since the platform last answered.
      *
-     * @param nowMs the time
+     * @param nowMs current time
      * @return milliseconds
      */
     public long platformContactAgeMs(long nowMs) {
-        return nowMs - platformAt;
+        return nowMs - lastPlatformContact;
     }
 
     private boolean isBehindFor(Duration bound, long nowMs) {
         return behindSince != NEVER && nowMs - behindSince >= bound.toMillis();
     }
 
-    private void settleBehind(long nowMs) {
-        if (heard <= merger.completeRevision()) {
+    private void updateBehindSince(long nowMs) {
+        if (highestPeerRevision <= merger.completeRevision()) {
             behindSince = NEVER;
         } else if (behindSince == NEVER) {
             behindSince = nowMs;
         }
     }
 
-    private void ended(long call, long nowMs, Duration pause) {
-        if (call == number && waiting) {
-            waiting = false;
+    private void endCall(long call, long nowMs, Duration pause) {
+        if (call == number && isCallPending) {
+            isCallPending = false;
             nextCallAt = nowMs + pause.toMillis();
         }
     }
--- a/core/src/main/java/org/sardinelift/core/catalog/ConfigTimings.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ConfigTimings.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * Intervals and bounds of keeping up with the configuration.
+ * Intervals and bounds of {@link ConfigSync}.
  *
  * @param watchWait longest wait of one watch
- * @param callTimeout time past the wait after which a call is given up and repeated
- * @param retry pause after a failed call
- * @param watchPause pause between two watches, which bounds the calls while much is changing
- * @param gossip interval at which entries tell each other their newest revision
- * @param behindBound time for which an instance may know of a newer revision before it lists again
- * @param isolation time without word from platform or peers after which the instance stops
- *     accepting
+ * @param callTimeout time after the wait until a call is given up and repeated
+ * @param retryPause pause after a failed call
+ * @param watchPause pause between two watches; bounds the number of calls while many objects change
+ * @param gossipInterval interval at which entries send each other their newest revision
+ * @param relistDelay time for which an instance may know of a newer revision before it lists again
+ * @param isolationTimeout time without contact to platform or peers after which the instance stops
+ *     accepting requests
  */
 public record ConfigTimings(
         Duration watchWait,
@@ -22,10 +22,10 @@
         Duration gossipInterval,
         Duration relistDelay,
         Duration isolationTimeout) {
-    private static final int LATE_CALLS = 3;
+    private static final int CALL_TIMEOUTS_BEHIND = 3;
 
     /**
-     * Intervals that hold a change everywhere within 3 s.
+     * Returns intervals with which a change is in effect on every instance within 3 s.
      *
      * @return the defaults
      */
@@ -41,12 +41,12 @@
     }
 
     /**
-     * The longest time for which an instance may accept requests while it knows of a newer
+     * Returns the longest time for which an instance may accept requests while it knows of a newer
      * configuration that it can't read.
      *
      * @return time for a whole watch and two more calls
      */
     public Duration maxBehind() {
-        return watchWait.plus(callTimeout.multipliedBy(LATE_CALLS));
+        return watchWait.plus(callTimeout.multipliedBy(CALL_TIMEOUTS_BEHIND));
     }
 }
--- a/core/src/main/java/org/sardinelift/core/catalog/KeyDigest.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/KeyDigest.java
@@ -8,7 +8,9 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Keyed hash of callers' keys (HMAC-SHA-256, RFC 2104). A key reads {@code sl_ID_SECRET}. */
+/**
+ * Keyed hash of callers' keys (HMAC-SHA-256, RFC 2104). A key has the form {@code sl_ID_SECRET}.
+ */
 public final class KeyDigest {
     private static final String ALGORITHM = "HmacSHA256";
     private static final String PREFIX = "sl_";
@@ -20,7 +22,7 @@
     }
 
     /**
-     * Makes a hash with a secret of the deployment.
+     * Creates a hash with a secret of the deployment.
      *
      * @param pepper secret from the settings, the same on every instance
      * @return the keyed hash
@@ -46,10 +48,10 @@
     }
 
     /**
-     * Checks a key against the digest held, in time that does not depend on either.
+     * Checks a key against a digest, in time that depends on neither.
      *
      * @param key the whole key
-     * @param digest the digest held
+     * @param digest stored digest
      * @return whether they match
      */
     public boolean matches(String key, String digest) {
@@ -59,10 +61,10 @@
     }
 
     /**
-     * The public identifier within a key.
+     * Extracts the public identifier from a key.
      *
      * @param key the whole key
-     * @return the identifier, or empty where the key has another form
+     * @return the identifier, or empty if the key has another form
      */
     public static Optional<String> idOf(String key) {
         int end = key.indexOf('_', PREFIX.length());
--- a/core/src/main/java/org/sardinelift/core/catalog/ServiceSpec.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/ServiceSpec.java
@@ -3,10 +3,10 @@
 import java.util.Set;
 
 /**
- * A service that targets offer.
+ * A service provided by targets.
  *
  * @param name service name
- * @param engine whether its targets are model engines; otherwise a plain service
+ * @param isEngine whether its targets are model engines; otherwise it is a plain service
  * @param models models and adapters that it serves, empty for a plain service
  * @param isOpen whether requests need no key
  * @param repeatableMethods HTTP methods whose calls may be repeated
--- a/core/src/main/java/org/sardinelift/core/catalog/TeamPlan.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/TeamPlan.java
@@ -3,15 +3,16 @@
 import java.util.Set;
 
 /**
- * What a team is due: its template with the team's own values laid over it.
+ * Effective limits, permissions and weights of a team: the values of its template, overridden by
+ * the team's own.
  *
  * @param name team name
  * @param ratePerSecond online requests a second over the whole fleet
- * @param burst online requests at once over the whole fleet
+ * @param burst burst of online requests over the whole fleet
  * @param models models that the team may use
  * @param services plain services that the team may use
- * @param onlineWeight share of online work, relative to other teams
- * @param batchWeight share of batch work, relative to other teams
+ * @param onlineWeight weight of the team's online work, relative to other teams
+ * @param batchWeight weight of the team's batch work, relative to other teams
  */
 public record TeamPlan(
         String name,
--- a/core/src/main/java/org/sardinelift/core/catalog/TeamSpec.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/TeamSpec.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * A team as operators write it: a template and the values in which the team differs from it.
+ * A team as operators configure it: a template and the values in which the team differs from it.
  *
  * @param name team name
  * @param template name of its template
@@ -12,8 +12,8 @@
  * @param burst own burst, requests
  * @param models own models
  * @param services own plain services
- * @param onlineWeight own share of online work
- * @param batchWeight own share of batch work
+ * @param onlineWeight own weight of online work
+ * @param batchWeight own weight of batch work
  */
 public record TeamSpec(
         String name,
@@ -27,10 +27,10 @@
         implements ConfigItem {
 
     /**
-     * Lays the team's own values over its template.
+     * Overrides the values of the template with the team's own.
      *
      * @param base the template
-     * @return what the team is due
+     * @return the effective values
      */
     public TeamPlan resolve(TeamTemplate base) {
         return new TeamPlan(
--- a/core/src/main/java/org/sardinelift/core/catalog/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/catalog/package-info.java
@@ -1,4 +1,4 @@
-/** The accepted configuration as an immutable snapshot. */
+/** Configuration objects, and how an instance keeps its copy of them up to date. */
 @NullMarked
 package org.sardinelift.core.catalog;
 
--- a/core/src/test/java/org/sardinelift/core/catalog/CatalogLogTest.java
+++ b/core/src/test/java/org/sardinelift/core/catalog/CatalogLogTest.java
@@ -20,7 +20,7 @@
     private static final ConfigRef KEY = new ConfigRef(ConfigKind.KEY, "k1");
 
     @Property(seed = "41")
-    void anyOrderOfTheSameChangesEndsInTheSameCatalog(
+    void sameChangesInAnyOrderGiveTheSameCatalog(
             @ForAll @Size(min = 1, max = 30) List<@IntRange(min = 0, max = 4) Integer> writes,
             @ForAll Random random) {
         List<ConfigState> history = history(writes);
@@ -37,44 +37,49 @@
     }
 
     @Property(seed = "42")
-    void noListHoweverOldBringsBackADeletedObject(
+    void staleListDoesNotRestoreADeletedObject(
             @ForAll @Size(min = 2, max = 30) List<@IntRange(min = 0, max = 4) Integer> writes,
             @ForAll Random random) {
         List<ConfigState> history = history(writes);
-        CatalogMerger log = CatalogMerger.create();
-        history.forEach(log::apply);
-        Catalog newest = log.catalog();
+        CatalogMerger merger = CatalogMerger.create();
+        history.forEach(merger::apply);
+        Catalog newest = merger.catalog();
 
         int until = random.nextInt(history.size());
-        CatalogMerger then = CatalogMerger.create();
-        history.subList(0, until).forEach(then::apply);
+        CatalogMerger staleMerger = CatalogMerger.create();
+        history.subList(0, until).forEach(staleMerger::apply);
         List<ConfigState> staleList =
                 history.subList(0, until).stream()
-                        .filter(state -> then.catalog().keys().containsKey(state.ref().name()))
+                        .filter(
+                                state ->
+                                        staleMerger
+                                                .catalog()
+                                                .keys()
+                                                .containsKey(state.ref().name()))
                         .filter(state -> state.item() != null)
                         .toList();
-        log.applyList(ConfigKind.KEY, until, staleList);
+        merger.applyList(ConfigKind.KEY, until, staleList);
 
-        assertEquals(newest.keys(), log.catalog().keys());
+        assertEquals(newest.keys(), merger.catalog().keys());
     }
 
     @Test
-    void aListWithoutAnObjectDeletesItUnlessTheObjectIsNewer() {
-        CatalogMerger log = CatalogMerger.create();
-        log.apply(key(5, false));
-        log.applyList(ConfigKind.KEY, 4, List.of());
-        assertTrue(log.catalog().keys().containsKey("k1"));
-        log.applyList(ConfigKind.KEY, 6, List.of());
-        assertFalse(log.catalog().keys().containsKey("k1"));
-        log.apply(key(5, false));
-        assertFalse(log.catalog().keys().containsKey("k1"));
+    void listWithoutAnObjectDeletesItUnlessTheObjectIsNewer() {
+        CatalogMerger merger = CatalogMerger.create();
+        merger.apply(key(5, false));
+        merger.applyList(ConfigKind.KEY, 4, List.of());
+        assertTrue(merger.catalog().keys().containsKey("k1"));
+        merger.applyList(ConfigKind.KEY, 6, List.of());
+        assertFalse(merger.catalog().keys().containsKey("k1"));
+        merger.apply(key(5, false));
+        assertFalse(merger.catalog().keys().containsKey("k1"));
     }
 
     @Test
-    void aChangedTemplateReachesItsTeamsAndKeepsTheirOwnValues() {
-        CatalogMerger log = CatalogMerger.create();
+    void changedTemplateAppliesToItsTeamsButNotToTheirOwnValues() {
+        CatalogMerger merger = CatalogMerger.create();
         ConfigRef template = new ConfigRef(ConfigKind.TEMPLATE, "standard");
-        log.apply(new ConfigState(template, 1, template(10, 20)));
+        merger.apply(new ConfigState(template, 1, template(10, 20)));
         TeamSpec own =
                 new TeamSpec(
                         "north",
@@ -85,17 +90,17 @@
                         Optional.empty(),
                         Optional.empty(),
                         Optional.empty());
-        log.apply(new ConfigState(new ConfigRef(ConfigKind.TEAM, "north"), 2, own));
-        log.apply(new ConfigState(template, 3, template(50, 100)));
+        merger.apply(new ConfigState(new ConfigRef(ConfigKind.TEAM, "north"), 2, own));
+        merger.apply(new ConfigState(template, 3, template(50, 100)));
 
-        TeamPlan plan = log.catalog().teams().get("north");
+        TeamPlan plan = merger.catalog().teams().get("north");
         assertEquals(7.0, plan.ratePerSecond());
         assertEquals(100.0, plan.burst());
     }
 
     @Test
-    void aTeamWithoutItsTemplateIsNotInForceAndIsNamed() {
-        CatalogMerger log = CatalogMerger.create();
+    void teamWithoutItsTemplateIsNotInEffectAndIsReported() {
+        CatalogMerger merger = CatalogMerger.create();
         TeamSpec team =
                 new TeamSpec(
                         "north",
@@ -106,9 +111,9 @@
                         Optional.empty(),
                         Optional.empty(),
                         Optional.empty());
-        log.apply(new ConfigState(new ConfigRef(ConfigKind.TEAM, "north"), 2, team));
-        assertTrue(log.catalog().teams().isEmpty());
-        assertEquals(List.of(ConfigProblem.missingTemplate("north", "absent")), log.problems());
+        merger.apply(new ConfigState(new ConfigRef(ConfigKind.TEAM, "north"), 2, team));
+        assertTrue(merger.catalog().teams().isEmpty());
+        assertEquals(List.of(ConfigProblem.missingTemplate("north", "absent")), merger.problems());
     }
 
     private static List<ConfigState> history(List<Integer> writes) {
--- a/core/src/test/java/org/sardinelift/core/catalog/ConfigFleetTest.java
+++ b/core/src/test/java/org/sardinelift/core/catalog/ConfigFleetTest.java
@@ -13,12 +13,16 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Sixty instances in virtual time: changes, lagging replicas, silent watches, restarts. */
+/**
+ * Simulates sixty instances in virtual time with lagging replicas of the store, watches without
+ * answer, restarts, gaps and lost connections. Guards against an instance that accepts requests
+ * with a configuration older than 3 s, or that goes back to an older one.
+ */
 class ConfigFleetTest {
     private static final int NODES = 60;
-    private static final int HOP_MS = 2;
-    private static final int LAG_MS = 400;
-    private static final int IN_FORCE_MS = 3_000;
+    private static final int CALL_MS = 2;
+    private static final int MAX_REPLICA_LAG_MS = 400;
+    private static final int MAX_CHANGE_DELAY_MS = 3_000;
     private static final int LAST_CHANGE_MS = 40_000;
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -30,11 +34,11 @@
     private long compactedBefore;
 
     @Property(seed = "51", tries = 4)
-    void everyChangeIsInForceEverywhereWithinThreeSecondsAndNeverReverts(@ForAll long seed) {
-        new ConfigFleetTest().replay(seed);
+    void everyChangeIsInEffectEverywhereWithinThreeSecondsAndNeverReverts(@ForAll long seed) {
+        new ConfigFleetTest().simulate(seed);
     }
 
-    private void replay(long seed) {
+    private void simulate(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         write(0, false);
         for (int i = 0; i < NODES; i++) {
@@ -50,17 +54,17 @@
             Node node = nodes.get(random.nextInt(NODES));
             int at = 5_000 + random.nextInt(LAST_CHANGE_MS);
             switch (random.nextInt(4)) {
-                case 0 -> at(at, () -> node.silentWatches = 3);
+                case 0 -> at(at, () -> node.watchesWithoutAnswer = 3);
                 case 1 -> at(at, node::start);
                 case 2 -> at(at, () -> compactedBefore = history.size());
                 default -> {
-                    at(at, () -> node.cutOff = true);
-                    at(at + random.nextInt(8_000), () -> node.cutOff = false);
+                    at(at, () -> node.isDisconnected = true);
+                    at(at + random.nextInt(8_000), () -> node.isDisconnected = false);
                 }
             }
         }
         run(LAST_CHANGE_MS + 10_000);
-        nodes.forEach(node -> assertEquals(newest(history.size()), node.shown));
+        nodes.forEach(node -> assertEquals(newest(history.size()), node.published));
     }
 
     private void write(int key, boolean withdrawn) {
@@ -70,7 +74,7 @@
         history.add(new ConfigState(ref, history.size() + 1, entry));
     }
 
-    /** What a reader must hold that knows everything up to a revision. */
+    /** Returns the keys that a reader must know that has read everything up to a revision. */
     private Map<String, KeyEntry> newest(int revision) {
         Map<String, KeyEntry> keys = new HashMap<>();
         for (ConfigState state : history.subList(0, revision)) {
@@ -111,12 +115,12 @@
         private final int index;
         private final SplittableRandom random;
         private ConfigSync sync = ConfigSync.create(ConfigTimings.defaults());
-        private Map<String, KeyEntry> shown = Map.of();
-        private int life;
-        private int startedAtRevision;
-        private long shownRevision;
-        private boolean cutOff;
-        private int silentWatches;
+        private Map<String, KeyEntry> published = Map.of();
+        private int incarnation;
+        private int revisionAtStart;
+        private long publishedRevision;
+        private boolean isDisconnected;
+        private int watchesWithoutAnswer;
 
         Node(int index, SplittableRandom random) {
             this.index = index;
@@ -125,83 +129,91 @@
 
         void start() {
             sync = ConfigSync.create(ConfigTimings.defaults());
-            life++;
-            startedAtRevision = history.size();
-            shownRevision = 0;
-            at(now + random.nextInt(20), () -> tick(life));
-            at(now + random.nextInt(500), () -> gossip(life));
+            incarnation++;
+            revisionAtStart = history.size();
+            publishedRevision = 0;
+            at(now + random.nextInt(20), () -> tick(incarnation));
+            at(now + random.nextInt(500), () -> gossip(incarnation));
         }
 
-        private void tick(int of) {
-            if (of != life) {
+        private void tick(int callerIncarnation) {
+            if (callerIncarnation != incarnation) {
                 return;
             }
-            sync.nextCall(now).ifPresent(this::call);
-            show();
-            check();
-            at(now + 20, () -> tick(of));
+            sync.nextCall(now).ifPresent(this::startCall);
+            publish();
+            assertUpToDate();
+            at(now + 20, () -> tick(callerIncarnation));
         }
 
-        private void gossip(int of) {
-            if (of != life) {
+        private void gossip(int callerIncarnation) {
+            if (callerIncarnation != incarnation) {
                 return;
             }
             long newest = sync.merger().newestRevision();
             at(
-                    now + HOP_MS,
+                    now + CALL_MS,
                     () ->
                             nodes.stream()
                                     .filter(other -> other != this)
                                     .forEach(other -> other.sync.onPeerRevision(newest, now)));
-            at(now + 500, () -> gossip(of));
+            at(now + 500, () -> gossip(callerIncarnation));
         }
 
-        private void show() {
+        private void publish() {
             if (sync.isReady()) {
-                shown = sync.merger().catalog().keys();
+                published = sync.merger().catalog().keys();
                 long revision = sync.merger().completeRevision();
-                assertTrue(revision >= shownRevision, "went back");
-                assertTrue(revision >= startedAtRevision, "older than at its start");
-                shownRevision = revision;
+                assertTrue(revision >= publishedRevision, "went back to an older revision");
+                assertTrue(
+                        revision >= revisionAtStart,
+                        "older than the store's revision at its start");
+                publishedRevision = revision;
             }
         }
 
-        /** An instance that takes requests holds all that was written three seconds ago. */
-        private void check() {
-            int due = revisionAt(now - IN_FORCE_MS);
+        /** An instance that accepts requests must know all that was written three seconds ago. */
+        private void assertUpToDate() {
+            int due = revisionAt(now - MAX_CHANGE_DELAY_MS);
             if (sync.isReady() && !sync.isIsolated(now)) {
                 assertTrue(
-                        shownRevision >= due,
+                        publishedRevision >= due,
                         () ->
                                 "e"
                                         + index
                                         + " at "
                                         + now
-                                        + " holds "
-                                        + shownRevision
+                                        + " knows revision "
+                                        + publishedRevision
                                         + " of "
                                         + due);
             }
         }
 
-        private void call(ConfigCall call) {
-            int of = life;
-            int lag = random.nextInt(LAG_MS);
-            if (cutOff) {
-                answer(of, now + HOP_MS, () -> sync.onCallFailed(call.number(), now));
+        private void startCall(ConfigCall call) {
+            int callerIncarnation = incarnation;
+            int lag = random.nextInt(MAX_REPLICA_LAG_MS);
+            if (isDisconnected) {
+                answer(
+                        callerIncarnation,
+                        now + CALL_MS,
+                        () -> sync.onCallFailed(call.number(), now));
             } else if (call instanceof ConfigCall.Barrier) {
                 long revision = history.size();
-                answer(of, now + HOP_MS, () -> sync.onBarrierWritten(call.number(), revision, now));
+                answer(
+                        callerIncarnation,
+                        now + CALL_MS,
+                        () -> sync.onBarrierWritten(call.number(), revision, now));
             } else if (call instanceof ConfigCall.ListAll) {
-                list(of, call, revisionAt(now - lag));
-            } else if (silentWatches > 0) {
-                silentWatches--;
+                list(callerIncarnation, call, revisionAt(now - lag));
+            } else if (watchesWithoutAnswer > 0) {
+                watchesWithoutAnswer--;
             } else {
-                watch(of, (ConfigCall.Watch) call, lag, now + 1_000);
+                watch(callerIncarnation, (ConfigCall.Watch) call, lag, now + 1_000);
             }
         }
 
-        private void list(int of, ConfigCall call, int revision) {
+        private void list(int callerIncarnation, ConfigCall call, int revision) {
             Map<ConfigKind, Long> revisions = new EnumMap<>(ConfigKind.class);
             Map<ConfigKind, List<ConfigState>> listed = new EnumMap<>(ConfigKind.class);
             for (ConfigKind kind : ConfigKind.values()) {
@@ -211,30 +223,33 @@
             Map<ConfigRef, ConfigState> keys = new HashMap<>();
             history.subList(0, revision).forEach(state -> keys.put(state.ref(), state));
             listed.put(ConfigKind.KEY, List.copyOf(keys.values()));
-            answer(of, now + HOP_MS, () -> sync.onListed(call.number(), revisions, listed, now));
+            answer(
+                    callerIncarnation,
+                    now + CALL_MS,
+                    () -> sync.onListed(call.number(), revisions, listed, now));
         }
 
-        private void watch(int of, ConfigCall.Watch call, int lag, long until) {
+        private void watch(int callerIncarnation, ConfigCall.Watch call, int lag, long until) {
             int revision = revisionAt(now - lag);
             if (call.afterRevision() < compactedBefore) {
-                answer(of, now + HOP_MS, () -> sync.onGap(call.number(), now));
+                answer(callerIncarnation, now + CALL_MS, () -> sync.onGap(call.number(), now));
             } else if (revision > call.afterRevision() || now >= until) {
                 int after = (int) Math.min(call.afterRevision(), revision);
                 List<ConfigState> changes = List.copyOf(history.subList(after, revision));
                 answer(
-                        of,
-                        now + HOP_MS,
+                        callerIncarnation,
+                        now + CALL_MS,
                         () -> sync.onChanges(call.number(), revision, changes, now));
             } else {
-                at(now + 10, () -> watch(of, call, lag, until));
+                at(now + 10, () -> watch(callerIncarnation, call, lag, until));
             }
         }
 
-        private void answer(int of, long time, Runnable action) {
+        private void answer(int callerIncarnation, long time, Runnable action) {
             at(
                     time,
                     () -> {
-                        if (of == life) {
+                        if (callerIncarnation == incarnation) {
                             action.run();
                         }
                     });
--- a/core/src/test/java/org/sardinelift/core/catalog/KeyDigestTest.java
+++ b/core/src/test/java/org/sardinelift/core/catalog/KeyDigestTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void identifierStandsBetweenPrefixAndSecret() {
+    void identifierIsBetweenPrefixAndSecret() {
         assertEquals(Optional.of("k1"), KeyDigest.idOf(KEY));
         assertEquals(Optional.empty(), KeyDigest.idOf("sl__secret"));
         assertEquals(Optional.empty(), KeyDigest.idOf("bearer"));
