--- a/core/src/main/java/org/sardinelift/core/order/ControllerLease.java
+++ b/core/src/main/java/org/sardinelift/core/order/ControllerLease.java
@@ -7,33 +7,33 @@
 import org.sardinelift.core.batch.OwnLease;
 
 /**
- * Decides whether this entry is the one controller, and numbers its orders. A number is the lease's
- * fence, which grows with each claim, followed by a count of the orders given under it: so every
- * order's number is above those of all orders before it, whoever gave them. Whether the lease holds
- * is judged by the monotonic clock whenever a number is taken.
+ * Decides whether this entry is the one controller, and numbers its orders. The number of an order
+ * is the lease's fence, which grows with each claim, followed by a count of the orders given under
+ * that fence. So it is above the numbers of all earlier orders, whichever entry gave them. The
+ * lease is checked against the monotonic clock each time a number is assigned.
  */
 public final class ControllerLease {
-    /** Orders under one fence; after so many it is claimed anew. */
+    /** Most orders under one fence; then the lease is claimed anew. */
     static final long ORDERS_PER_FENCE = 1L << 20;
 
-    private static final String LEASE = "controller";
+    private static final String INSTANCE = "controller";
 
     private final Holder self;
-    private final OwnLease hold;
-    private final LeaseMonitor watch;
-    private boolean holding;
+    private final OwnLease lease;
+    private final LeaseMonitor monitor;
+    private boolean isHeld;
     private long fence;
-    private long count;
-    private long leastFence;
+    private long orderCount;
+    private long minFence;
 
     private ControllerLease(Holder self, OrderBounds bounds) {
         this.self = self;
-        this.hold = OwnLease.of(bounds.leaseValid());
-        this.watch = LeaseMonitor.of(bounds.leaseTimeout());
+        this.lease = OwnLease.of(bounds.leaseValid());
+        this.monitor = LeaseMonitor.of(bounds.leaseTimeout());
     }
 
     /**
-     * Makes a lease that is not held.
+     * Creates a lease that is not held.
      *
      * @param self this entry
      * @param bounds times of the lease
@@ -44,113 +44,114 @@
     }
 
     /**
-     * Takes what the platform holds.
+     * Processes the lease object as read from the platform.
      *
-     * @param found the lease, {@link LeaseRecord#NONE} for no object
+     * @param found the lease, {@link LeaseRecord#NONE} if there is no object
      * @param version version of the object
-     * @param nowNanos time
-     * @return what to write over this version, or empty for nothing
+     * @param nowNanos current time, monotonic
+     * @return the lease to write over this version, or empty if nothing is to be written
      */
     public Optional<LeaseRecord> onRead(LeaseRecord found, long version, long nowNanos) {
-        watch.onWatchAnswered(nowNanos);
+        monitor.onWatchAnswered(nowNanos);
         Holder holder = found.holder();
         if (holder.isPresent()) {
-            watch.onChanged(LEASE, holder.incarnation(), version, nowNanos);
+            monitor.onChanged(INSTANCE, holder.incarnation(), version, nowNanos);
         }
-        if (holder.equals(self) && holding && found.fence() == fence && !exhausted()) {
+        if (holder.equals(self) && isHeld && found.fence() == fence && !isExhausted()) {
             return Optional.of(new LeaseRecord(self, fence, found.renewals() + 1));
         }
-        if (holding && found.fence() > fence) {
+        if (isHeld && found.fence() > fence) {
             invalidate();
         }
         boolean free =
                 !holder.isPresent()
                         || holder.equals(self)
-                        || watch.hasLapsed(new Holder(LEASE, holder.incarnation()), nowNanos);
+                        || monitor.hasLapsed(new Holder(INSTANCE, holder.incarnation()), nowNanos);
         return free
-                ? Optional.of(new LeaseRecord(self, Math.max(found.fence(), leastFence) + 1, 0))
+                ? Optional.of(new LeaseRecord(self, Math.max(found.fence(), minFence) + 1, 0))
                 : Optional.empty();
     }
 
-    /** Notes that the platform gave no answer. */
+    /** The platform did not answer. */
     public void onUnavailable() {
-        watch.onWatchFailed();
+        monitor.onWatchFailed();
     }
 
     /**
-     * Notes that a write took effect.
+     * A write of the lease took effect.
      *
-     * @param written what was written
-     * @param sentNanos time at which it was sent
+     * @param written the lease written
+     * @param sentNanos time before the write was sent, monotonic
      */
     public void onWritten(LeaseRecord written, long sentNanos) {
-        if (!holding || written.fence() != fence) {
-            count = 0;
+        if (!isHeld || written.fence() != fence) {
+            orderCount = 0;
         }
-        holding = true;
+        isHeld = true;
         fence = written.fence();
-        hold.onRenewed(sentNanos);
+        lease.onRenewed(sentNanos);
     }
 
     /**
-     * Whether a number that a target has seen is of a newer claim than this controller's.
+     * Whether an order number seen by a target belongs to a newer claim than this controller's.
      *
-     * @param highest the number; the largest of 64 bits stands for one that can't be read
-     * @return true where this controller has to claim anew
+     * @param highest highest number seen; the largest 64-bit number stands for one that can't be
+     *     read
+     * @return true if this controller has to claim the lease anew
      */
     public boolean isOvertakenBy(long highest) {
         return highest != Long.MAX_VALUE && fenceOf(highest) > fence;
     }
 
     /**
-     * A target has seen a higher number than this controller's: another one is newer.
+     * A target has seen a higher number than this controller's, so a newer controller exists.
      *
      * @param highest the highest number seen
      */
     public void onHigherNumber(long highest) {
-        leastFence = Math.max(leastFence, highest / ORDERS_PER_FENCE);
+        minFence = Math.max(minFence, highest / ORDERS_PER_FENCE);
         invalidate();
     }
 
-    /** Gives up what it holds. */
+    /** Gives up the lease. */
     public void invalidate() {
-        holding = false;
-        hold.onLost();
+        isHeld = false;
+        lease.onLost();
     }
 
     /**
      * Whether orders may be given now.
      *
-     * @param nowNanos time
-     * @return true while the lease holds
+     * @param nowNanos current time, monotonic
+     * @return true while the lease is held and valid
      */
     public boolean isValid(long nowNanos) {
-        return holding && hold.isValid(nowNanos);
+        return isHeld && lease.isValid(nowNanos);
     }
 
     /**
-     * Number of the lease.
+     * Returns the fence of the lease.
      *
-     * @return 0 before the first claim
+     * @return the fence, 0 before the first claim
      */
     public long fence() {
         return fence;
     }
 
     /**
-     * The number of the next order, taken right before it is sent.
+     * Returns the number of the next order; called right before the order is sent.
      *
-     * @param nowNanos time
-     * @return the number, or empty where no order may be given
+     * @param nowNanos current time, monotonic
+     * @return the number, or empty if no order may be given
      */
     public OptionalLong nextNumber(long nowNanos) {
-        return isValid(nowNanos) && !exhausted()
-                ? OptionalLong.of(fence * ORDERS_PER_FENCE + count++)
+        return isValid(nowNanos) && !isExhausted()
+                ? OptionalLong.of(fence * ORDERS_PER_FENCE + orderCount++)
                 : OptionalLong.empty();
     }
 
     /**
-     * The fence within an order's number.
+     * Extracts the fence from the number of an order.
      *
      * @param number the number
      * @return the fence
@@ -159,7 +160,7 @@
         return number / ORDERS_PER_FENCE;
     }
 
-    private boolean exhausted() {
-        return count >= ORDERS_PER_FENCE;
+    private boolean isExhausted() {
+        return orderCount >= ORDERS_PER_FENCE;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/LoadPacer.java
+++ b/core/src/main/java/org/sardinelift/core/order/LoadPacer.java
@@ -3,23 +3,23 @@
 import java.time.Duration;
 
 /**
- * Keeps to the weight store's rate by even spacing. The first load waits one space too, since
- * another controller may have begun one just before.
+ * Spaces loads evenly, to keep within the rate limit of the weight store. The first load waits as
+ * well, since another controller may have started one just before.
  */
 public final class LoadPacer {
-    private final long spaceNanos;
+    private final long intervalNanos;
     private long nextNanos;
 
-    private LoadPacer(long spaceNanos, long nowNanos) {
-        this.spaceNanos = spaceNanos;
-        this.nextNanos = nowNanos + spaceNanos;
+    private LoadPacer(long intervalNanos, long nowNanos) {
+        this.intervalNanos = intervalNanos;
+        this.nextNanos = nowNanos + intervalNanos;
     }
 
     /**
-     * Makes a pacer.
+     * Creates a pacer.
      *
      * @param loadsPerMinute loads allowed in a minute
-     * @param nowNanos time
+     * @param nowNanos current time, monotonic
      * @return the pacer
      */
     public static LoadPacer of(int loadsPerMinute, long nowNanos) {
@@ -27,16 +27,16 @@
     }
 
     /**
-     * Takes the right to begin one load.
+     * Acquires the permission to start one load.
      *
-     * @param nowNanos time
-     * @return false where it is too early
+     * @param nowNanos current time, monotonic
+     * @return false if it is too early
      */
     public boolean tryAcquire(long nowNanos) {
         if (nowNanos - nextNanos < 0) {
             return false;
         }
-        nextNanos = nowNanos + spaceNanos;
+        nextNanos = nowNanos + intervalNanos;
         return true;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/OrderAction.java
+++ b/core/src/main/java/org/sardinelift/core/order/OrderAction.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** What a target is ordered to do. */
+/** Action that an order asks of a target. */
 public enum OrderAction {
-    /** Load a version of a model or adapter in place of the one held. */
+    /** Load a version of a model or adapter, replacing the loaded one. */
     LOAD(true),
-    /** Drop a model or adapter. */
+    /** Unload a model or adapter. */
     UNLOAD(false),
-    /** Take another role. */
+    /** Change the role. */
     ROLE(false);
 
     private final boolean usesWeightStore;
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Whether it reads the weight store, whose rate is limited.
+     * Whether the action reads the weight store, whose rate is limited.
      *
      * @return true for a load
      */
@@ -27,9 +27,9 @@
     }
 
     /**
-     * The word for it in frames and objects.
+     * Returns the name of the action in frames and stored objects.
      *
-     * @return lower case
+     * @return lower-case name
      */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
--- a/core/src/main/java/org/sardinelift/core/order/OrderBounds.java
+++ b/core/src/main/java/org/sardinelift/core/order/OrderBounds.java
@@ -5,15 +5,15 @@
 /**
  * Intervals and bounds of orders.
  *
- * @param period time between two looks at the lease and the wanted state
- * @param leaseValid time that a renewal holds, counted from before it was sent
- * @param leaseTimeout time without a change after which others take the lease to have lapsed
- * @param loadsInFlight targets under order at once, over all roll-outs
- * @param loadsPerMinute loads that the weight store is asked for in a minute, evenly spaced
- * @param loadBound longest time from the first sending of an order to its target serving again
+ * @param pollInterval time between two reads of the lease and the roll-outs
+ * @param leaseValid time for which a renewal is valid, counted from before it was sent
+ * @param leaseTimeout time without a change after which other entries consider the lease lapsed
+ * @param maxLoadsInFlight most targets with an order under way at once, over all roll-outs
+ * @param loadsPerMinute most loads from the weight store in a minute, evenly spaced
+ * @param loadTimeout longest time from the first sending of an order to its target serving again
  * @param retryPause pause before an order that a companion refused, or that did not bring a target
  *     back, is sent again
- * @param goneTimeout time after which a target that is not seen any more is given up
+ * @param goneTimeout time after which a target that is no longer seen is given up
  * @param maxTargets most targets of one roll-out, which bounds its state
  */
 public record OrderBounds(
@@ -29,9 +29,9 @@
     private static final int DEFAULT_MAX_TARGETS = 2_000;
 
     /**
-     * The default bounds.
+     * Returns the default bounds.
      *
-     * @return bounds
+     * @return the bounds
      */
     public static OrderBounds defaults() {
         return new OrderBounds(
--- a/core/src/main/java/org/sardinelift/core/order/PendingOrder.java
+++ b/core/src/main/java/org/sardinelift/core/order/PendingOrder.java
@@ -1,17 +1,19 @@
 package org.sardinelift.core.order;
 
-/** An order under way: its newest number decides which result counts. */
+/**
+ * An order under way. If it was sent several times, only the result with its newest number counts.
+ */
 record PendingOrder(long number, long startedNanos, State state, long retryAtNanos, String detail) {
 
-    /** What is known of it. */
+    /** What is known of the order. */
     enum State {
-        /** It was sent. */
+        /** The order was sent. */
         SENT,
-        /** It has not reached the target; it is sent again later. */
+        /** The order did not reach the target; it is sent again later. */
         RETRY,
-        /** The target carried it out. */
+        /** The target executed the order. */
         ACCEPTED,
-        /** The target refused it. */
+        /** The target refused the order. */
         REFUSED
     }
 
--- a/core/src/main/java/org/sardinelift/core/order/Rollout.java
+++ b/core/src/main/java/org/sardinelift/core/order/Rollout.java
@@ -10,57 +10,56 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One roll-out under one lease. {@link #plan} decides; its state is written before {@link
- * #dueOrders} gives any order that follows from it, so whoever takes over knows what may be under
- * way.
+ * One roll-out under one lease. {@link #plan} decides on the next state. The state is written
+ * before {@link #dueOrders} returns any order that follows from it, so an entry that takes over
+ * knows which orders may be under way.
  */
 public final class Rollout {
     private final OrderBounds bounds;
     private final LoadPacer pacer;
-    private final Map<String, PendingOrder> flights = new HashMap<>();
+    private final Map<String, PendingOrder> orders = new HashMap<>();
     private final Map<String, Long> absentSince = new HashMap<>();
     private RolloutState state;
     private boolean isDirty;
 
-    private Rollout(RolloutState state, boolean dirty, OrderBounds bounds, LoadPacer pacer) {
+    private Rollout(RolloutState state, boolean needsWrite, OrderBounds bounds, LoadPacer pacer) {
         this.state = state;
-        this.isDirty = dirty;
+        this.isDirty = needsWrite;
         this.bounds = bounds;
         this.pacer = pacer;
     }
 
     /**
-     * Begins a roll-out of which the platform holds no state.
+     * Starts a roll-out without a stored state.
      *
-     * @param spec what is wanted
-     * @param fence number of the lease
-     * @param bounds bounds
-     * @param pacer the weight store's rate
-     * @return the roll-out, to be written
+     * @param spec the roll-out wanted
+     * @param fence fence of the lease
+     * @param bounds bounds of orders
+     * @param pacer limits the rate of loads
+     * @return the roll-out, whose state is to be written
      */
     static Rollout begin(RolloutSpec spec, long fence, OrderBounds bounds, LoadPacer pacer) {
         return new Rollout(RolloutState.initial(spec, fence), true, bounds, pacer);
     }
 
     /**
-     * Goes on with a roll-out. Its state is written once before any order, as what was read may be
-     * old.
+     * Resumes a roll-out. Its state is written once before any order, as the state read may be old.
      *
-     * @param state what the platform holds
-     * @param fence number of the lease
-     * @param bounds bounds
-     * @param pacer the weight store's rate
+     * @param state state read from the platform
+     * @param fence fence of the lease
+     * @param bounds bounds of orders
+     * @param pacer limits the rate of loads
      * @return the roll-out
      */
     static Rollout resume(RolloutState state, long fence, OrderBounds bounds, LoadPacer pacer) {
-        boolean open = !state.phase().isTerminal();
-        return new Rollout(open ? state.withFence(fence) : state, open, bounds, pacer);
+        boolean isOpen = !state.phase().isTerminal();
+        return new Rollout(isOpen ? state.withFence(fence) : state, isOpen, bounds, pacer);
     }
 
     /**
-     * The newest state.
+     * Returns the newest state.
      *
-     * @return the state, to be written where {@link #isDirty}
+     * @return the state, to be written if {@link #isDirty}
      */
     public RolloutState state() {
         return state;
@@ -69,13 +68,13 @@
     /**
      * Whether the state is to be written before orders are given.
      *
-     * @return true where the platform holds another
+     * @return true if it differs from the stored state
      */
     public boolean isDirty() {
         return isDirty;
     }
 
-    /** Notes that the platform holds the state. */
+    /** The state was written to the platform. */
     public void onWritten() {
         isDirty = false;
     }
@@ -90,13 +89,13 @@
         Optional<RolloutSpec> newer = wanted.filter(spec -> spec.isNewerThan(state.spec()));
         if (next.phase().isTerminal() && newer.isPresent()) {
             next = RolloutState.initial(newer.get(), fence);
-            flights.clear();
+            orders.clear();
             absentSince.clear();
         }
         if (!next.phase().isTerminal()) {
             next = step(next, wanted, fleet, busy, nowNanos);
         }
-        flights.keySet().retainAll(next.activeTargets());
+        orders.keySet().retainAll(next.activeTargets());
         isDirty = isDirty || !next.equals(state);
         state = next;
     }
@@ -111,19 +110,24 @@
                 fleet.stream()
                         .filter(target -> target.service().equals(from.spec().service()))
                         .collect(Collectors.toMap(TargetView::name, Function.identity()));
-        RolloutState next = dropGone(settle(from, targets, nowNanos), targets, nowNanos);
-        Optional<String> stop =
-                next.phase() == RolloutPhase.RUNNING ? stop(next.spec(), wanted) : Optional.empty();
-        if (stop.isPresent()) {
-            next = next.rollBack(stop.get());
+        RolloutState next =
+                dropGoneTargets(applyResults(from, targets, nowNanos), targets, nowNanos);
+        Optional<String> stopReason =
+                next.phase() == RolloutPhase.RUNNING
+                        ? stopReason(next.spec(), wanted)
+                        : Optional.empty();
+        if (stopReason.isPresent()) {
+            next = next.rollBack(stopReason.get());
         }
-        // An order given up must not be taken for the one that goes back.
-        flights.keySet().retainAll(next.activeTargets());
-        RolloutStepPlanner moves = new RolloutStepPlanner(targets, busy, bounds);
-        return next.phase() == RolloutPhase.RUNNING ? moves.advance(next) : moves.rollBack(next);
+        // An order that was given up must not count as the order that rolls the target back.
+        orders.keySet().retainAll(next.activeTargets());
+        RolloutStepPlanner stepPlanner = new RolloutStepPlanner(targets, busy, bounds);
+        return next.phase() == RolloutPhase.RUNNING
+                ? stepPlanner.advance(next)
+                : stepPlanner.rollBack(next);
     }
 
-    private static Optional<String> stop(RolloutSpec running, Optional<RolloutSpec> wanted) {
+    private static Optional<String> stopReason(RolloutSpec running, Optional<RolloutSpec> wanted) {
         if (wanted.filter(spec -> spec.isNewerThan(running)).isPresent()) {
             return Optional.of("another roll-out was started in its place");
         }
@@ -132,73 +136,78 @@
                 .map(spec -> "stopped by the operator");
     }
 
-    /** Takes in what became of the orders. */
-    private RolloutState settle(RolloutState from, Map<String, TargetView> targets, long nowNanos) {
+    /** Applies the results of the orders. */
+    private RolloutState applyResults(
+            RolloutState from, Map<String, TargetView> targets, long nowNanos) {
         RolloutState next = from;
         for (String name : from.activeTargets()) {
-            PendingOrder flight = flights.get(name);
+            PendingOrder order = orders.get(name);
             RolloutStep step = next.steps().get(name);
-            if (flight == null || step == null || !step.state().isActive()) {
+            if (order == null || step == null || !step.state().isActive()) {
                 continue;
             }
-            if (confirmed(from, step, flight, targets.get(name))) {
-                flights.remove(name);
-                next = next.withStep(name, step.withState(reached(step)));
-            } else if (flight.state() == PendingOrder.State.REFUSED) {
-                next = fail(next, name, targets.get(name), flight.detail(), nowNanos);
-            } else if (nowNanos - flight.startedNanos() > bounds.loadTimeout().toNanos()) {
+            if (isConfirmed(from, step, order, targets.get(name))) {
+                orders.remove(name);
+                next = next.withStep(name, step.withState(stateAfter(step)));
+            } else if (order.state() == PendingOrder.State.REFUSED) {
+                next = handleFailedOrder(next, name, targets.get(name), order.detail(), nowNanos);
+            } else if (nowNanos - order.startedNanos() > bounds.loadTimeout().toNanos()) {
                 String bound = bounds.loadTimeout().toMillis() + " ms";
-                String why = "not done and serving within " + bound + " " + flight.detail();
-                next = fail(next, name, null, why.strip(), nowNanos);
+                String reason =
+                        "order not completed and target not serving again within "
+                                + bound
+                                + " "
+                                + order.detail();
+                next = handleFailedOrder(next, name, null, reason.strip(), nowNanos);
             }
         }
         return next;
     }
 
-    private static StepState reached(RolloutStep step) {
+    private static StepState stateAfter(RolloutStep step) {
         return step.state() == StepState.ORDERED ? StepState.MOVED : StepState.RETURNED;
     }
 
-    private static boolean confirmed(
-            RolloutState from, RolloutStep step, PendingOrder flight, TargetView target) {
-        if (flight.state() != PendingOrder.State.ACCEPTED || target == null) {
+    private static boolean isConfirmed(
+            RolloutState from, RolloutStep step, PendingOrder order, TargetView target) {
+        if (order.state() != PendingOrder.State.ACCEPTED || target == null) {
             return false;
         }
         RolloutGoal goal = from.spec().goal();
-        String value = value(from, step);
-        return goal.currentValue(target).filter(value::equals).isPresent()
-                && (value.isEmpty() || goal.isServing(target));
+        String orderedValue = orderedValue(from, step);
+        return goal.currentValue(target).filter(orderedValue::equals).isPresent()
+                && (orderedValue.isEmpty() || goal.isServing(target));
     }
 
-    private static String value(RolloutState from, RolloutStep step) {
+    private static String orderedValue(RolloutState from, RolloutStep step) {
         return step.state() == StepState.ORDERED
                 ? from.spec().goal().wanted()
                 : step.previousValue();
     }
 
-    private RolloutState fail(
+    private RolloutState handleFailedOrder(
             RolloutState from,
             String name,
             @Nullable TargetView target,
-            String why,
+            String reason,
             long nowNanos) {
         RolloutStep step = from.steps().get(name);
         if (step.state() == StepState.RETURNING) {
-            PendingOrder flight = flights.get(name);
-            long again = nowNanos + bounds.retryPause().toNanos();
-            flights.put(
+            PendingOrder order = orders.get(name);
+            long retryNanos = nowNanos + bounds.retryPause().toNanos();
+            orders.put(
                     name,
                     new PendingOrder(
-                            flight.number(),
-                            again,
+                            order.number(),
+                            retryNanos,
                             PendingOrder.State.RETRY,
-                            again,
-                            flight.detail()));
-            return from.problem(name + " does not go back: " + why);
+                            retryNanos,
+                            order.detail()));
+            return from.withProblem(name + " does not go back: " + reason);
         }
-        flights.remove(name);
-        // A target that refused runs no order, so its report can be taken at its word.
-        boolean unchanged =
+        orders.remove(name);
+        // A target that refused runs no order, so its report can be trusted.
+        boolean isUnchanged =
                 target != null
                         && from.spec()
                                 .goal()
@@ -206,12 +215,12 @@
                                 .filter(step.previousValue()::equals)
                                 .isPresent();
         return from.withStep(
-                        name, step.withState(unchanged ? StepState.RETURNED : StepState.DOUBTFUL))
-                .rollBack(name + ": " + why);
+                        name, step.withState(isUnchanged ? StepState.RETURNED : StepState.DOUBTFUL))
+                .rollBack(name + ": " + reason);
     }
 
-    /** Gives up targets that are not seen any more. */
-    private RolloutState dropGone(
+    /** Gives up targets that are no longer seen. */
+    private RolloutState dropGoneTargets(
             RolloutState from, Map<String, TargetView> targets, long nowNanos) {
         RolloutState next = from;
         absentSince.keySet().removeIf(name -> targets.containsKey(name));
@@ -226,7 +235,7 @@
                 continue;
             }
             if (next.phase() == RolloutPhase.ROLLING_BACK) {
-                next = next.withoutTarget(name).problem(name + " left before it was back");
+                next = next.withoutTarget(name).withProblem(name + " left before it was back");
             } else if (at == StepState.ORDERED) {
                 next = next.withStep(name, entry.getValue().withState(StepState.DOUBTFUL));
             }
@@ -235,9 +244,10 @@
     }
 
     /**
-     * Orders to send now; for each, {@link #onSent} or {@link #onSendFailed} is called.
+     * Returns the orders to send now. The caller reports each to {@link #onSent} or {@link
+     * #onSendFailed}.
      *
-     * @param nowNanos time
+     * @param nowNanos current time, monotonic
      * @return the orders, none while the state is to be written
      */
     public List<TargetOrder> dueOrders(long nowNanos) {
@@ -245,7 +255,7 @@
                 ? List.of()
                 : state.activeTargets().stream()
                         .sorted()
-                        .filter(name -> waits(name, nowNanos))
+                        .filter(name -> isDue(name, nowNanos))
                         .map(name -> order(name))
                         .filter(
                                 order ->
@@ -254,85 +264,89 @@
                         .toList();
     }
 
-    private boolean waits(String name, long nowNanos) {
-        PendingOrder flight = flights.get(name);
-        return flight == null
-                || flight.state() == PendingOrder.State.RETRY
-                        && nowNanos - flight.retryAtNanos() >= 0;
+    private boolean isDue(String name, long nowNanos) {
+        PendingOrder order = orders.get(name);
+        return order == null
+                || order.state() == PendingOrder.State.RETRY
+                        && nowNanos - order.retryAtNanos() >= 0;
     }
 
     private TargetOrder order(String name) {
-        return state.spec().goal().orderFor(name, value(state, state.steps().get(name)));
+        return state.spec().goal().orderFor(name, orderedValue(state, state.steps().get(name)));
     }
 
     /**
      * An order was sent.
      *
      * @param target name of the companion
-     * @param number its fencing number
-     * @param nowNanos time
+     * @param number fencing number of the order
+     * @param nowNanos current time, monotonic
      */
     public void onSent(String target, long number, long nowNanos) {
-        PendingOrder before = flights.get(target);
-        long started = before == null ? nowNanos : Math.min(before.startedNanos(), nowNanos);
-        flights.put(target, new PendingOrder(number, started, PendingOrder.State.SENT, 0, ""));
+        PendingOrder previous = orders.get(target);
+        long started = previous == null ? nowNanos : Math.min(previous.startedNanos(), nowNanos);
+        orders.put(target, new PendingOrder(number, started, PendingOrder.State.SENT, 0, ""));
     }
 
     /**
      * An order could not be sent.
      *
      * @param target name of the companion
-     * @param nowNanos time
+     * @param nowNanos current time, monotonic
      */
     public void onSendFailed(String target, long nowNanos) {
-        PendingOrder before = flights.get(target);
-        long started = before == null ? nowNanos : before.startedNanos();
-        long again = nowNanos + bounds.retryPause().toNanos();
-        flights.put(
+        PendingOrder previous = orders.get(target);
+        long started = previous == null ? nowNanos : previous.startedNanos();
+        long retryNanos = nowNanos + bounds.retryPause().toNanos();
+        orders.put(
                 target,
                 new PendingOrder(
-                        0, started, PendingOrder.State.RETRY, again, "it is not connected"));
+                        0,
+                        started,
+                        PendingOrder.State.RETRY,
+                        retryNanos,
+                        "its companion is not connected"));
     }
 
     /**
-     * An order's result has come. Only that of the newest order to a target counts, as an older one
-     * says nothing about what runs now.
+     * The result of an order was received. Only the result of the newest order to a target counts,
+     * as an older one doesn't show what runs now.
      *
-     * @param number the order's fencing number
-     * @param accepted whether the target carried it out
-     * @param passedOn whether the target got it
-     * @param detail what the target or the companion said
-     * @param nowNanos time
+     * @param number fencing number of the order
+     * @param isAccepted whether the target executed the order
+     * @param isForwarded whether the target received the order
+     * @param detail explanation of the target or its companion
+     * @param nowNanos current time, monotonic
      */
     public void onResult(
-            long number, boolean accepted, boolean passedOn, String detail, long nowNanos) {
-        long again = nowNanos + bounds.retryPause().toNanos();
-        flights.replaceAll(
-                (name, flight) -> {
-                    if (flight.number() != number || flight.state() != PendingOrder.State.SENT) {
-                        return flight;
+            long number, boolean isAccepted, boolean isForwarded, String detail, long nowNanos) {
+        long retryNanos = nowNanos + bounds.retryPause().toNanos();
+        orders.replaceAll(
+                (name, order) -> {
+                    if (order.number() != number || order.state() != PendingOrder.State.SENT) {
+                        return order;
                     }
-                    if (accepted) {
-                        return flight.withState(PendingOrder.State.ACCEPTED, detail);
+                    if (isAccepted) {
+                        return order.withState(PendingOrder.State.ACCEPTED, detail);
                     }
-                    return passedOn
-                            ? flight.withState(PendingOrder.State.REFUSED, detail)
-                            : flight.retryAt(again, detail);
+                    return isForwarded
+                            ? order.withState(PendingOrder.State.REFUSED, detail)
+                            : order.retryAt(retryNanos, detail);
                 });
     }
 
     /**
-     * The connection to a companion was lost; a result on its way is lost with it.
+     * The connection to a companion was lost, and with it any result on its way.
      *
      * @param target name of the companion
-     * @param nowNanos time
+     * @param nowNanos current time, monotonic
      */
     public void onConnectionLost(String target, long nowNanos) {
-        flights.computeIfPresent(
+        orders.computeIfPresent(
                 target,
-                (name, flight) ->
-                        flight.state() == PendingOrder.State.SENT
-                                ? flight.retryAt(nowNanos, "the connection was lost")
-                                : flight);
+                (name, order) ->
+                        order.state() == PendingOrder.State.SENT
+                                ? order.retryAt(nowNanos, "the connection was lost")
+                                : order);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/RolloutGoal.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutGoal.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * What every target of a service is to hold.
+ * Goal of a roll-out: the model version or the role that every target of a service is to have.
  *
  * @param action {@link OrderAction#LOAD} or {@link OrderAction#ROLE}
  * @param model model or adapter, empty for a role
- * @param wanted version of the model, or the role
+ * @param wanted version of the model, or the role, that is wanted
  */
 public record RolloutGoal(OrderAction action, String model, String wanted) {
 
     /**
-     * A version of a model.
+     * Creates the goal of a version of a model.
      *
      * @param model model or adapter
      * @param version version wanted
@@ -23,7 +23,7 @@
     }
 
     /**
-     * A role.
+     * Creates the goal of a role.
      *
      * @param role role wanted
      * @return the goal
@@ -33,11 +33,11 @@
     }
 
     /**
-     * What a target holds of what this goal is about.
+     * Returns the value that a target has now.
      *
      * @param target the target
-     * @return version or role, an empty text where the model is not loaded, nothing where the
-     *     target does not tell
+     * @return version or role, an empty text if the model is not loaded, empty if the target does
+     *     not report it
      */
     public Optional<String> currentValue(TargetView target) {
         if (action == OrderAction.ROLE) {
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Whether a target takes the calls that this goal is about.
+     * Whether a target serves the calls that this goal concerns.
      *
      * @param target the target
-     * @return true where new calls may go there
+     * @return true if new calls may be sent to it
      */
     public boolean isServing(TargetView target) {
         return target.isUsable()
@@ -61,10 +61,10 @@
     }
 
     /**
-     * The order that makes a target hold a value.
+     * Creates the order that gives a target a value.
      *
      * @param target name of the companion
-     * @param value version or role; empty for no version at all
+     * @param value version or role; empty to unload the model
      * @return the order
      */
     public TargetOrder orderFor(String target, String value) {
--- a/core/src/main/java/org/sardinelift/core/order/RolloutPhase.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutPhase.java
@@ -1,26 +1,26 @@
 package org.sardinelift.core.order;
 
-/** Phases of a roll-out. */
+/** Phase of a roll-out. */
 public enum RolloutPhase {
-    /** Targets are moved one after another. */
+    /** Targets are changed one after another. */
     RUNNING(false),
-    /** Something failed or it was stopped; targets go back. */
+    /** A target failed or the roll-out was stopped; targets are changed back. */
     ROLLING_BACK(false),
-    /** Every target holds what was wanted. */
+    /** Every target has the value wanted. */
     COMPLETED(true),
-    /** Every target holds what it held before. */
+    /** Every target has its previous value. */
     ROLLED_BACK(true);
 
     private final boolean isTerminal;
 
-    RolloutPhase(boolean terminal) {
-        this.isTerminal = terminal;
+    RolloutPhase(boolean isTerminal) {
+        this.isTerminal = isTerminal;
     }
 
     /**
-     * Whether it has ended.
+     * Whether the roll-out has ended.
      *
-     * @return true where no order is given any more
+     * @return true if no further order is given
      */
     public boolean isTerminal() {
         return isTerminal;
--- a/core/src/main/java/org/sardinelift/core/order/RolloutPlanner.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutPlanner.java
@@ -8,7 +8,10 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** All roll-outs under one lease; they share the weight store's rate and no target twice. */
+/**
+ * Plans all roll-outs under one lease. They share the rate limit of the weight store, and no target
+ * is changed by two of them at once.
+ */
 public final class RolloutPlanner {
     private final long fence;
     private final OrderBounds bounds;
@@ -22,27 +25,27 @@
     }
 
     /**
-     * Begins under a lease.
+     * Creates the planner of a lease.
      *
-     * @param fence number of the lease
-     * @param bounds bounds
-     * @param states what the platform holds, which may be old
-     * @param nowNanos time
-     * @return the board
+     * @param fence fence of the lease
+     * @param bounds bounds of orders
+     * @param states states read from the platform, which may be old
+     * @param nowNanos current time, monotonic
+     * @return the planner
      */
     public static RolloutPlanner of(
             long fence, OrderBounds bounds, Collection<RolloutState> states, long nowNanos) {
-        RolloutPlanner board = new RolloutPlanner(fence, bounds, nowNanos);
+        RolloutPlanner planner = new RolloutPlanner(fence, bounds, nowNanos);
         states.forEach(
                 state ->
-                        board.rollouts.put(
+                        planner.rollouts.put(
                                 state.spec().name(),
-                                Rollout.resume(state, fence, bounds, board.pacer)));
-        return board;
+                                Rollout.resume(state, fence, bounds, planner.pacer)));
+        return planner;
     }
 
     /**
-     * Number of the lease.
+     * Returns the fence of the lease.
      *
      * @return the fence
      */
@@ -51,11 +54,11 @@
     }
 
     /**
-     * Decides what is next. Afterwards every dirty state is to be written.
+     * Decides on the next state of each roll-out. Afterwards every dirty state is to be written.
      *
-     * @param specs what operators want
-     * @param fleet targets as they are reported
-     * @param nowNanos time
+     * @param specs roll-outs that operators want
+     * @param fleet targets as last reported
+     * @param nowNanos current time, monotonic
      */
     public void plan(Collection<RolloutSpec> specs, List<TargetView> fleet, long nowNanos) {
         Map<String, RolloutSpec> wanted =
@@ -69,21 +72,21 @@
                         rollout.plan(
                                 Optional.ofNullable(wanted.get(name)),
                                 fleet,
-                                busyFor(name),
+                                targetsOfOthers(name),
                                 fence,
                                 nowNanos));
     }
 
     /**
-     * The roll-outs.
+     * Returns the roll-outs.
      *
-     * @return by name
+     * @return roll-outs by name
      */
     public Map<String, Rollout> rollouts() {
         return Map.copyOf(rollouts);
     }
 
-    private Set<String> busyFor(String name) {
+    private Set<String> targetsOfOthers(String name) {
         return rollouts.entrySet().stream()
                 .filter(other -> !other.getKey().equals(name))
                 .flatMap(other -> other.getValue().state().activeTargets().stream())
--- a/core/src/main/java/org/sardinelift/core/order/RolloutState.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutState.java
@@ -7,15 +7,15 @@
 import java.util.stream.Collectors;
 
 /**
- * All that is decided about one roll-out, held as one object of the platform and changed only by
- * conditional update. A target is named here before it gets its first order, so that whoever takes
- * over knows which targets may be changing and what they held before.
+ * State of one roll-out, stored as one object of the platform and changed only by conditional
+ * update. A target is added here before it gets its first order, so that an entry that takes over
+ * knows which targets may be changing and what their previous values are.
  *
- * @param spec what was wanted when it began
- * @param fence number of the lease under which this was written
- * @param phase phase
- * @param rollbackReason why it goes or went back, empty otherwise
- * @param trouble what keeps it from going on, empty for nothing
+ * @param spec the roll-out as it was requested at its start
+ * @param fence fence of the lease under which this was written
+ * @param phase phase of the roll-out
+ * @param rollbackReason why it is or was rolled back, empty otherwise
+ * @param problem what keeps it from making progress, empty if nothing
  * @param steps targets by the name of their companion
  */
 public record RolloutState(
@@ -25,28 +25,28 @@
         String rollbackReason,
         String problem,
         SortedMap<String, RolloutStep> steps) {
-    private static final int LONGEST_TEXT = 500;
+    private static final int MAX_TEXT_CHARS = 500;
 
-    /** Copies the map and bounds the texts. */
+    /** Copies the map and truncates the texts. */
     public RolloutState {
         steps = Collections.unmodifiableSortedMap(new TreeMap<>(steps));
-        rollbackReason = bounded(rollbackReason);
-        problem = bounded(problem);
+        rollbackReason = truncated(rollbackReason);
+        problem = truncated(problem);
     }
 
     /**
-     * A roll-out that has changed nothing.
+     * Creates the state of a roll-out that has changed no target.
      *
-     * @param spec what is wanted
-     * @param fence number of the lease
-     * @return the first state
+     * @param spec the roll-out wanted
+     * @param fence fence of the lease
+     * @return the initial state
      */
     public static RolloutState initial(RolloutSpec spec, long fence) {
         return new RolloutState(spec, fence, RolloutPhase.RUNNING, "", "", new TreeMap<>());
     }
 
     /**
-     * Targets for which an order may be under way.
+     * Returns the targets for which an order may be under way.
      *
      * @return names of their companions
      */
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Whether a target may be counted on to serve where its report says so.
+     * Whether a target that reports to serve can be relied on to do so.
      *
      * @param target name of its companion
-     * @return false while its step is open
+     * @return false while its value is unknown or changing
      */
     public boolean mayServe(String target) {
         RolloutStep step = steps.get(target);
@@ -84,7 +84,7 @@
         return new RolloutState(spec, fence, phase, rollbackReason, problem, next);
     }
 
-    RolloutState problem(String text) {
+    RolloutState withProblem(String text) {
         return new RolloutState(spec, fence, phase, rollbackReason, text, steps);
     }
 
@@ -92,18 +92,18 @@
         return new RolloutState(spec, fence, last, rollbackReason, problem, steps);
     }
 
-    /** Goes back from here; what was ordered and not confirmed is in doubt. */
-    RolloutState rollBack(String why) {
+    /** Starts the rollback; targets with an order not confirmed become doubtful. */
+    RolloutState rollBack(String reason) {
         SortedMap<String, RolloutStep> next = new TreeMap<>(steps);
         next.replaceAll(
                 (target, step) ->
                         step.state() == StepState.ORDERED
                                 ? step.withState(StepState.DOUBTFUL)
                                 : step);
-        return new RolloutState(spec, fence, RolloutPhase.ROLLING_BACK, why, problem, next);
+        return new RolloutState(spec, fence, RolloutPhase.ROLLING_BACK, reason, problem, next);
     }
 
-    private static String bounded(String text) {
-        return text.length() <= LONGEST_TEXT ? text : text.substring(0, LONGEST_TEXT);
+    private static String truncated(String text) {
+        return text.length() <= MAX_TEXT_CHARS ? text : text.substring(0, MAX_TEXT_CHARS);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/RolloutStep.java
+++ b/core/src/main/java/org/sardinelift/core/order/RolloutStep.java
@@ -1,15 +1,15 @@
 package org.sardinelift.core.order;
 
 /**
- * One target of a roll-out.
+ * State of one target in a roll-out.
  *
- * @param previousValue what it held before, empty for none
- * @param state how far it is
+ * @param previousValue version or role before the roll-out, empty for none
+ * @param state state of the target
  */
 public record RolloutStep(String previousValue, StepState state) {
 
     /**
-     * The same target in another state.
+     * Returns the step with another state.
      *
      * @param next the state
      * @return the step
--- a/core/src/main/java/org/sardinelift/core/order/StepState.java
+++ b/core/src/main/java/org/sardinelift/core/order/StepState.java
@@ -1,41 +1,41 @@
 package org.sardinelift.core.order;
 
-/** How far one target is. */
+/** State of one target in a roll-out. */
 public enum StepState {
-    /** It is to take the new value, and may be doing so. */
+    /** The target is ordered to the new value, and may be changing. */
     ORDERED(true, false),
-    /** It holds the new value and serves. */
+    /** The target has the new value and serves. */
     MOVED(false, true),
-    /** What it holds is not known: its order failed or was given up. */
+    /** The value of the target is not known, as its order failed or was given up. */
     DOUBTFUL(false, false),
-    /** It is to go back, and may be doing so. */
+    /** The target is ordered back to its previous value, and may be changing. */
     RETURNING(true, false),
-    /** It holds what it held before. */
+    /** The target has its previous value. */
     RETURNED(false, true);
 
     private final boolean isActive;
-    private final boolean serving;
+    private final boolean mayServe;
 
-    StepState(boolean active, boolean serving) {
-        this.isActive = active;
-        this.serving = serving;
+    StepState(boolean isActive, boolean mayServe) {
+        this.isActive = isActive;
+        this.mayServe = mayServe;
     }
 
     /**
-     * Whether an order for it may be under way.
+     * Whether an order to the target may be under way.
      *
-     * @return true for the states in which one is given
+     * @return true for the states in which orders are given
      */
     public boolean isActive() {
         return isActive;
     }
 
     /**
-     * Whether the target may be counted on to serve where its report says so.
+     * Whether a target that reports to serve can be relied on to do so.
      *
-     * @return false while its state is open
+     * @return false while its value is unknown or changing
      */
     public boolean mayServe() {
-        return serving;
+        return mayServe;
     }
 }
--- a/core/src/main/java/org/sardinelift/core/order/TargetOrder.java
+++ b/core/src/main/java/org/sardinelift/core/order/TargetOrder.java
@@ -1,9 +1,9 @@
 package org.sardinelift.core.order;
 
 /**
- * One order, before it has its fencing number.
+ * An order to a target, before it has a fencing number.
  *
- * @param target name of the companion beside the target
+ * @param target name of the target's companion
  * @param action what to do
  * @param subject model, adapter or role
  * @param version version to load, empty where there is none
--- a/core/src/main/java/org/sardinelift/core/order/TargetView.java
+++ b/core/src/main/java/org/sardinelift/core/order/TargetView.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 
 /**
- * A target as its last report shows it.
+ * A target according to its last report.
  *
- * @param name name of the companion beside it
+ * @param name name of its companion
  * @param service service that it is a replica of
  * @param isUsable whether it is connected, healthy and not leaving
- * @param models models that it takes calls for now
- * @param versions version of each model that it tells of, also while an order runs
- * @param role its role, empty where it tells none
+ * @param models models that it serves now
+ * @param versions version of each model that it reports, even while an order runs
+ * @param role its role, empty if it reports none
  */
 public record TargetView(
         String name,
--- a/core/src/main/java/org/sardinelift/core/order/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/order/package-info.java
@@ -1,4 +1,4 @@
-/** Orders to targets: who may give them, and the steps of a roll-out. */
+/** Orders to targets: the controller's lease, and the planning of roll-outs. */
 @NullMarked
 package org.sardinelift.core.order;
 
--- a/core/src/test/java/org/sardinelift/core/order/RolloutPropertiesTest.java
+++ b/core/src/test/java/org/sardinelift/core/order/RolloutPropertiesTest.java
@@ -12,48 +12,52 @@
     private static final long HOUR_MS = 3_600_000;
 
     /**
-     * The world asserts at every step that enough targets serve and that each order's number is
-     * under the platform's newest fence.
+     * Guards against roll-outs that never end or leave targets with mixed versions when controllers
+     * pause, restart or lose their connection and targets fail or hang. The simulation also asserts
+     * at every step that enough targets serve and that each order has the newest fence on the
+     * platform.
      */
     @Property(seed = "8061", tries = 300)
-    void everyRolloutEndsWholeWhateverBefallsItsControllers(
+    void everyRolloutEndsWithAllOrNoTargetsChanged(
             @ForAll long seed,
             @ForAll @IntRange(min = 2, max = 8) int targets,
             @ForAll @IntRange(min = 1, max = 3) int controllers,
             @ForAll @IntRange(min = 0, max = 3) int fault) {
-        RolloutSimulation world = new RolloutSimulation(seed, targets, controllers, 0.5);
-        RolloutSimulation.Target odd = world.targets.get(world.random.nextInt(targets));
-        odd.failing = fault == 1;
-        odd.hanging = fault == 2;
-        world.faulty = true;
+        RolloutSimulation simulation = new RolloutSimulation(seed, targets, controllers, 0.5);
+        RolloutSimulation.Target faultyTarget =
+                simulation.targets.get(simulation.random.nextInt(targets));
+        faultyTarget.isFailing = fault == 1;
+        faultyTarget.isHanging = fault == 2;
+        simulation.hasFaults = true;
         for (int i = 0; i < 30; i++) {
-            world.injectFault();
+            simulation.injectFault();
             if (fault == 3 && i == 5) {
-                world.stop();
+                simulation.stop();
             }
-            world.run(world.random.nextInt(4_000));
+            simulation.run(simulation.random.nextInt(4_000));
         }
-        world.faulty = false;
-        for (long began = world.nowMs; !world.ended(); ) {
-            world.run(10_000);
-            assertTrue(world.nowMs - began < HOUR_MS, () -> "not ended: " + world.stored);
+        simulation.hasFaults = false;
+        for (long startMs = simulation.nowMs; !simulation.ended(); ) {
+            simulation.run(10_000);
+            assertTrue(
+                    simulation.nowMs - startMs < HOUR_MS, () -> "not ended: " + simulation.stored);
         }
-        world.run(60_000);
-        RolloutState end = world.stored.orElseThrow();
-        boolean whole = end.phase() == RolloutPhase.COMPLETED;
-        assertEquals(whole, end.rollbackReason().isEmpty(), end::toString);
-        assertFalse(whole && odd.failing);
-        world.targets.forEach(
-                target -> assertEquals(whole ? "2" : "1", target.version, end::toString));
+        simulation.run(60_000);
+        RolloutState end = simulation.stored.orElseThrow();
+        boolean isCompleted = end.phase() == RolloutPhase.COMPLETED;
+        assertEquals(isCompleted, end.rollbackReason().isEmpty(), end::toString);
+        assertFalse(isCompleted && faultyTarget.isFailing);
+        simulation.targets.forEach(
+                target -> assertEquals(isCompleted ? "2" : "1", target.version, end::toString));
     }
 
     @Property(seed = "8062", tries = 50)
     void loadsKeepToTheWeightStoresRate(@ForAll long seed) {
-        RolloutSimulation world = new RolloutSimulation(seed, 8, 2, 0.25);
-        world.run(120_000);
-        assertEquals(RolloutPhase.COMPLETED, world.stored.orElseThrow().phase());
-        for (int i = 1; i < world.loadStarts.size(); i++) {
-            assertTrue(world.loadStarts.get(i) - world.loadStarts.get(i - 1) >= 1_000);
+        RolloutSimulation simulation = new RolloutSimulation(seed, 8, 2, 0.25);
+        simulation.run(120_000);
+        assertEquals(RolloutPhase.COMPLETED, simulation.stored.orElseThrow().phase());
+        for (int i = 1; i < simulation.loadStarts.size(); i++) {
+            assertTrue(simulation.loadStarts.get(i) - simulation.loadStarts.get(i - 1) >= 1_000);
         }
     }
 }
--- a/core/src/test/java/org/sardinelift/core/order/RolloutSimulation.java
+++ b/core/src/test/java/org/sardinelift/core/order/RolloutSimulation.java
@@ -15,7 +15,11 @@
 import java.util.stream.IntStream;
 import org.sardinelift.core.batch.Holder;
 
-/** Controllers, targets with their companions, and a platform, in virtual time. */
+/**
+ * Simulation of controllers, targets with their companions, and a platform in virtual time.
+ * Controllers pause, restart and lose connections; calls to the platform fail or lose their
+ * answers; orders arrive late.
+ */
 final class RolloutSimulation {
     static final String MODEL = "notices";
     static final OrderBounds BOUNDS =
@@ -42,7 +46,7 @@
     Optional<RolloutState> storedBefore = Optional.empty();
     long storedVersion;
     RolloutSpec spec;
-    boolean faulty;
+    boolean hasFaults;
     long nowMs;
     private long sequence;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -76,18 +80,18 @@
         }
     }
 
-    /** The operator stops the roll-out. */
+    /** Stops the roll-out as an operator does. */
     void stop() {
         spec = new RolloutSpec(spec.name(), spec.id(), 2, spec.service(), spec.goal(), least, true);
     }
 
-    /** Some event of the unlucky kind. */
+    /** Pauses or restarts a controller, cuts its connections, or lets some time pass. */
     void injectFault() {
         Controller controller = controllers.get(random.nextInt(controllers.size()));
         switch (random.nextInt(4)) {
             case 0 -> controller.pausedUntilMs = nowMs + random.nextInt(30_000);
             case 1 -> controller.restart();
-            case 2 -> controller.cut(targets.get(random.nextInt(targets.size())));
+            case 2 -> controller.cutConnections(targets.get(random.nextInt(targets.size())));
             default -> run(random.nextInt(5_000));
         }
     }
@@ -103,35 +107,36 @@
     }
 
     private long delay() {
-        return faulty && random.nextInt(20) == 0 ? random.nextInt(40_000) : random.nextInt(300);
+        return hasFaults && random.nextInt(20) == 0 ? random.nextInt(40_000) : random.nextInt(300);
     }
 
     private boolean failsAtRandom() {
-        return faulty && random.nextInt(8) == 0;
+        return hasFaults && random.nextInt(8) == 0;
     }
 
     /**
-     * A target behind a companion that keeps the highest number, and carries orders out in turn.
+     * A target with its companion, which keeps the highest order number seen and executes orders
+     * one after another.
      */
     final class Target {
         final String name;
         String version = "1";
-        boolean failing;
-        boolean hanging;
+        boolean isFailing;
+        boolean isHanging;
         long highest;
         private final List<Runnable> queue = new ArrayList<>();
-        private boolean changing;
+        private boolean isChanging;
 
         Target(String name) {
             this.name = name;
         }
 
         boolean serves() {
-            return !changing;
+            return !isChanging;
         }
 
         TargetView view() {
-            Set<String> models = changing ? Set.of() : Set.of(MODEL);
+            Set<String> models = isChanging ? Set.of() : Set.of(MODEL);
             return new TargetView(name, "s", true, models, Map.of(MODEL, version), "");
         }
 
@@ -141,7 +146,7 @@
         }
 
         private void next() {
-            if (!changing && !queue.isEmpty()) {
+            if (!isChanging && !queue.isEmpty()) {
                 queue.remove(0).run();
             }
         }
@@ -153,14 +158,14 @@
                 return;
             }
             highest = number;
-            changing = true;
-            boolean fails = failing && order.version().equals("2");
-            boolean hangs = hanging && order.version().equals("2");
+            isChanging = true;
+            boolean fails = isFailing && order.version().equals("2");
+            boolean hangs = isHanging && order.version().equals("2");
             later(
                     hangs ? 35_000 : 200 + random.nextInt(3_000),
                     () -> {
                         version = fails ? version : order.version();
-                        changing = false;
+                        isChanging = false;
                         answer(from, connection, number, !fails, true);
                         next();
                     });
@@ -175,14 +180,14 @@
         }
     }
 
-    /** One entry's controller, as the driver runs it. */
+    /** The controller of one entry. */
     final class Controller {
         final String name;
-        private int life;
+        private int incarnation;
         private int connection;
         private ControllerLease own;
-        private RolloutPlanner board;
-        private long nextLookMs;
+        private RolloutPlanner planner;
+        private long nextPollMs;
         long pausedUntilMs;
 
         Controller(String name) {
@@ -191,18 +196,18 @@
         }
 
         void restart() {
-            life++;
+            incarnation++;
             connection++;
-            own = ControllerLease.of(new Holder(name, name + "." + life), BOUNDS);
-            board = null;
+            own = ControllerLease.of(new Holder(name, name + "." + incarnation), BOUNDS);
+            planner = null;
         }
 
-        void cut(Target target) {
+        void cutConnections(Target target) {
             connection++;
-            if (board != null) {
+            if (planner != null) {
                 targets.forEach(
                         each ->
-                                board.rollouts()
+                                planner.rollouts()
                                         .values()
                                         .forEach(
                                                 rollout ->
@@ -219,8 +224,8 @@
             if (nowMs < pausedUntilMs) {
                 return;
             }
-            if (nowMs >= nextLookMs) {
-                nextLookMs = nowMs + BOUNDS.pollInterval().toMillis();
+            if (nowMs >= nextPollMs) {
+                nextPollMs = nowMs + BOUNDS.pollInterval().toMillis();
                 renew();
             }
             if (own.isValid(nanos())) {
@@ -238,11 +243,11 @@
             own.onRead(lease, leaseVersion, nanos())
                     .ifPresent(
                             next -> {
-                                boolean lost = failsAtRandom();
+                                boolean isAnswerLost = failsAtRandom();
                                 if (version == leaseVersion && !failsAtRandom()) {
                                     lease = next;
                                     leaseVersion++;
-                                    if (!lost) {
+                                    if (!isAnswerLost) {
                                         own.onWritten(next, sent);
                                     }
                                 }
@@ -250,17 +255,17 @@
         }
 
         private void work() {
-            if (board == null || board.fence() != own.fence()) {
-                boolean stale = failsAtRandom();
-                Optional<RolloutState> read = stale ? storedBefore : stored;
-                readVersion = stale ? storedVersion - 1 : storedVersion;
-                board = RolloutPlanner.of(own.fence(), BOUNDS, read.stream().toList(), nanos());
+            if (planner == null || planner.fence() != own.fence()) {
+                boolean isStale = failsAtRandom();
+                Optional<RolloutState> read = isStale ? storedBefore : stored;
+                readVersion = isStale ? storedVersion - 1 : storedVersion;
+                planner = RolloutPlanner.of(own.fence(), BOUNDS, read.stream().toList(), nanos());
             }
             List<TargetView> fleet = targets.stream().map(Target::view).toList();
-            board.plan(List.of(spec), fleet, nanos());
-            for (Rollout rollout : board.rollouts().values()) {
+            planner.plan(List.of(spec), fleet, nanos());
+            for (Rollout rollout : planner.rollouts().values()) {
                 if (rollout.isDirty() && !write(rollout)) {
-                    board = null;
+                    planner = null;
                     return;
                 }
                 rollout.dueOrders(nanos()).forEach(order -> send(rollout, order));
@@ -295,18 +300,18 @@
             Target target =
                     targets.stream().filter(t -> t.name.equals(order.target())).findFirst().get();
             rollout.onSent(order.target(), number.getAsLong(), nanos());
-            int on = connection;
-            later(delay(), () -> target.receive(order, number.getAsLong(), this, on));
+            int sentOn = connection;
+            later(delay(), () -> target.receive(order, number.getAsLong(), this, sentOn));
         }
 
         void onResult(
                 Target from,
-                int on,
+                int sentOn,
                 long number,
                 boolean accepted,
                 boolean passedOn,
                 long highest) {
-            if (on != connection || nowMs < pausedUntilMs || board == null) {
+            if (sentOn != connection || nowMs < pausedUntilMs || planner == null) {
                 return;
             }
             if (!accepted && highest > number) {
@@ -315,7 +320,7 @@
                 }
                 return;
             }
-            board.rollouts()
+            planner.rollouts()
                     .values()
                     .forEach(
                             rollout ->
--- a/core/src/test/java/org/sardinelift/core/order/RolloutTest.java
+++ b/core/src/test/java/org/sardinelift/core/order/RolloutTest.java
@@ -16,7 +16,7 @@
     private static final OrderBounds BOUNDS = RolloutSimulation.BOUNDS;
     private long nowNanos;
     private long number;
-    private final RolloutPlanner board = RolloutPlanner.of(1, BOUNDS, List.of(), nowNanos);
+    private final RolloutPlanner planner = RolloutPlanner.of(1, BOUNDS, List.of(), nowNanos);
 
     private static RolloutSpec spec(String id, long revision, double least, boolean stopped) {
         return new RolloutSpec(
@@ -29,11 +29,11 @@
 
     private Rollout plan(RolloutSpec spec, TargetView... fleet) {
         nowNanos += Duration.ofSeconds(2).toNanos();
-        board.plan(List.of(spec), List.of(fleet), nowNanos);
-        Rollout rollout = board.rollouts().get("r");
+        planner.plan(List.of(spec), List.of(fleet), nowNanos);
+        Rollout rollout = planner.rollouts().get("r");
         assertTrue(
                 !rollout.isDirty() || rollout.dueOrders(nowNanos).isEmpty(),
-                "written before ordered");
+                "orders before the state was written");
         rollout.onWritten();
         return rollout;
     }
@@ -45,14 +45,14 @@
     }
 
     @Test
-    void aFloorThatNoTargetCanLeaveEndsItAtOnceWithTheRemedy() {
+    void unreachableLeastServingEndsTheRolloutAtOnceWithARemedy() {
         Rollout rollout = plan(spec("a", 1, 1, false), view("t1", "1"), view("t2", "1"));
         assertEquals(RolloutPhase.ROLLED_BACK, rollout.state().phase());
         assertTrue(rollout.state().rollbackReason().contains("set it lower"));
     }
 
     @Test
-    void aTargetMovesOnlyWithItsOwnResultAndItsReport() {
+    void targetMovesOnlyWithTheResultOfItsOrderAndItsReport() {
         RolloutSpec spec = spec("a", 1, 0.5, false);
         Rollout rollout = plan(spec, view("t1", "1"), view("t2", "1"));
         assertEquals(List.of("t1"), sendDue(rollout).stream().map(TargetOrder::target).toList());
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aRoleAndANewAdapterGoBackToWhatWasThereBefore() {
+    void roleAndNewAdapterAreRolledBackToTheirPreviousValue() {
         TargetView target = new TargetView("t", "s", true, Set.of("m"), Map.of("m", "1"), "decode");
         RolloutGoal role = RolloutGoal.role("prefill");
         assertEquals(
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void anOldListDoesNotBeginAnEndedRolloutAgain() {
+    void oldListDoesNotRestartAnEndedRollout() {
         Rollout rollout = plan(spec("b", 5, 0.5, false), view("t1", "2"));
         assertEquals(RolloutPhase.COMPLETED, rollout.state().phase());
         plan(spec("a", 1, 0.5, false), view("t1", "1"));
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aCompanionThatCouldNotAskThePlatformIsAskedAgain() {
+    void orderThatDidNotReachItsTargetIsSentAgain() {
         RolloutSpec spec = spec("a", 1, 0.5, false);
         Rollout rollout = plan(spec, view("t1", "1"), view("t2", "1"));
         sendDue(rollout);
@@ -145,16 +145,16 @@
 
         ControllerLease next = ControllerLease.of(new Holder("e2", "y"), BOUNDS);
         assertTrue(next.onRead(claim, 1, 0).isEmpty());
-        LeaseRecord taken = LeaseRecord.NONE;
+        LeaseRecord newClaim = LeaseRecord.NONE;
         for (long second = 1; second <= 11; second++) {
-            taken =
+            newClaim =
                     next.onRead(claim, 1, Duration.ofSeconds(second).toNanos())
                             .orElse(LeaseRecord.NONE);
-            assertEquals(second > 10, taken != LeaseRecord.NONE);
+            assertEquals(second > 10, newClaim != LeaseRecord.NONE);
         }
-        next.onWritten(taken, 0);
+        next.onWritten(newClaim, 0);
         assertTrue(next.nextNumber(1).orElseThrow() > last);
-        assertTrue(old.onRead(taken, 2, Duration.ofSeconds(12).toNanos()).isEmpty());
+        assertTrue(old.onRead(newClaim, 2, Duration.ofSeconds(12).toNanos()).isEmpty());
         assertFalse(old.isValid(Duration.ofSeconds(12).toNanos()));
     }
 }
