--- a/core/src/main/java/org/sardinelift/core/explain/DecisionAction.java
+++ b/core/src/main/java/org/sardinelift/core/explain/DecisionAction.java
@@ -1,38 +1,38 @@
 package org.sardinelift.core.explain;
 
-/** What an instance decided to do. */
+/** Action that an instance decided on. */
 public enum DecisionAction {
-    /** A request was counted against its team's rate and let in. */
+    /** A request was admitted and counted against its team's rate. */
     ADMITTED("admitted", true),
-    /** A request or job was turned away before it ran. */
+    /** A request or job was refused before it ran. */
     REFUSED("refused", true),
     /** An attempt at a call was sent to a target. */
     ROUTED("routed", true),
-    /** A call had a slot of its target. */
+    /** A call got a slot of its target. */
     STARTED("started", true),
-    /** A failed attempt is followed by another. */
+    /** A failed attempt is retried. */
     RETRIED("retried", true),
-    /** An attempt was stopped, to run its request alone. */
+    /** An attempt was stopped, so that its request runs alone on a target. */
     TAKEN_BACK("taken back", true),
-    /** A batch call lost its slot to an online call. */
+    /** A batch call was preempted by an online call. */
     CUT("cut", true),
-    /** A call ended with the whole answer of a target. */
+    /** A call ended with a complete answer of a target. */
     ANSWERED("answered", true),
-    /** A call ended without a whole answer. */
+    /** A call ended without a complete answer. */
     ENDED("ended", true),
-    /** A target gets no calls. */
+    /** A target is excluded and gets no calls. */
     LEFT_OUT("left out", false),
-    /** A target that was left out gets calls again. */
+    /** An excluded target gets calls again. */
     LET_IN("let back in", false),
-    /** An instance said that it is leaving. */
+    /** An instance reported that it is leaving. */
     LEAVING("leaving", false),
-    /** Another configuration is in force. */
+    /** Another configuration is in effect. */
     CONFIGURED("configured", false),
     /** A job was accepted. */
     JOB_ACCEPTED("job accepted", false),
     /** An entry claimed a job. */
     JOB_CLAIMED("job claimed", false),
-    /** An entry claimed a job whose holder was lost. */
+    /** An entry claimed the job of an entry that was lost. */
     JOB_TAKEN_OVER("job taken over", false),
     /** An entry no longer holds a job that has not ended. */
     JOB_GIVEN_UP("job given up", false),
@@ -40,23 +40,23 @@
     JOB_LATE("job late", false),
     /** A late job is expected to end in time again. */
     JOB_IN_TIME("job in time", false),
-    /** A job ended with all its items. */
+    /** A job completed all its items. */
     JOB_COMPLETED("job completed", false),
     /** A job was cancelled. */
     JOB_CANCELLED("job cancelled", false),
-    /** The share of the limits of an instance that is gone went back to the pool. */
+    /** An instance that is gone had its share of the limits returned to the pool. */
     SHARE_RECLAIMED("share reclaimed", false);
 
     private final String label;
     private final boolean isAboutCall;
 
-    DecisionAction(String label, boolean ofCall) {
+    DecisionAction(String label, boolean isAboutCall) {
         this.label = label;
-        this.isAboutCall = ofCall;
+        this.isAboutCall = isAboutCall;
     }
 
     /**
-     * The action as operators read it.
+     * Returns the name of the action for operators.
      *
      * @return lower-case words
      */
@@ -65,7 +65,8 @@
     }
 
     /**
-     * Whether decisions of this kind come with each call, and so must not push out the others.
+     * Whether decisions of this kind are made for each call, so that they must not displace the
+     * others.
      *
      * @return true for decisions about single calls
      */
--- a/core/src/main/java/org/sardinelift/core/explain/DecisionLog.java
+++ b/core/src/main/java/org/sardinelift/core/explain/DecisionLog.java
@@ -9,9 +9,9 @@
 import java.util.stream.Stream;
 
 /**
- * The last decisions of an instance; the oldest are dropped. Decisions about single calls have room
- * of their own, so that traffic doesn't push out those about jobs, targets and the configuration.
- * Safe for use by several threads.
+ * Log of the latest decisions of an instance; the oldest are dropped. Decisions about single calls
+ * are bounded separately, so that traffic doesn't displace those about jobs, targets and the
+ * configuration. Thread-safe.
  */
 public final class DecisionLog {
     private final Ring calls;
@@ -23,9 +23,9 @@
     }
 
     /**
-     * An empty log.
+     * Creates an empty log.
      *
-     * @param capacity decisions about single calls that are kept, and as many others
+     * @param capacity number of decisions about single calls that are kept, and of others
      * @return the log
      */
     public static DecisionLog of(int capacity) {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Keeps a decision.
+     * Adds a decision.
      *
      * @param record the decision
      */
@@ -45,7 +45,7 @@
      * Finds decisions, oldest first.
      *
      * @param names names of a request, job, target or team; empty for all decisions
-     * @param limit longest list; the newest are kept
+     * @param limit most decisions to return; the newest are returned
      * @return the decisions
      */
     public List<DecisionRecord> find(Collection<String> names, int limit) {
@@ -57,7 +57,9 @@
         return found.subList(Math.max(0, found.size() - limit), found.size());
     }
 
-    /** A bounded list; copied before it is searched, so that a search delays no traffic. */
+    /**
+     * Ring buffer of decisions; copied before it is searched, so that a search delays no traffic.
+     */
     private static final class Ring {
         private final int capacity;
         private final Deque<DecisionRecord> records = new ArrayDeque<>();
--- a/core/src/main/java/org/sardinelift/core/explain/DecisionRecord.java
+++ b/core/src/main/java/org/sardinelift/core/explain/DecisionRecord.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * One decision and why it was taken. A caller's key in a reason or figure is masked.
+ * A decision and its reason. Callers' keys in the reason and the figures are masked.
  *
- * @param timeMs time since the epoch, milliseconds
- * @param subject what it was about, such as a request id
+ * @param timeMs time of the decision, epoch milliseconds
+ * @param subject subject of the decision, such as a request id
  * @param action what was done
  * @param reason why
- * @param figures what it went by, by name
+ * @param figures values that the decision is based on, by name
  */
 public record DecisionRecord(
         long timeMs,
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Whether the decision concerns something.
+     * Whether the decision concerns one of several names.
      *
      * @param names names of a request, job, target or team
-     * @return true where one of them is the subject or among the figures
+     * @return true if one of them is the subject or among the figures
      */
     public boolean concerns(Collection<String> names) {
         return names.contains(subject) || figures.values().stream().anyMatch(names::contains);
--- a/core/src/main/java/org/sardinelift/core/explain/DecisionRecorder.java
+++ b/core/src/main/java/org/sardinelift/core/explain/DecisionRecorder.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** Notes decisions with the time at which they were taken. Safe for use by several threads. */
+/** Records decisions with the current time. Thread-safe. */
 public final class DecisionRecorder {
     private final DecisionLog log;
     private final LongSupplier epochMillis;
@@ -14,10 +14,10 @@
     }
 
     /**
-     * Makes a recorder.
+     * Creates a recorder.
      *
-     * @param log keeps the decisions
-     * @param epochMillis time since the epoch, milliseconds
+     * @param log log to add the decisions to
+     * @param epochMillis returns the current time, epoch milliseconds
      * @return the recorder
      */
     public static DecisionRecorder of(DecisionLog log, LongSupplier epochMillis) {
@@ -25,12 +25,12 @@
     }
 
     /**
-     * Notes a decision.
+     * Records a decision.
      *
      * @param action what was done
-     * @param subject what it was about
+     * @param subject subject of the decision
      * @param reason why
-     * @param figures what it went by, by name
+     * @param figures values that the decision is based on, by name
      */
     public void record(
             DecisionAction action, String subject, String reason, Map<String, String> figures) {
--- a/core/src/main/java/org/sardinelift/core/explain/JobStatus.java
+++ b/core/src/main/java/org/sardinelift/core/explain/JobStatus.java
@@ -1,16 +1,16 @@
 package org.sardinelift.core.explain;
 
 /**
- * A job that an entry holds, against its deadline.
+ * Progress of a job held by an entry, compared with its deadline.
  *
- * @param id the job
- * @param team its team
- * @param takenOverFrom entry that was lost with the job, empty for none
- * @param items items accepted
- * @param open items that have not ended
- * @param dueMs deadline, epoch milliseconds, the largest number for none
+ * @param id id of the job
+ * @param team team of the job
+ * @param takenOverFrom entry that held the job and was lost, empty for none
+ * @param items number of items accepted
+ * @param openItems number of items that have not ended
+ * @param dueMs deadline, epoch milliseconds, {@link Long#MAX_VALUE} for none
  * @param expectedEndMs expected end, epoch milliseconds, 0 while it is unknown
- * @param late whether the job is overdue or expected to be
+ * @param isLate whether the job is overdue or expected to be
  */
 public record JobStatus(
         String id,
@@ -23,15 +23,15 @@
         boolean isLate) {
 
     /**
-     * The same job a while later.
+     * Returns the status after some progress.
      *
-     * @param nowOpen items that have not ended
+     * @param nowOpen number of items that have not ended
      * @param endMs expected end, epoch milliseconds, 0 while it is unknown
-     * @param nowMs the time, epoch milliseconds
-     * @return the status then
+     * @param nowMs current time, epoch milliseconds
+     * @return the status at that time
      */
     public JobStatus withProgress(int nowOpen, long endMs, long nowMs) {
-        boolean nowLate = dueMs != Long.MAX_VALUE && Math.max(nowMs, endMs) > dueMs;
-        return new JobStatus(id, team, takenOverFrom, items, nowOpen, dueMs, endMs, nowLate);
+        boolean isNowLate = dueMs != Long.MAX_VALUE && Math.max(nowMs, endMs) > dueMs;
+        return new JobStatus(id, team, takenOverFrom, items, nowOpen, dueMs, endMs, isNowLate);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/explain/KeyMask.java
+++ b/core/src/main/java/org/sardinelift/core/explain/KeyMask.java
@@ -4,7 +4,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** Masks callers' keys in texts that come from requests. */
+/** Masks callers' keys in texts taken from requests. */
 final class KeyMask {
     private static final String KEY_START = "sl_";
     private static final Pattern KEY = Pattern.compile("(?<![A-Za-z0-9])sl_[^\\s,;\"'&?]*");
--- a/core/src/main/java/org/sardinelift/core/explain/TeamRequestCounter.java
+++ b/core/src/main/java/org/sardinelift/core/explain/TeamRequestCounter.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.Collectors;
 
-/** Counts each team's requests at one instance. Safe for use by several threads. */
+/** Counts the requests of each team at one instance. Thread-safe. */
 public final class TeamRequestCounter {
-    /** Time over which a rate is taken, seconds. */
+    /** Time over which a rate is computed, seconds. */
     public static final int WINDOW_SECONDS = 10;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -19,56 +19,57 @@
     private TeamRequestCounter() {}
 
     /**
-     * Makes a tally without counts.
+     * Creates a counter without requests.
      *
-     * @return the tally
+     * @return the counter
      */
     public static TeamRequestCounter create() {
         return new TeamRequestCounter();
     }
 
     /**
-     * One team's requests.
+     * Request counts of a team.
      *
-     * @param admitted requests let in since the start
-     * @param refused requests turned away since the start
-     * @param perSecond requests let in a second, over the last whole seconds
+     * @param admitted requests admitted since the start
+     * @param refused requests refused since the start
+     * @param perSecond requests admitted a second, over the last {@link #WINDOW_SECONDS} whole
+     *     seconds
      */
     public record Traffic(long admitted, long refused, double perSecond) {}
 
     /**
-     * Counts a request that was let in.
+     * A request was admitted.
      *
-     * @param team its team
-     * @param nowNanos monotonic time, nanoseconds
+     * @param team team of the request
+     * @param nowNanos current time, monotonic, nanoseconds
      */
     public void onAdmitted(String team, long nowNanos) {
         counts(team).admit(Math.floorDiv(nowNanos, NANOS_PER_SECOND));
     }
 
     /**
-     * Counts a request that was turned away.
+     * A request was refused.
      *
-     * @param team its team
+     * @param team team of the request
      */
     public void onRefused(String team) {
         counts(team).refuse();
     }
 
     /**
-     * Forgets teams that no longer exist.
+     * Removes the counts of teams that no longer exist.
      *
-     * @param existing the teams there are
+     * @param existing names of the existing teams
      */
     public void retain(Set<String> existing) {
         teams.keySet().retainAll(existing);
     }
 
     /**
-     * The requests of each team that had any.
+     * Returns the counts of each team that had requests.
      *
-     * @param nowNanos monotonic time, nanoseconds
-     * @return the figures by team
+     * @param nowNanos current time, monotonic, nanoseconds
+     * @return counts by team
      */
     public Map<String, Traffic> traffic(long nowNanos) {
         long second = Math.floorDiv(nowNanos, NANOS_PER_SECOND);
--- a/core/src/main/java/org/sardinelift/core/explain/TeamStatus.java
+++ b/core/src/main/java/org/sardinelift/core/explain/TeamStatus.java
@@ -9,13 +9,13 @@
 import org.sardinelift.core.catalog.TeamPlan;
 
 /**
- * What one team gets at one entry, against what it is due over the fleet.
+ * Traffic of a team at one entry, together with its limits over the fleet.
  *
- * @param team its name, empty for callers of open services
- * @param plan what it is due, or null where it has no plan
- * @param traffic its requests at the entry
- * @param online its online calls under way here
- * @param batch its batch items under way here
+ * @param team name of the team, empty for callers of open services
+ * @param plan limits of the team, or null if it has none
+ * @param traffic requests of the team at the entry
+ * @param onlineCalls number of its online calls under way at the entry
+ * @param batchItems number of its batch items under way at the entry
  */
 public record TeamStatus(
         String team,
@@ -26,13 +26,13 @@
     private static final TeamRequestCounter.Traffic IDLE = new TeamRequestCounter.Traffic(0, 0, 0);
 
     /**
-     * The teams that have had requests or have calls under way at the entry.
+     * Returns the status of the teams that have had requests or have calls under way at the entry.
      *
-     * @param plans what each team is due
+     * @param plans limits by team
      * @param traffic requests by team
      * @param online online calls under way by team
      * @param batch batch items under way by team
-     * @return one status for each team, by name
+     * @return one status for each team, sorted by name
      */
     public static List<TeamStatus> ofActiveTeams(
             Map<String, TeamPlan> plans,
--- a/core/src/main/java/org/sardinelift/core/explain/package-info.java
+++ b/core/src/main/java/org/sardinelift/core/explain/package-info.java
@@ -1,4 +1,4 @@
-/** Record of decisions and their reasons. */
+/** Records of decisions and their reasons, and the status of teams and jobs for operators. */
 @NullMarked
 package org.sardinelift.core.explain;
 
--- a/core/src/test/java/org/sardinelift/core/explain/DecisionLogTest.java
+++ b/core/src/test/java/org/sardinelift/core/explain/DecisionLogTest.java
@@ -18,7 +18,7 @@
     private final DecisionRecorder recorder = DecisionRecorder.of(log, () -> nowMs);
 
     @Test
-    void trafficPushesOutOnlyTraffic() {
+    void decisionsAboutCallsDisplaceOnlyThoseAboutCalls() {
         recorder.record(DecisionAction.JOB_CLAIMED, "job-1", "", Map.of());
         IntStream.range(0, 3 * CAPACITY).forEach(this::admit);
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void findsBySubjectAndFigureInOrderOfTime() {
+    void findReturnsDecisionsBySubjectAndFigureInOrderOfTime() {
         admit(1);
         nowMs++;
         recorder.record(DecisionAction.CONFIGURED, "patrol", "its rate changed", Map.of());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void noRecordHoldsAKey() {
+    void recordsContainNoKey() {
         String key = "sl_k1_secretone";
         recorder.record(
                 DecisionAction.REFUSED,
--- a/core/src/test/java/org/sardinelift/core/explain/TeamTallyTest.java
+++ b/core/src/test/java/org/sardinelift/core/explain/TeamTallyTest.java
@@ -7,32 +7,33 @@
 import org.junit.jupiter.api.Test;
 
 class TeamTallyTest {
-    private final TeamRequestCounter tally = TeamRequestCounter.create();
+    private final TeamRequestCounter counter = TeamRequestCounter.create();
 
     @Test
-    void theRateIsThatOfTheLastWholeSeconds() {
+    void rateIsComputedOverTheLastWholeSeconds() {
         for (int second = 0; second < 20; second++) {
             for (int i = 0; i < 5; i++) {
-                tally.onAdmitted("patrol", nanos(second));
+                counter.onAdmitted("patrol", nanos(second));
             }
         }
 
         assertEquals(
-                new TeamRequestCounter.Traffic(100, 0, 5), tally.traffic(nanos(20)).get("patrol"));
-        assertEquals(2.5, tally.traffic(nanos(25)).get("patrol").perSecond());
-        assertEquals(0, tally.traffic(nanos(1_000)).get("patrol").perSecond());
+                new TeamRequestCounter.Traffic(100, 0, 5),
+                counter.traffic(nanos(20)).get("patrol"));
+        assertEquals(2.5, counter.traffic(nanos(25)).get("patrol").perSecond());
+        assertEquals(0, counter.traffic(nanos(1_000)).get("patrol").perSecond());
     }
 
     @Test
-    void countsRefusalsAndForgetsTeamsThatAreGone() {
-        tally.onRefused("patrol");
-        tally.onRefused("patrol");
-        tally.onAdmitted("depot", nanos(1));
+    void refusalsAreCountedAndMissingTeamsAreRemoved() {
+        counter.onRefused("patrol");
+        counter.onRefused("patrol");
+        counter.onAdmitted("depot", nanos(1));
 
         assertEquals(
-                new TeamRequestCounter.Traffic(0, 2, 0), tally.traffic(nanos(2)).get("patrol"));
-        tally.retain(Set.of("depot"));
-        assertEquals(Set.of("depot"), tally.traffic(nanos(2)).keySet());
+                new TeamRequestCounter.Traffic(0, 2, 0), counter.traffic(nanos(2)).get("patrol"));
+        counter.retain(Set.of("depot"));
+        assertEquals(Set.of("depot"), counter.traffic(nanos(2)).keySet());
     }
 
     private static long nanos(int second) {
--- a/core/src/test/java/org/sardinelift/core/order/RolloutPropertiesTest.java
+++ b/core/src/test/java/org/sardinelift/core/order/RolloutPropertiesTest.java
@@ -37,7 +37,7 @@
             simulation.run(simulation.random.nextInt(4_000));
         }
         simulation.hasFaults = false;
-        for (long startMs = simulation.nowMs; !simulation.ended(); ) {
+        for (long startMs = simulation.nowMs; !simulation.hasEnded(); ) {
             simulation.run(10_000);
             assertTrue(
                     simulation.nowMs - startMs < HOUR_MS, () -> "not ended: " + simulation.stored);
--- a/core/src/test/java/org/sardinelift/core/order/RolloutSimulation.java
+++ b/core/src/test/java/org/sardinelift/core/order/RolloutSimulation.java
@@ -75,7 +75,7 @@
                 events.poll().action().run();
             }
             controllers.forEach(Controller::tick);
-            long serving = targets.stream().filter(Target::serves).count();
+            long serving = targets.stream().filter(Target::isServing).count();
             assertTrue(serving >= spec.minServing(targets.size()), () -> serving + " serve");
         }
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    boolean ended() {
+    boolean hasEnded() {
         return stored.filter(state -> state.spec().id().equals(spec.id()))
                 .filter(state -> state.phase().isTerminal())
                 .isPresent();
@@ -131,7 +131,7 @@
             this.name = name;
         }
 
-        boolean serves() {
+        boolean isServing() {
             return !isChanging;
         }
 
@@ -159,14 +159,14 @@
             }
             highest = number;
             isChanging = true;
-            boolean fails = isFailing && order.version().equals("2");
-            boolean hangs = isHanging && order.version().equals("2");
+            boolean willFail = isFailing && order.version().equals("2");
+            boolean willHang = isHanging && order.version().equals("2");
             later(
-                    hangs ? 35_000 : 200 + random.nextInt(3_000),
+                    willHang ? 35_000 : 200 + random.nextInt(3_000),
                     () -> {
-                        version = fails ? version : order.version();
+                        version = willFail ? version : order.version();
                         isChanging = false;
-                        answer(from, connection, number, !fails, true);
+                        answer(from, connection, number, !willFail, true);
                         next();
                     });
         }
