--- a/core/src/main/java/org/sardinelift/core/batch/BatchScheduler.java
+++ b/core/src/main/java/org/sardinelift/core/batch/BatchScheduler.java
@@ -62,7 +62,7 @@
      * Removes the next item that can start now.
      *
      * @param canStart whether an item can start now
-     * @return the item, or empty where none can start
+     * @return the item, or empty if none can start
      */
     public Optional<T> dequeue(Predicate<T> canStart) {
         Optional<Team<T>> chosen =
--- a/core/src/main/java/org/sardinelift/core/explain/DecisionRecord.java
+++ b/core/src/main/java/org/sardinelift/core/explain/DecisionRecord.java
@@ -8,7 +8,7 @@
  *
  * @param timeMs time of the decision, epoch milliseconds
  * @param subject subject of the decision, such as a request id
- * @param action what was done
+ * @param action action decided on
  * @param reason why
  * @param figures values that the decision is based on, by name
  */
--- a/core/src/main/java/org/sardinelift/core/explain/DecisionRecorder.java
+++ b/core/src/main/java/org/sardinelift/core/explain/DecisionRecorder.java
@@ -27,7 +27,7 @@
     /**
      * Records a decision.
      *
-     * @param action what was done
+     * @param action action decided on
      * @param subject subject of the decision
      * @param reason why
      * @param figures values that the decision is based on, by name
--- a/core/src/main/java/org/sardinelift/core/order/ControllerLease.java
+++ b/core/src/main/java/org/sardinelift/core/order/ControllerLease.java
@@ -63,11 +63,11 @@
         if (isHeld && found.fence() > fence) {
             invalidate();
         }
-        boolean free =
+        boolean isFree =
                 !holder.isPresent()
                         || holder.equals(self)
                         || monitor.hasLapsed(new Holder(INSTANCE, holder.incarnation()), nowNanos);
-        return free
+        return isFree
                 ? Optional.of(new LeaseRecord(self, Math.max(found.fence(), minFence) + 1, 0))
                 : Optional.empty();
     }
