--- a/gateway/src/main/java/org/sardinelift/gateway/call/AdmittedCall.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/AdmittedCall.java
@@ -7,14 +7,14 @@
 /**
  * A call that was admitted.
  *
- * @param id name of this attempt of the caller, empty where it gave none
+ * @param id the caller's id of this attempt, empty if it sent none
  * @param route its route
- * @param team team that it runs for, empty on an open route
+ * @param team team that it runs for, empty on a public route
  * @param service service that runs it
- * @param planVersion version of the configuration that it is handled by
- * @param timeout how long the caller may be kept waiting
- * @param earlierWait how long the caller has waited in earlier attempts
- * @param lastEvent event after which the caller wants a stream to go on
+ * @param planVersion version of the configuration that applies to it
+ * @param timeout longest time that the caller waits for the response
+ * @param earlierWait time that the caller spent on earlier attempts
+ * @param lastEventId event after which the caller resumes a stream
  * @param fingerprint hash of team, method, path and body
  */
 record AdmittedCall(
--- a/gateway/src/main/java/org/sardinelift/gateway/call/CallHandler.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/CallHandler.java
@@ -16,24 +16,24 @@
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.http.HttpHandler;
 
-/** Admits callers' calls and has them forwarded; on the event loop. */
+/** Admits callers' calls and forwards them. Used on the event loop. */
 public final class CallHandler implements HttpHandler {
     private static final String KEY_PREFIX = "Bearer ";
-    private static final Duration UNTIL_PLAN = Duration.ofSeconds(1);
+    private static final Duration NO_PLAN_RETRY_AFTER = Duration.ofSeconds(1);
 
-    /** A caller whose deadline is shorter than its route's by more than this has waited before. */
-    private static final Duration RETURNED = Duration.ofMillis(40);
+    /** A caller whose deadline is shorter than its route's by more than this is retrying. */
+    private static final Duration RETRY_DETECTION_MARGIN = Duration.ofMillis(40);
 
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private final ForwardingContext forwarding;
+    private final ForwardingContext context;
     private final PlanFeed plans;
     private final JobApi jobs;
     private final JobProxy jobProxy;
 
-    CallHandler(ForwardingContext forwarding, PlanFeed plans, JobApi jobs, JobProxy jobProxy) {
-        this.forwarding = forwarding;
+    CallHandler(ForwardingContext context, PlanFeed plans, JobApi jobs, JobProxy jobProxy) {
+        this.context = context;
         this.plans = plans;
         this.jobs = jobs;
         this.jobProxy = jobProxy;
@@ -41,13 +41,13 @@
 
     @Override
     public void handle(HttpExchange exchange) {
-        String id = header(exchange, names().callId(), "");
-        PlanFeed.CurrentPlan held = plans.current();
-        if (held == null) {
-            refuse(exchange, Kind.NOT_READY, id, "no configuration yet", UNTIL_PLAN);
+        String id = header(exchange, headerNames().callId(), "");
+        PlanFeed.CurrentPlan currentPlan = plans.current();
+        if (currentPlan == null) {
+            refuse(exchange, Kind.NOT_READY, id, "no configuration yet", NO_PLAN_RETRY_AFTER);
             return;
         }
-        ServingPlan plan = held.plan();
+        ServingPlan plan = currentPlan.plan();
         Optional<JobApi.JobCall> jobCall =
                 jobs.parseCall(exchange.method(), exchange.uri(), exchange::header);
         if (jobCall.isPresent()) {
@@ -56,7 +56,12 @@
         }
         Optional<RoutePlan> route = plan.route(header(exchange, "host", ""), path(exchange.uri()));
         if (route.isEmpty()) {
-            refuse(exchange, Kind.NO_ROUTE, id, "no route in version " + plan.version(), null);
+            refuse(
+                    exchange,
+                    Kind.NO_ROUTE,
+                    id,
+                    "no route matches in version " + plan.version(),
+                    null);
             return;
         }
         handleOnRoute(exchange, id, plan, route.get());
@@ -64,9 +69,14 @@
 
     private void handleOnRoute(
             HttpExchange exchange, String id, ServingPlan plan, RoutePlan route) {
-        Optional<String> team = team(exchange, plan);
+        Optional<String> team = authenticate(exchange, plan);
         if (team.isEmpty() && !route.isPublic()) {
-            refuse(exchange, Kind.BAD_KEY, id, "no team in version " + plan.version(), null);
+            refuse(
+                    exchange,
+                    Kind.BAD_KEY,
+                    id,
+                    "no team with this key in version " + plan.version(),
+                    null);
             return;
         }
         if (route.kind() == CallKind.BATCH) {
@@ -74,26 +84,26 @@
             return;
         }
         String teamName = route.isPublic() ? "" : team.orElse("");
-        Optional<Duration> overRate = overRate(plan, teamName);
-        if (overRate.isPresent()) {
-            String detail = overRateDetail(plan, teamName);
-            refuse(exchange, Kind.OVER_RATE, id, detail, overRate.get());
+        Optional<Duration> retryAfter = rateLimitWait(plan, teamName);
+        if (retryAfter.isPresent()) {
+            String detail = rateLimitDetail(plan, teamName);
+            refuse(exchange, Kind.OVER_RATE, id, detail, retryAfter.get());
             return;
         }
-        AdmittedCall call = call(exchange, id, plan, route, teamName);
-        if (forwarding.deaths().isRefused(call.fingerprint(), forwarding.now())) {
+        AdmittedCall call = toAdmittedCall(exchange, id, plan, route, teamName);
+        if (context.deaths().isRefused(call.fingerprint(), context.now())) {
             refuse(exchange, Kind.CRASHES_TARGETS, id, "targets died with this request", null);
             return;
         }
-        new ForwardedCall(forwarding, exchange, call).start();
+        new ForwardedCall(context, exchange, call).start();
     }
 
-    private AdmittedCall call(
+    private AdmittedCall toAdmittedCall(
             HttpExchange exchange, String id, ServingPlan plan, RoutePlan route, String team) {
         long fingerprint = fingerprint(team, exchange);
-        Duration deadline = deadline(exchange, route);
-        Duration waited = route.timeout().minus(deadline);
-        boolean returned = waited.compareTo(RETURNED) > 0;
+        Duration deadline = readDeadline(exchange, route);
+        Duration earlierWait = route.timeout().minus(deadline);
+        boolean isRetry = earlierWait.compareTo(RETRY_DETECTION_MARGIN) > 0;
         return new AdmittedCall(
                 id,
                 route,
@@ -102,72 +112,72 @@
                         .orElse(""),
                 plan.version(),
                 deadline.compareTo(route.timeout()) < 0 ? deadline : route.timeout(),
-                returned ? waited : Duration.ZERO,
-                lastEvent(exchange),
+                isRetry ? earlierWait : Duration.ZERO,
+                readLastEventId(exchange),
                 fingerprint);
     }
 
-    private Duration deadline(HttpExchange exchange, RoutePlan route) {
-        String text = exchange.header(names().deadlineMs());
+    private Duration readDeadline(HttpExchange exchange, RoutePlan route) {
+        String text = exchange.header(headerNames().deadlineMs());
         try {
             return text == null
                     ? route.timeout()
                     : Duration.ofMillis(Math.max(1, Long.parseLong(text.trim())));
         } catch (NumberFormatException e) {
-            // A deadline that can't be read bounds nothing; the route's own bound holds.
+            // An unreadable deadline is ignored; the route's timeout applies.
             return route.timeout();
         }
     }
 
-    private OptionalLong lastEvent(HttpExchange exchange) {
-        String text = exchange.header(names().lastEventId());
+    private OptionalLong readLastEventId(HttpExchange exchange) {
+        String text = exchange.header(headerNames().lastEventId());
         try {
             return text == null
                     ? OptionalLong.empty()
                     : OptionalLong.of(Long.parseLong(text.trim()));
         } catch (NumberFormatException e) {
-            // The stream then begins at its start, as it does without the header.
+            // The stream then starts at its beginning, as without the header.
             return OptionalLong.empty();
         }
     }
 
-    private Optional<Duration> overRate(ServingPlan plan, String team) {
-        Optional<TeamRateLimit> allowance = plan.rateLimit(team);
-        if (allowance.isEmpty()) {
+    private Optional<Duration> rateLimitWait(ServingPlan plan, String team) {
+        Optional<TeamRateLimit> limit = plan.rateLimit(team);
+        if (limit.isEmpty()) {
             return Optional.empty();
         }
-        long wait = forwarding.network().quota().tryAdmit(allowance.get(), forwarding.now());
+        long wait = context.network().quota().tryAdmit(limit.get(), context.now());
         if (wait == 0) {
             return Optional.empty();
         }
         return Optional.of(Duration.ofNanos(wait));
     }
 
-    private String overRateDetail(ServingPlan plan, String team) {
-        TeamRateLimit allowance = plan.rateLimit(team).orElseThrow();
+    private String rateLimitDetail(ServingPlan plan, String team) {
+        TeamRateLimit limit = plan.rateLimit(team).orElseThrow();
         return "team %s, version %d, rate %.1f/s, burst %.1f, %s"
                 .formatted(
                         team,
                         plan.version(),
-                        allowance.ratePerSecond(),
-                        allowance.burst(),
-                        forwarding.network().quota().describe(team));
+                        limit.ratePerSecond(),
+                        limit.burst(),
+                        context.network().quota().describe(team));
     }
 
     private void handleJobCall(HttpExchange exchange, ServingPlan plan, JobApi.JobCall jobCall) {
-        boolean isOpen =
+        boolean hasPublicBatchRoute =
                 plan.routes(header(exchange, "host", "")).stream()
                         .anyMatch(route -> route.kind() == CallKind.BATCH && route.isPublic());
-        Optional<String> team = team(exchange, plan);
-        if (team.isEmpty() && !isOpen) {
-            String detail = "no team in version " + plan.version();
+        Optional<String> team = authenticate(exchange, plan);
+        if (team.isEmpty() && !hasPublicBatchRoute) {
+            String detail = "no team with this key in version " + plan.version();
             refuse(exchange, Kind.BAD_KEY, jobCall.job(), detail, null);
             return;
         }
         jobProxy.forward(exchange, jobCall, team.orElse(""));
     }
 
-    private static Optional<String> team(HttpExchange exchange, ServingPlan plan) {
+    private static Optional<String> authenticate(HttpExchange exchange, ServingPlan plan) {
         String authorization = header(exchange, "authorization", "");
         return authorization.regionMatches(true, 0, KEY_PREFIX, 0, KEY_PREFIX.length())
                 ? plan.teamOfKey(authorization.substring(KEY_PREFIX.length()).trim())
@@ -199,8 +209,8 @@
         return value == null ? fallback : value;
     }
 
-    private HeaderNames names() {
-        return forwarding.headers().names();
+    private HeaderNames headerNames() {
+        return context.headers().names();
     }
 
     private static void refuse(
--- a/gateway/src/main/java/org/sardinelift/gateway/call/CallPipeline.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/CallPipeline.java
@@ -13,13 +13,13 @@
 import org.sardinelift.http.HttpHandler;
 import org.sardinelift.runtime.log.Event;
 
-/** Puts together what admits and forwards calls. */
+/** Assembles the components that admit and forward calls. */
 public final class CallPipeline {
-    /** A request that was there at this many deaths of targets is refused. */
-    private static final int DEATHS_TO_REFUSE = 3;
+    /** A request that was in flight at this many target deaths is refused. */
+    private static final int DEATHS_BEFORE_REFUSAL = 3;
 
-    private static final Duration DEATHS_MEMORY = Duration.ofSeconds(60);
-    private static final int MAX_REQUESTS = 10_000;
+    private static final Duration DEATH_RETENTION = Duration.ofSeconds(60);
+    private static final int MAX_TRACKED_REQUESTS = 10_000;
 
     private final CallHandler handler;
 
@@ -28,17 +28,17 @@
     }
 
     /**
-     * Puts the parts together.
+     * Creates the pipeline and registers its listeners.
      *
-     * @param settings bounds
-     * @param adapter names of headers and calls
-     * @param loop the event loop of traffic
+     * @param settings settings of the gateway
+     * @param adapter header names and the batch job interface of the platform
+     * @param loop event loop that handles the traffic
      * @param targetClient sends calls to targets
      * @param peerClient sends calls to workers
      * @param table the targets
      * @param network the other instances
      * @param plans the configuration in force
-     * @return the gate
+     * @return the pipeline
      */
     public static CallPipeline create(
             GatewaySettings settings,
@@ -50,20 +50,21 @@
             PeerNetwork network,
             PlanFeed plans) {
         TargetDeathCounter deaths =
-                TargetDeathCounter.create(DEATHS_TO_REFUSE, DEATHS_MEMORY, MAX_REQUESTS);
+                TargetDeathCounter.create(
+                        DEATHS_BEFORE_REFUSAL, DEATH_RETENTION, MAX_TRACKED_REQUESTS);
         network.addListener(
                 new PeerNetwork.Listener() {
                     @Override
                     public void onTargetDeath(long request, String target) {
-                        noteDeath(deaths, request, target, "peer");
+                        recordTargetDeath(deaths, request, target, "peer");
                     }
                 });
         table.setDeathListener(
                 (request, target) -> {
-                    noteDeath(deaths, request, target, "own");
+                    recordTargetDeath(deaths, request, target, "own");
                     network.reportTargetDeath(request, target);
                 });
-        ForwardingContext forwarding =
+        ForwardingContext context =
                 new ForwardingContext(
                         settings,
                         loop,
@@ -76,10 +77,10 @@
                         new ForwardedHeaders(adapter.headerNames(), adapter.reservedHeaders()),
                         new StallDetector(loop));
         JobProxy jobs = new JobProxy(network, peerClient, settings.node().zone());
-        return new CallPipeline(new CallHandler(forwarding, plans, adapter.jobs(), jobs));
+        return new CallPipeline(new CallHandler(context, plans, adapter.jobs(), jobs));
     }
 
-    private static void noteDeath(
+    private static void recordTargetDeath(
             TargetDeathCounter deaths, long request, String target, String source) {
         if (deaths.onTargetDeath(request, target, System.nanoTime())) {
             Event.of("target.died")
@@ -91,7 +92,7 @@
     }
 
     /**
-     * Answers callers.
+     * Handles callers' requests.
      *
      * @return the handler
      */
--- a/gateway/src/main/java/org/sardinelift/gateway/call/ErrorResponses.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ErrorResponses.java
@@ -10,35 +10,35 @@
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.runtime.log.Event;
 
-/** Answers that the gateway gives itself. Each says what was wrong, in JSON. */
+/** Error responses that the gateway itself sends, with the reason as JSON. */
 final class ErrorResponses {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private ErrorResponses() {}
 
-    /** An answer of the gateway's own and what it promises. */
+    /** Kind of an error, with its status and whether the call was run. */
     enum Kind {
-        /** No route takes the call. */
+        /** No route matches the call. */
         NO_ROUTE(404, "no_route", "not_run"),
-        /** The key is missing or nobody's. */
+        /** The key is missing or unknown. */
         BAD_KEY(401, "bad_key", "not_run"),
-        /** The team has used up its rate and burst. */
+        /** The team has exhausted its rate and burst. */
         OVER_RATE(429, "over_rate", "not_run"),
-        /** No target can take the call in time. */
+        /** No target can serve the call in time. */
         NO_ROOM(503, "no_room", "not_run"),
-        /** There is no target at all. */
+        /** No target is available at all. */
         NO_TARGET(503, "no_target", "not_run"),
         /** This gateway has no configuration yet. */
         NOT_READY(503, "not_ready", "not_run"),
-        /** Every target that took the call failed, or may have run it. */
+        /** Every target that received the call failed, or may have run it. */
         TARGET_FAILED(502, "target_failed", "unknown"),
-        /** The call ran out of time. */
+        /** The call timed out. */
         TIMED_OUT(504, "timed_out", "unknown"),
         /** The request crashes the targets that run it. */
         CRASHES_TARGETS(500, "crashes_targets", "not_run"),
-        /** No worker can take a call about a batch job now. */
+        /** No worker can handle a batch job call now. */
         NO_WORKER(503, "no_worker", "not_run"),
-        /** A worker took a call about a batch job and didn't answer. */
+        /** A worker received a batch job call and did not answer. */
         WORKER_FAILED(504, "worker_failed", "unknown");
 
         private final int status;
--- a/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedCall.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedCall.java
@@ -23,46 +23,46 @@
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.runtime.log.Event;
 
-/** One admitted call from its arrival to the end of its answer, over all its attempts. */
+/** An admitted call from its arrival to the end of its response, across all attempts. */
 final class ForwardedCall {
     private static final TargetCalls ONE_CALL = new TargetCalls(1, 0);
     private static final TargetCalls ONE_CALL_LESS = new TargetCalls(-1, 0);
 
-    /** Sends of one call, those that targets refused as not run included. */
+    /** Limit on the sends of one call, including those that targets refused without running. */
     private static final int MAX_SENDS = 6;
 
-    /** A target's silence is compared with this many of its usual pauses between events. */
-    private static final int PAUSES_TO_STALL = 4;
+    /** A stream counts as stalled after this many of its target's usual gaps between events. */
+    private static final int STALL_EVENT_GAPS = 4;
 
-    /** Longest time that callers honour, as a part of the time that they have left. */
-    private static final int RETURN_WITHIN_PART = 3;
+    /** Callers honour a retry delay of at most their remaining time divided by this. */
+    private static final int MAX_RETRY_DELAY_DIVISOR = 3;
 
-    /** Time for a new target to register, where there is none. */
-    private static final Duration UNTIL_TARGET = Duration.ofMillis(500);
+    /** Time that a new target needs to register when there is none. */
+    private static final Duration TARGET_REGISTRATION_TIME = Duration.ofMillis(500);
 
     private static final int FIRST_SERVER_ERROR = 500;
 
-    private final ForwardingContext forwarding;
+    private final ForwardingContext context;
     private final HttpExchange exchange;
     private final AdmittedCall call;
     private final long arrivedAt;
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedTargets = new HashSet<>();
     private @Nullable TargetAttempt attempt;
     private OptionalLong lastEventId;
-    private RunOutcome overall = RunOutcome.NOT_RUN;
+    private RunOutcome overallOutcome = RunOutcome.NOT_RUN;
     private int sends;
     private int runs;
     private int events;
     private long firstEventAt;
-    private boolean headPassed;
-    private boolean ended;
+    private boolean isHeadForwarded;
+    private boolean isEnded;
     private @Nullable ScheduledFuture<?> timeout;
 
-    ForwardedCall(ForwardingContext forwarding, HttpExchange exchange, AdmittedCall call) {
-        this.forwarding = forwarding;
+    ForwardedCall(ForwardingContext context, HttpExchange exchange, AdmittedCall call) {
+        this.context = context;
         this.exchange = exchange;
         this.call = call;
-        this.arrivedAt = forwarding.now();
+        this.arrivedAt = context.now();
         this.lastEventId = call.lastEventId();
     }
 
@@ -78,79 +78,81 @@
         return call.route().kind() == CallKind.STREAM;
     }
 
-    boolean isCurrent(TargetAttempt which) {
-        return attempt == which && !ended;
+    boolean isCurrent(TargetAttempt candidate) {
+        return attempt == candidate && !isEnded;
     }
 
     void start() {
         if (call.earlierWait().isZero()) {
-            forwarding.retryTimes().onNewCall(arrivedAt);
+            context.retryTimes().onNewCall(arrivedAt);
         }
-        exchange.onClose(this::onCallerGone);
+        exchange.onClose(this::onCallerDisconnected);
         timeout =
-                forwarding
-                        .loop()
+                context.loop()
                         .schedule(this::onTimeout, call.timeout().toNanos(), TimeUnit.NANOSECONDS);
-        forwarding.stallDetector().add(this);
-        place();
+        context.stallDetector().add(this);
+        dispatch();
     }
 
-    private void place() {
-        long now = forwarding.now();
-        List<TargetLoad> loads = forwarding.targets().usableLoads(call.service(), tried, now);
+    private void dispatch() {
+        long now = context.now();
+        List<TargetLoad> loads = context.targets().usableLoads(call.service(), triedTargets, now);
         Choice choice =
-                forwarding.placement().choose(loads, firstEventWithin(now), call.fingerprint());
-        if (choice instanceof Choice.Placed place) {
-            send(place.target(), now);
+                context.placement().choose(loads, nextEventTimeLimit(now), call.fingerprint());
+        if (choice instanceof Choice.Placed placed) {
+            send(placed.target(), now);
         } else {
-            onNoPlace((Choice.Refused) choice, now);
+            onRefused((Choice.Refused) choice, now);
         }
     }
 
-    /** How long the next event may take. */
-    private Duration firstEventWithin(long now) {
+    /** Longest time allowed until the next event. */
+    private Duration nextEventTimeLimit(long now) {
         if (events > 0) {
-            // A stream that is late is worth more than one that breaks off.
+            // A late stream is worth more than an aborted one.
             return call.timeout();
         }
         if (sends > 0) {
-            return forwarding.settings().maxResendWait();
+            return context.settings().maxResendWait();
         }
         if (!call.earlierWait().isZero()) {
-            // Longer, and in a long peak those who come back would take every slot too late for
-            // themselves and for all who are new.
+            // With a longer limit, retrying callers would take every slot during a long peak, too
+            // late for themselves and for all new calls.
             return call.route().latencyObjective();
         }
         Duration left = call.route().latencyObjective().minusNanos(now - arrivedAt);
-        // What is kept for them is what lets those who were refused once be served in time.
-        return left.minus(forwarding.settings().retryReserve());
+        // This reserve lets callers that were refused once be served in time.
+        return left.minus(context.settings().retryReserve());
     }
 
-    private void onNoPlace(Choice.Refused refusal, long now) {
-        if (overall != RunOutcome.NOT_RUN || headPassed) {
-            fail(refusal.hasNoTarget() ? "no other target" : "no room at another target");
+    private void onRefused(Choice.Refused refusal, long now) {
+        if (overallOutcome != RunOutcome.NOT_RUN || isHeadForwarded) {
+            fail(
+                    refusal.hasNoTarget()
+                            ? "no other usable target"
+                            : "no other target has a free slot in time");
             return;
         }
         Duration left = timeLeft(now);
-        Duration untilRoom = refusal.hasNoTarget() ? UNTIL_TARGET : refusal.retryAfter();
-        Duration back =
-                forwarding
-                        .retryTimes()
+        Duration untilSlot =
+                refusal.hasNoTarget() ? TARGET_REGISTRATION_TIME : refusal.retryAfter();
+        Duration retryDelay =
+                context.retryTimes()
                         .nextRetryAfter(
-                                untilRoom,
-                                forwarding.freedSlotsPerSecond(now),
-                                left.dividedBy(RETURN_WITHIN_PART),
+                                untilSlot,
+                                context.freedSlotsPerSecond(now),
+                                left.dividedBy(MAX_RETRY_DELAY_DIVISOR),
                                 call.fingerprint(),
                                 now);
         Kind kind = refusal.hasNoTarget() ? Kind.NO_TARGET : Kind.NO_ROOM;
-        String detail = noPlaceDetail(refusal, now);
-        end(kind.label());
-        ErrorResponses.send(exchange, kind, call.id(), detail, back);
+        String detail = refusalDetail(refusal, now);
+        finish(kind.label());
+        ErrorResponses.send(exchange, kind, call.id(), detail, retryDelay);
     }
 
-    /** What the refusal rests on, for the log and the caller. */
-    private String noPlaceDetail(Choice.Refused refusal, long now) {
-        List<TargetLoad> loads = forwarding.targets().usableLoads(call.service(), tried, now);
+    /** The figures behind a refusal, for the log and the caller. */
+    private String refusalDetail(Choice.Refused refusal, long now) {
+        List<TargetLoad> loads = context.targets().usableLoads(call.service(), triedTargets, now);
         int slots = loads.stream().mapToInt(TargetLoad::slots).sum();
         int online = loads.stream().mapToInt(load -> load.calls().online()).sum();
         int batch = loads.stream().mapToInt(load -> load.calls().batch()).sum();
@@ -171,20 +173,20 @@
     }
 
     private void send(TargetLoad load, long now) {
-        Target target = forwarding.targets().find(load.id()).orElseThrow();
+        Target target = context.targets().find(load.id()).orElseThrow();
         sends++;
-        tried.add(target.id());
-        forwarding.network().targetLoads().onOwnCallsChanged(target.id(), ONE_CALL);
-        forwarding.network().onLocalChange();
+        triedTargets.add(target.id());
+        context.network().targetLoads().onOwnCallsChanged(target.id(), ONE_CALL);
+        context.network().onLocalChange();
         TargetAttempt next = new TargetAttempt(this, target, load, now);
         attempt = next;
-        next.start(forwarding.client(), httpCall(target, now));
+        next.start(context.client(), toHttpCall(target, now));
     }
 
-    private HttpCall httpCall(Target target, long now) {
-        var names = forwarding.headers().names();
+    private HttpCall toHttpCall(Target target, long now) {
+        var names = context.headers().names();
         List<Map.Entry<String, String>> headers =
-                new ArrayList<>(forwarding.headers().toTarget(exchange.headers()));
+                new ArrayList<>(context.headers().toTarget(exchange.headers()));
         headers.removeIf(header -> header.getKey().equalsIgnoreCase(names.lastEventId()));
         lastEventId.ifPresent(id -> headers.add(Map.entry(names.lastEventId(), Long.toString(id))));
         long leftMs = Math.max(1, timeLeft(now).toMillis());
@@ -204,101 +206,101 @@
                 !call.route().mayRepeat());
     }
 
-    /** Looks whether the target has been silent for too long. */
+    /** Checks whether the target has been silent for too long. */
     void checkStall(long now) {
         TargetAttempt current = attempt;
         if (current == null) {
             return;
         }
-        long silent = now - current.lastProgressAt();
-        if (silent >= stallLimit(current)) {
-            onStall(current, silent, now);
+        long silentNanos = now - current.lastProgressAt();
+        if (silentNanos >= stallLimitNanos(current)) {
+            onStall(current, silentNanos, now);
         }
     }
 
-    private long stallLimit(TargetAttempt which) {
-        long least = forwarding.settings().stallTimeout().toNanos();
-        var health = which.target().health();
-        return which.hasEvents()
-                ? Math.max(least, PAUSES_TO_STALL * health.eventGapNanos())
-                : which.load().expectedWaitNanos()
-                        + Math.max(least, 2 * health.timeToFirstEventNanos());
+    private long stallLimitNanos(TargetAttempt current) {
+        long minNanos = context.settings().stallTimeout().toNanos();
+        var health = current.target().health();
+        return current.hasEvents()
+                ? Math.max(minNanos, STALL_EVENT_GAPS * health.eventGapNanos())
+                : current.load().expectedWaitNanos()
+                        + Math.max(minNanos, 2 * health.timeToFirstEventNanos());
     }
 
-    /** Moves the call where another target has a slot for it; otherwise waits on. */
-    private void onStall(TargetAttempt which, long silent, long now) {
-        Target target = which.target();
-        if (now - target.lastBytesAt() >= stallLimit(which)) {
-            forwarding.targets().onSilent(target, "no byte for " + silent / 1_000_000 + " ms");
+    /** Moves the call to another target if one has a free slot; otherwise keeps waiting. */
+    private void onStall(TargetAttempt current, long silentNanos, long now) {
+        Target target = current.target();
+        if (now - target.lastBytesAt() >= stallLimitNanos(current)) {
+            context.targets().onSilent(target, "no byte for " + silentNanos / 1_000_000 + " ms");
         }
         boolean mayMove = call.route().mayRepeat() && runs + 1 < call.route().maxAttempts();
-        boolean hasPlace =
+        boolean hasFreeTarget =
                 mayMove
-                        && forwarding.targets().usableLoads(call.service(), tried, now).stream()
+                        && context.targets().usableLoads(call.service(), triedTargets, now).stream()
                                 .anyMatch(load -> load.freeSlotsForOnline() > 0);
-        if (hasPlace) {
-            which.cancel();
-            onAttemptFailed(which, RunOutcome.UNKNOWN, "silent for " + silent / 1_000_000 + " ms");
+        if (hasFreeTarget) {
+            current.cancel();
+            onAttemptFailed(
+                    current, RunOutcome.UNKNOWN, "silent for " + silentNanos / 1_000_000 + " ms");
         }
     }
 
-    /** The first bytes that the caller gets from an answer. */
+    /** Starts the response to the caller unless an earlier attempt has done so. */
     void forwardHead(TargetAttempt from) {
-        if (!headPassed) {
-            headPassed = true;
-            exchange.start(from.status(), forwarding.headers().toCaller(from.headers()));
+        if (!isHeadForwarded) {
+            isHeadForwarded = true;
+            exchange.start(from.status(), context.headers().toCaller(from.headers()));
         }
     }
 
-    void forwardEvents(TargetAttempt from, List<StreamEvent> received) {
+    void forwardEvents(TargetAttempt from, List<StreamEvent> newEvents) {
         forwardHead(from);
-        long now = forwarding.now();
+        long now = context.now();
         if (events == 0) {
             firstEventAt = now;
             GatewayMetrics.recordFirstEvent(call.route().name(), now - arrivedAt);
         }
-        events += received.size();
-        lastEventId = OptionalLong.of(received.get(received.size() - 1).id());
+        events += newEvents.size();
+        lastEventId = OptionalLong.of(newEvents.get(newEvents.size() - 1).id());
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        received.forEach(event -> bytes.writeBytes(event.rawBytes()));
+        newEvents.forEach(event -> bytes.writeBytes(event.rawBytes()));
         exchange.write(bytes.toByteArray());
     }
 
-    /** The stream has come to its end. */
     void onStreamEnd(TargetAttempt from) {
         release(from, "done");
         forwardHead(from);
-        end("done");
+        finish("done");
         exchange.end();
         log("call.done", from);
     }
 
-    /** A whole answer that is no stream has come. */
+    /** A response that is not a stream was received completely. */
     void onCompleteResponse(TargetAttempt from, byte[] body) {
         boolean failed = from.status() >= FIRST_SERVER_ERROR;
         if (failed) {
-            forwarding.targets().onCallFailed(from.target());
+            context.targets().onCallFailed(from.target());
         }
-        boolean again =
-                failed && call.route().mayRepeat() && canSendAgain(RunOutcome.RUN, runs + 1);
-        if (again || headPassed) {
+        boolean canRetry =
+                failed && call.route().mayRepeat() && canResend(RunOutcome.RUN, runs + 1);
+        if (canRetry || isHeadForwarded) {
             onAttemptFailed(from, RunOutcome.RUN, "status " + from.status());
             return;
         }
         release(from, failed ? "failure" : "done");
-        headPassed = true;
-        end(failed ? "target_status" : "done");
-        exchange.respond(from.status(), forwarding.headers().toCaller(from.headers()), body);
+        isHeadForwarded = true;
+        finish(failed ? "target_status" : "done");
+        exchange.respond(from.status(), context.headers().toCaller(from.headers()), body);
         log("call.done", from);
     }
 
-    /** An attempt ended without an answer for the caller. */
+    /** An attempt ended without a response for the caller. */
     void onAttemptFailed(TargetAttempt from, RunOutcome outcome, String reason) {
         release(from, "failed");
         if (outcome != RunOutcome.NOT_RUN) {
             runs++;
         }
-        overall = overall.combine(outcome);
+        overallOutcome = overallOutcome.combine(outcome);
         Event.of("call.attempt_failed")
                 .with("call", call.id())
                 .with("target", from.target().id())
@@ -309,24 +311,24 @@
                 .with("load_online", from.load().calls().online())
                 .with("load_batch", from.load().calls().batch())
                 .info();
-        if (canSendAgain(overall, runs)) {
-            place();
+        if (canResend(overallOutcome, runs)) {
+            dispatch();
         } else {
             fail(reason);
         }
     }
 
-    private boolean canSendAgain(RunOutcome soFar, int runsSoFar) {
+    private boolean canResend(RunOutcome soFar, int runsSoFar) {
         return soFar.mayRetry(call.route().mayRepeat())
                 && runsSoFar < call.route().maxAttempts()
                 && sends < MAX_SENDS
-                && (!headPassed || call.route().isResumable())
-                && !timeLeft(forwarding.now()).isZero();
+                && (!isHeadForwarded || call.route().isResumable())
+                && !timeLeft(context.now()).isZero();
     }
 
     private void fail(String reason) {
-        if (headPassed) {
-            end("cut");
+        if (isHeadForwarded) {
+            finish("cut");
             exchange.abort();
             Event.of("call.cut")
                     .with("call", call.id())
@@ -335,41 +337,44 @@
                     .info();
             return;
         }
-        if (overall == RunOutcome.NOT_RUN) {
-            Duration back = timeLeft(forwarding.now()).dividedBy(RETURN_WITHIN_PART);
-            Duration soon = UNTIL_TARGET.compareTo(back) < 0 ? UNTIL_TARGET : back;
-            end(Kind.NO_ROOM.label());
-            ErrorResponses.send(exchange, Kind.NO_ROOM, call.id(), reason, soon);
+        if (overallOutcome == RunOutcome.NOT_RUN) {
+            Duration maxDelay = timeLeft(context.now()).dividedBy(MAX_RETRY_DELAY_DIVISOR);
+            Duration retryDelay =
+                    TARGET_REGISTRATION_TIME.compareTo(maxDelay) < 0
+                            ? TARGET_REGISTRATION_TIME
+                            : maxDelay;
+            finish(Kind.NO_ROOM.label());
+            ErrorResponses.send(exchange, Kind.NO_ROOM, call.id(), reason, retryDelay);
             return;
         }
-        end(Kind.TARGET_FAILED.label());
+        finish(Kind.TARGET_FAILED.label());
         ErrorResponses.send(exchange, Kind.TARGET_FAILED, call.id(), reason);
     }
 
     private void onTimeout() {
-        if (ended) {
+        if (isEnded) {
             return;
         }
-        dropAttempt("timeout");
-        if (headPassed) {
-            fail("the call's time ran out");
+        cancelAttempt("timeout");
+        if (isHeadForwarded) {
+            fail("the call timed out");
         } else {
-            end(Kind.TIMED_OUT.label());
+            finish(Kind.TIMED_OUT.label());
             ErrorResponses.send(exchange, Kind.TIMED_OUT, call.id(), "sends " + sends);
         }
     }
 
-    private void onCallerGone() {
-        if (ended) {
+    private void onCallerDisconnected() {
+        if (isEnded) {
             return;
         }
         TargetAttempt last = attempt;
-        dropAttempt("caller_gone");
-        end("caller_gone");
+        cancelAttempt("caller_gone");
+        finish("caller_gone");
         log("call.caller_gone", last);
     }
 
-    private void dropAttempt(String reason) {
+    private void cancelAttempt(String reason) {
         TargetAttempt current = attempt;
         if (current != null) {
             current.cancel();
@@ -377,27 +382,27 @@
         }
     }
 
-    private void release(TargetAttempt from, String how) {
+    private void release(TargetAttempt from, String attemptResult) {
         if (attempt != from) {
             return;
         }
         attempt = null;
-        GatewayMetrics.recordAttempt(how);
-        forwarding.network().targetLoads().onOwnCallsChanged(from.target().id(), ONE_CALL_LESS);
-        forwarding.network().onSlotFreed();
+        GatewayMetrics.recordAttempt(attemptResult);
+        context.network().targetLoads().onOwnCallsChanged(from.target().id(), ONE_CALL_LESS);
+        context.network().onSlotFreed();
     }
 
-    private void end(String result) {
-        ended = true;
+    private void finish(String result) {
+        isEnded = true;
         if (timeout != null) {
             timeout.cancel(false);
         }
-        forwarding.stallDetector().remove(this);
-        GatewayMetrics.recordCall(call.route().name(), result, forwarding.now() - arrivedAt);
+        context.stallDetector().remove(this);
+        GatewayMetrics.recordCall(call.route().name(), result, context.now() - arrivedAt);
     }
 
     private void log(String event, @Nullable TargetAttempt from) {
-        long now = forwarding.now();
+        long now = context.now();
         Event.of(event)
                 .with("call", call.id())
                 .with("team", call.team())
@@ -417,7 +422,7 @@
         return TimeUnit.NANOSECONDS.toMillis(nanos);
     }
 
-    ForwardingContext forwarding() {
-        return forwarding;
+    ForwardingContext context() {
+        return context;
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedHeaders.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedHeaders.java
@@ -12,7 +12,7 @@
 import java.util.stream.StreamSupport;
 import org.sardinelift.gateway.HeaderNames;
 
-/** Which headers of a call and of its answer are passed on (RFC 9110, section 7.6.1). */
+/** Selects the request and response headers to forward (RFC 9110, section 7.6.1). */
 final class ForwardedHeaders {
     private static final Set<String> HOP_BY_HOP =
             Set.of(
@@ -28,50 +28,51 @@
                     "content-length",
                     "expect");
 
-    /** The caller's key ends here, in whatever header a target would accept it. */
+    /** The caller's key is not forwarded, in whichever header a target would accept it. */
     private static final String KEY_HEADER = "authorization";
 
     private final HeaderNames names;
-    private final Set<String> own;
+    private final Set<String> notForwarded;
 
     ForwardedHeaders(HeaderNames names, Set<String> reserved) {
         this.names = names;
-        this.own = new HashSet<>(reserved);
-        own.add(KEY_HEADER);
-        own.add(lower(names.team()));
-        own.add(lower(names.expectedTarget()));
-        own.add(lower(names.deadlineMs()));
+        this.notForwarded = new HashSet<>(reserved);
+        notForwarded.add(KEY_HEADER);
+        notForwarded.add(lower(names.team()));
+        notForwarded.add(lower(names.expectedTarget()));
+        notForwarded.add(lower(names.deadlineMs()));
     }
 
     HeaderNames names() {
         return names;
     }
 
-    /** Headers of the caller that go to a target as they are. */
+    /** Request headers that are forwarded to a target unchanged. */
     List<Map.Entry<String, String>> toTarget(Iterable<Map.Entry<String, String>> received) {
-        Set<String> hop = hopByHop(received);
-        return passed(received, name -> !hop.contains(name) && !own.contains(name));
+        Set<String> hopByHopNames = hopByHop(received);
+        return select(
+                received, name -> !hopByHopNames.contains(name) && !notForwarded.contains(name));
     }
 
-    /** Headers of a target that go to the caller as they are. */
+    /** Response headers that are forwarded to the caller unchanged. */
     List<Map.Entry<String, String>> toCaller(List<Map.Entry<String, String>> received) {
-        Set<String> hop = hopByHop(received);
-        return passed(received, name -> !hop.contains(name));
+        Set<String> hopByHopNames = hopByHop(received);
+        return select(received, name -> !hopByHopNames.contains(name));
     }
 
-    private static List<Map.Entry<String, String>> passed(
-            Iterable<Map.Entry<String, String>> received, Predicate<String> isPassed) {
-        List<Map.Entry<String, String>> passed = new ArrayList<>();
+    private static List<Map.Entry<String, String>> select(
+            Iterable<Map.Entry<String, String>> received, Predicate<String> isForwarded) {
+        List<Map.Entry<String, String>> selected = new ArrayList<>();
         received.forEach(
                 header -> {
-                    if (isPassed.test(lower(header.getKey()))) {
-                        passed.add(header);
+                    if (isForwarded.test(lower(header.getKey()))) {
+                        selected.add(header);
                     }
                 });
-        return passed;
+        return selected;
     }
 
-    /** The fixed ones and those that a Connection header names. */
+    /** The standard hop-by-hop headers and those that a Connection header lists. */
     private static Set<String> hopByHop(Iterable<Map.Entry<String, String>> received) {
         Set<String> names =
                 StreamSupport.stream(received.spliterator(), false)
--- a/gateway/src/main/java/org/sardinelift/gateway/call/ForwardingContext.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ForwardingContext.java
@@ -10,18 +10,18 @@
 import org.sardinelift.http.HttpClient;
 
 /**
- * What all calls of a gateway have in common; on the event loop.
+ * The collaborators that all calls of a gateway use. Used on the event loop.
  *
- * @param settings bounds
- * @param loop the event loop of traffic
+ * @param settings settings of the gateway
+ * @param loop event loop that handles the traffic
  * @param client sends calls to targets
- * @param table the targets
+ * @param targets the targets
  * @param network the other instances and the loads that they report
  * @param placement chooses targets
- * @param returns tells refused callers when to come back
- * @param deaths requests that were there when targets died
- * @param headers which headers are passed on
- * @param stalls looks for targets that have fallen silent
+ * @param retryTimes schedules the retries of refused callers
+ * @param deaths requests that were in flight when targets died
+ * @param headers selects the headers to forward
+ * @param stallDetector finds targets that have stopped sending
  */
 record ForwardingContext(
         GatewaySettings settings,
@@ -40,7 +40,7 @@
         return System.nanoTime();
     }
 
-    /** Slots that become free for callers of this gateway in a second. */
+    /** Slots that become free each second for this gateway's callers. */
     double freedSlotsPerSecond(long now) {
         double slotsPerNano =
                 targets.all().stream()
--- a/gateway/src/main/java/org/sardinelift/gateway/call/GatewayMetrics.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/GatewayMetrics.java
@@ -3,7 +3,7 @@
 import io.prometheus.metrics.core.metrics.Counter;
 import io.prometheus.metrics.core.metrics.Histogram;
 
-/** Metrics of the calls of a gateway. */
+/** Metrics of a gateway's calls. */
 final class GatewayMetrics {
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -19,14 +19,14 @@
                     .help("Attempts at targets, by how they ended")
                     .labelNames("end")
                     .register();
-    private static final Histogram FIRST_EVENT =
+    private static final Histogram FIRST_EVENT_SECONDS =
             Histogram.builder()
                     .name("sardinelift_gateway_first_event_seconds")
                     .help("Time from a call's arrival to its first event")
                     .labelNames("route")
                     .classicUpperBounds(0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5)
                     .register();
-    private static final Histogram WHOLE =
+    private static final Histogram CALL_SECONDS =
             Histogram.builder()
                     .name("sardinelift_gateway_call_seconds")
                     .help("Time from a call's arrival to the end of its answer")
@@ -38,7 +38,7 @@
 
     static void recordCall(String route, String result, long nanos) {
         CALLS.labelValues(route, result).inc();
-        WHOLE.labelValues(route).observe(nanos / NANOS_PER_SECOND);
+        CALL_SECONDS.labelValues(route).observe(nanos / NANOS_PER_SECOND);
     }
 
     static void recordAttempt(String end) {
@@ -46,6 +46,6 @@
     }
 
     static void recordFirstEvent(String route, long nanos) {
-        FIRST_EVENT.labelValues(route).observe(nanos / NANOS_PER_SECOND);
+        FIRST_EVENT_SECONDS.labelValues(route).observe(nanos / NANOS_PER_SECOND);
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/JobProxy.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/JobProxy.java
@@ -21,15 +21,15 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * Hands callers' calls about batch jobs to workers, one after the other until one answers: each of
- * these calls may be repeated. On the event loop.
+ * Forwards callers' batch job calls to workers, one after the other until one answers; each of
+ * these calls may be repeated. Used on the event loop.
  */
 final class JobProxy {
-    /** A worker stores a job in a few calls of the store; twice the time of a slow one. */
+    /** A worker stores a job in a few calls of the store; this is twice the time of a slow one. */
     private static final Duration SUBMIT_TIMEOUT = Duration.ofMillis(900);
 
     private static final Duration READ_TIMEOUT = Duration.ofMillis(700);
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final int OUTCOME_UNKNOWN = 504;
@@ -37,7 +37,7 @@
     private final PeerNetwork network;
     private final HttpClient client;
     private final String zone;
-    private long draw;
+    private long callCount;
 
     JobProxy(PeerNetwork network, HttpClient client, String zone) {
         this.network = network;
@@ -48,19 +48,26 @@
     void submit(HttpExchange exchange, String job, String team, RoutePlan route) {
         String host = exchange.header("host") == null ? "" : exchange.header("host");
         String uri = JobPaths.submitUri(job, team, route.name(), host);
-        new Pass(exchange, job, "POST", uri, exchange.body(), SUBMIT_TIMEOUT).next();
+        new ProxiedCall(exchange, job, "POST", uri, exchange.body(), SUBMIT_TIMEOUT)
+                .tryNextWorker();
     }
 
     void forward(HttpExchange exchange, JobCall call, String team) {
         long waitMs = call instanceof JobCall.Results results ? results.waitMs() : 0;
         String method = call instanceof JobCall.End ? "DELETE" : "GET";
         Duration timeout = READ_TIMEOUT.plusMillis(waitMs);
-        new Pass(exchange, call.job(), method, JobPaths.callUri(call, team), new byte[0], timeout)
-                .next();
+        new ProxiedCall(
+                        exchange,
+                        call.job(),
+                        method,
+                        JobPaths.callUri(call, team),
+                        new byte[0],
+                        timeout)
+                .tryNextWorker();
     }
 
-    /** One call on its way through the workers. */
-    private final class Pass {
+    /** One call and the workers that remain to be tried. */
+    private final class ProxiedCall {
         private final HttpExchange exchange;
         private final String job;
         private final String method;
@@ -69,9 +76,9 @@
         private final Duration timeout;
         private final Iterator<Peer> workers;
         private boolean mayBeStored;
-        private int asked;
+        private int workersTried;
 
-        Pass(
+        ProxiedCall(
                 HttpExchange exchange,
                 String job,
                 String method,
@@ -86,11 +93,12 @@
             this.timeout = timeout;
             this.workers =
                     network.peers()
-                            .inPreferenceOrder(PeerRole.WORKER, zone, draw++, System.nanoTime())
+                            .inPreferenceOrder(
+                                    PeerRole.WORKER, zone, callCount++, System.nanoTime())
                             .iterator();
         }
 
-        void next() {
+        void tryNextWorker() {
             if (!exchange.open()) {
                 return;
             }
@@ -99,7 +107,7 @@
                 return;
             }
             Peer worker = workers.next();
-            asked++;
+            workersTried++;
             HttpCall call =
                     HttpCall.of(worker.host(), worker.port(), method, uri, Map.of(), body, timeout);
             client.call(call).whenComplete((answer, error) -> onAnswer(worker, answer, error));
@@ -111,19 +119,19 @@
                     exchange,
                     kind,
                     job,
-                    method + ": " + asked + " workers asked",
-                    mayBeStored ? null : COME_BACK);
+                    method + ": " + workersTried + " workers tried, none succeeded",
+                    mayBeStored ? null : RETRY_AFTER);
         }
 
         private void onAnswer(Peer worker, @Nullable HttpAnswer answer, @Nullable Throwable error) {
             if (answer == null) {
-                mayBeStored |= mayHaveArrived(error);
+                mayBeStored |= mayHaveBeenReceived(error);
                 log(worker, 0, String.valueOf(error));
-                next();
+                tryNextWorker();
             } else if (answer.status() == UNAVAILABLE || answer.status() == OUTCOME_UNKNOWN) {
                 mayBeStored |= answer.status() == OUTCOME_UNKNOWN;
                 log(worker, answer.status(), answer.text());
-                next();
+                tryNextWorker();
             } else {
                 if (!method.equals("GET") || answer.status() != OK) {
                     log(worker, answer.status(), null);
@@ -151,7 +159,7 @@
         return type == null ? "application/json" : type;
     }
 
-    private static boolean mayHaveArrived(@Nullable Throwable error) {
+    private static boolean mayHaveBeenReceived(@Nullable Throwable error) {
         Throwable cause = error instanceof CompletionException ? error.getCause() : error;
         return !(cause instanceof HttpFailure failure) || failure.mayHaveRun();
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/LoadHeader.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/LoadHeader.java
@@ -5,17 +5,17 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-/** The load that targets state with their answers: running calls, waiting calls, slots. */
+/** Parses the load header of target responses: running calls, waiting calls, slots. */
 public final class LoadHeader {
-    private static final int FIELDS = 3;
+    private static final int FIELD_COUNT = 3;
 
     private LoadHeader() {}
 
     /**
-     * Reads a stated load.
+     * Parses a load header.
      *
-     * @param text value of the header, null where it is absent
-     * @return running and waiting calls, or empty where none are stated
+     * @param text value of the header, null if it is absent
+     * @return sum of running and waiting calls, or empty if the header is absent or unreadable
      */
     public static OptionalInt parse(@Nullable String text) {
         if (text == null) {
@@ -26,11 +26,12 @@
                     Arrays.stream(text.split(","))
                             .mapToInt(field -> Integer.parseInt(field.trim()))
                             .toArray();
-            return fields.length == FIELDS
+            return fields.length == FIELD_COUNT
                     ? OptionalInt.of(fields[0] + fields[1])
                     : OptionalInt.empty();
         } catch (NumberFormatException e) {
-            Logger.debug("A stated load can't be read: {}", text);
+            Logger.debug(
+                    "Ignoring load header '{}', expected integers: running, waiting, slots", text);
             return OptionalInt.empty();
         }
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/StallDetector.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/StallDetector.java
@@ -8,41 +8,41 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Looks at all calls under way with one timer; a timer for each call would wake the process more
- * often than the events of its streams do. On the event loop.
+ * Checks all calls in flight for silent targets with one timer; a timer for each call would wake
+ * the process more often than the events of its streams do. Used on the event loop.
  */
 final class StallDetector {
-    /** A fraction of the least silence after which a call is moved. */
+    /** A fraction of the minimum silence after which a call is moved. */
     private static final Duration INTERVAL = Duration.ofMillis(40);
 
     private final EventLoop loop;
-    private final Set<ForwardedCall> runs = new LinkedHashSet<>();
-    private boolean scheduled;
+    private final Set<ForwardedCall> calls = new LinkedHashSet<>();
+    private boolean isScheduled;
 
     StallDetector(EventLoop loop) {
         this.loop = loop;
     }
 
-    void add(ForwardedCall run) {
-        runs.add(run);
+    void add(ForwardedCall call) {
+        calls.add(call);
         schedule();
     }
 
-    void remove(ForwardedCall run) {
-        runs.remove(run);
+    void remove(ForwardedCall call) {
+        calls.remove(call);
     }
 
     private void schedule() {
-        if (!scheduled && !runs.isEmpty()) {
-            scheduled = true;
+        if (!isScheduled && !calls.isEmpty()) {
+            isScheduled = true;
             loop.schedule(this::check, INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
     private void check() {
-        scheduled = false;
+        isScheduled = false;
         long now = System.nanoTime();
-        List.copyOf(runs).forEach(run -> run.checkStall(now));
+        List.copyOf(calls).forEach(call -> call.checkStall(now));
         schedule();
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/TargetAttempt.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/TargetAttempt.java
@@ -14,27 +14,27 @@
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 
-/** One attempt of a call at one target; on the event loop. */
+/** One attempt of a call at one target. Used on the event loop. */
 final class TargetAttempt implements HttpAnswerListener {
     private static final int MISDIRECTED = 421;
     private static final int SUCCESS_CLASS = 2;
-    private static final int CLASS_SIZE = 100;
+    private static final int STATUS_CLASS_SIZE = 100;
 
-    private final ForwardedCall run;
+    private final ForwardedCall forwardedCall;
     private final Target target;
     private final TargetLoad load;
     private final long sentAt;
-    private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Runnable canceller = () -> {};
     private long lastProgressAt;
     private long firstEventAt;
     private int events;
     private int status;
     private List<Map.Entry<String, String>> headers = List.of();
-    private @Nullable EventStreamParser reader;
+    private @Nullable EventStreamParser parser;
 
-    TargetAttempt(ForwardedCall run, Target target, TargetLoad load, long sentAt) {
-        this.run = run;
+    TargetAttempt(ForwardedCall forwardedCall, Target target, TargetLoad load, long sentAt) {
+        this.forwardedCall = forwardedCall;
         this.target = target;
         this.load = load;
         this.sentAt = sentAt;
@@ -45,7 +45,7 @@
         canceller = client.send(call, this);
     }
 
-    /** Closes the connection, so that the target drops the call. */
+    /** Closes the connection so that the target cancels the call. */
     void cancel() {
         canceller.run();
     }
@@ -75,68 +75,71 @@
     }
 
     @Override
-    public void onHead(int answered, List<Map.Entry<String, String>> fields) {
-        if (!run.isCurrent(this)) {
+    public void onHead(int receivedStatus, List<Map.Entry<String, String>> receivedHeaders) {
+        if (!forwardedCall.isCurrent(this)) {
             return;
         }
-        status = answered;
-        headers = fields;
-        onBytes();
-        HeaderNames names = run.forwarding().headers().names();
+        status = receivedStatus;
+        headers = receivedHeaders;
+        recordProgress();
+        HeaderNames names = forwardedCall.context().headers().names();
         String echoed = header(names.callId());
-        if (echoed != null && !echoed.equals(run.call().id())) {
-            fail("the answer belongs to call " + echoed);
+        if (echoed != null && !echoed.equals(forwardedCall.call().id())) {
+            fail("the response belongs to call " + echoed);
             return;
         }
-        noteLoad(header(names.load()));
-        boolean succeeded = status / CLASS_SIZE == SUCCESS_CLASS;
-        if (succeeded && header(names.signature()) == null) {
-            fail("the answer has no signature");
-        } else if (succeeded && run.isStream()) {
-            reader =
-                    run.lastEventId().isPresent()
-                            ? EventStreamParser.resumingAfter(run.lastEventId().getAsLong())
+        recordLoad(header(names.load()));
+        boolean isSuccess = status / STATUS_CLASS_SIZE == SUCCESS_CLASS;
+        if (isSuccess && header(names.signature()) == null) {
+            fail("the response has no signature header");
+        } else if (isSuccess && forwardedCall.isStream()) {
+            parser =
+                    forwardedCall.lastEventId().isPresent()
+                            ? EventStreamParser.resumingAfter(
+                                    forwardedCall.lastEventId().getAsLong())
                             : EventStreamParser.fromStart();
         }
     }
 
-    private void noteLoad(@Nullable String stated) {
-        LoadHeader.parse(stated)
+    private void recordLoad(@Nullable String loadHeader) {
+        LoadHeader.parse(loadHeader)
                 .ifPresent(
                         calls ->
-                                run.forwarding()
+                                forwardedCall
+                                        .context()
                                         .network()
                                         .targetLoads()
-                                        .onTargetLoad(target.id(), calls, run.forwarding().now()));
+                                        .onTargetLoad(
+                                                target.id(), calls, forwardedCall.context().now()));
     }
 
-    private void onBytes() {
-        long now = run.forwarding().now();
+    private void recordProgress() {
+        long now = forwardedCall.context().now();
         lastProgressAt = now;
         target.onBytesReceived(now);
     }
 
     @Override
     public void onData(byte[] part) {
-        if (!run.isCurrent(this)) {
+        if (!forwardedCall.isCurrent(this)) {
             return;
         }
-        onBytes();
-        if (reader == null) {
-            whole.writeBytes(part);
+        recordProgress();
+        if (parser == null) {
+            body.writeBytes(part);
             return;
         }
-        List<StreamEvent> received = reader.parse(part);
-        if (!received.isEmpty()) {
-            noteEvents(received.size());
-            run.forwardEvents(this, received);
+        List<StreamEvent> newEvents = parser.parse(part);
+        if (!newEvents.isEmpty()) {
+            recordEvents(newEvents.size());
+            forwardedCall.forwardEvents(this, newEvents);
         }
-        if (reader.fault().isPresent()) {
-            fail(reader.fault().get());
+        if (parser.fault().isPresent()) {
+            fail(parser.fault().get());
         }
     }
 
-    private void noteEvents(int count) {
+    private void recordEvents(int count) {
         if (events == 0) {
             firstEventAt = lastProgressAt;
             if (load.freeSlots() > 0) {
@@ -148,46 +151,51 @@
 
     @Override
     public void onEnd() {
-        if (!run.isCurrent(this)) {
+        if (!forwardedCall.isCurrent(this)) {
             return;
         }
-        onBytes();
-        HeaderNames names = run.forwarding().headers().names();
+        recordProgress();
+        HeaderNames names = forwardedCall.context().headers().names();
         if (status == MISDIRECTED) {
-            run.forwarding().targets().onMisdirected(target);
-            run.onAttemptFailed(this, RunOutcome.NOT_RUN, "another target has the address");
+            forwardedCall.context().targets().onMisdirected(target);
+            forwardedCall.onAttemptFailed(
+                    this, RunOutcome.NOT_RUN, "the address belongs to another target now");
         } else if (header(names.notRun()) != null) {
-            run.onAttemptFailed(this, RunOutcome.NOT_RUN, "refused with status " + status);
-        } else if (reader == null) {
-            run.onCompleteResponse(this, whole.toByteArray());
-        } else if (reader.hasPartialEvent()) {
-            fail("the stream ends within an event");
+            forwardedCall.onAttemptFailed(
+                    this, RunOutcome.NOT_RUN, "refused with status " + status);
+        } else if (parser == null) {
+            forwardedCall.onCompleteResponse(this, body.toByteArray());
+        } else if (parser.hasPartialEvent()) {
+            fail("the stream ended in the middle of an event");
         } else {
             target.health().onSuccess(lastProgressAt - firstEventAt, events - 1);
-            run.onStreamEnd(this);
+            forwardedCall.onStreamEnd(this);
         }
     }
 
     @Override
     public void onFailure(Throwable cause, boolean mayHaveRun) {
-        if (!run.isCurrent(this)) {
+        if (!forwardedCall.isCurrent(this)) {
             return;
         }
         String reason = String.valueOf(cause.getMessage() == null ? cause : cause.getMessage());
         if (mayHaveRun) {
-            run.forwarding().targets().onConnectionBroken(target, run.call().fingerprint());
-            run.onAttemptFailed(this, RunOutcome.UNKNOWN, reason);
+            forwardedCall
+                    .context()
+                    .targets()
+                    .onConnectionBroken(target, forwardedCall.call().fingerprint());
+            forwardedCall.onAttemptFailed(this, RunOutcome.UNKNOWN, reason);
         } else {
-            run.forwarding().targets().onSilent(target, reason);
-            run.onAttemptFailed(this, RunOutcome.NOT_RUN, reason);
+            forwardedCall.context().targets().onSilent(target, reason);
+            forwardedCall.onAttemptFailed(this, RunOutcome.NOT_RUN, reason);
         }
     }
 
-    /** The answer can't be used; what the target goes on to send belongs to no call. */
+    /** Cancels the attempt because its response is unusable; the rest of it is discarded. */
     private void fail(String reason) {
         cancel();
-        run.forwarding().targets().onCallFailed(target);
-        run.onAttemptFailed(this, RunOutcome.UNKNOWN, reason);
+        forwardedCall.context().targets().onCallFailed(target);
+        forwardedCall.onAttemptFailed(this, RunOutcome.UNKNOWN, reason);
     }
 
     private @Nullable String header(String name) {
--- a/gateway/src/main/java/org/sardinelift/gateway/call/TargetTable.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/TargetTable.java
@@ -18,45 +18,45 @@
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.runtime.log.Event;
 
-/** The targets with their health and load; on the event loop. */
+/** The registered targets with their health and load. Used on the event loop. */
 public final class TargetTable {
     private static final Duration PROBE_INTERVAL = Duration.ofMillis(200);
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(300);
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(400);
-    private static final Duration USUAL_GAP = Duration.ofMillis(25);
+    private static final Duration FIRST_EJECTION_TIME = Duration.ofMillis(400);
+    private static final Duration TYPICAL_EVENT_GAP = Duration.ofMillis(25);
 
-    /** Time between a broken connection and the notice that its target has died. */
-    private static final Duration DEATH_WINDOW = Duration.ofSeconds(1);
+    /** Longest time between a broken connection and the detection of its target's death. */
+    private static final Duration DEATH_DETECTION_WINDOW = Duration.ofSeconds(1);
 
     private static final int OK = 200;
 
-    private final LoadTracker board;
+    private final LoadTracker loadTracker;
     private final HttpClient client;
     private final EventLoop loop;
     private final String probePath;
-    private final Duration firstEvent;
-    private final Duration callTime;
+    private final Duration typicalFirstEvent;
+    private final Duration typicalCallTime;
     private final Map<String, Target> targets = new HashMap<>();
     private DeathListener deathListener = (request, target) -> {};
 
-    /** Hears of targets that died. */
+    /** Is notified of targets that died. */
     public interface DeathListener {
         /**
          * A target died while it ran a request.
          *
          * @param request hash of the request
-         * @param target life of the target that ended
+         * @param target id of the incarnation that died
          */
         void onDeath(long request, String target);
     }
 
-    /** A target: how it registered itself and how its calls went. */
+    /** A target with its registration and health. */
     public static final class Target {
         private RegisteredTarget entry;
         private final TargetHealth health;
-        private final Map<Long, Long> broken = new HashMap<>();
-        private boolean misdirected;
-        private boolean verifying;
+        private final Map<Long, Long> brokenAt = new HashMap<>();
+        private boolean isMisdirected;
+        private boolean isProbePending;
         private long lastBytesAt;
 
         private Target(RegisteredTarget entry, TargetHealth health) {
@@ -65,34 +65,34 @@
         }
 
         /**
-         * How it registered itself.
+         * What the target registered.
          *
-         * @return its entry
+         * @return its registration
          */
         public RegisteredTarget entry() {
             return entry;
         }
 
         /**
-         * Name of this life of the target.
+         * Identifies this incarnation of the target.
          *
-         * @return its id
+         * @return the id
          */
         public String id() {
             return entry.id();
         }
 
         /**
-         * How its calls went.
+         * Whether the target can be sent calls, as its earlier calls show.
          *
-         * @return its health
+         * @return the health
          */
         public TargetHealth health() {
             return health;
         }
 
         /**
-         * Bytes came from the target.
+         * Bytes of a response were received from the target.
          *
          * @param now the time, nanoseconds
          */
@@ -101,7 +101,7 @@
         }
 
         /**
-         * When bytes came from the target last.
+         * When bytes were last received from the target.
          *
          * @return the time, nanoseconds; 0 before the first
          */
@@ -111,43 +111,44 @@
     }
 
     private TargetTable(
-            LoadTracker board,
+            LoadTracker loadTracker,
             HttpClient client,
             EventLoop loop,
             String probePath,
-            Duration firstEvent,
-            Duration callTime) {
-        this.board = board;
+            Duration typicalFirstEvent,
+            Duration typicalCallTime) {
+        this.loadTracker = loadTracker;
         this.client = client;
         this.loop = loop;
         this.probePath = probePath;
-        this.firstEvent = firstEvent;
-        this.callTime = callTime;
+        this.typicalFirstEvent = typicalFirstEvent;
+        this.typicalCallTime = typicalCallTime;
     }
 
     /**
-     * A table without targets.
+     * Creates a table without targets.
      *
-     * @param board knows the calls on targets
+     * @param loadTracker tracks the calls on targets
      * @param client sends probes
-     * @param loop the event loop of traffic
+     * @param loop event loop that handles the traffic
      * @param probePath path of probes
-     * @param firstEvent usual time from a send to the first event
-     * @param callTime usual time that an online call holds a slot
+     * @param typicalFirstEvent usual time from a send to the first event
+     * @param typicalCallTime usual time that an online call occupies a slot
      * @return the table
      */
     public static TargetTable create(
-            LoadTracker board,
+            LoadTracker loadTracker,
             HttpClient client,
             EventLoop loop,
             String probePath,
-            Duration firstEvent,
-            Duration callTime) {
-        return new TargetTable(board, client, loop, probePath, firstEvent, callTime);
+            Duration typicalFirstEvent,
+            Duration typicalCallTime) {
+        return new TargetTable(
+                loadTracker, client, loop, probePath, typicalFirstEvent, typicalCallTime);
     }
 
     /**
-     * Sets who hears of targets that died.
+     * Sets the listener that is notified of targets that died.
      *
      * @param listener the listener
      */
@@ -156,38 +157,43 @@
     }
 
     /**
-     * Takes the targets that are registered now.
+     * Replaces the targets by those that are registered now.
      *
-     * @param entries entries by name
+     * @param entries registrations by id
      */
     public void update(Map<String, RegisteredTarget> entries) {
         targets.keySet().retainAll(entries.keySet());
-        entries.values().forEach(this::put);
+        entries.values().forEach(this::putTarget);
     }
 
-    private void put(RegisteredTarget entry) {
+    private void putTarget(RegisteredTarget entry) {
         Target known = targets.get(entry.id());
-        boolean sameLife =
+        boolean isSameIncarnation =
                 known != null
                         && known.entry.startedAtMs() == entry.startedAtMs()
                         && known.entry.host().equals(entry.host())
                         && known.entry.port() == entry.port();
-        if (sameLife) {
+        if (isSameIncarnation) {
             known.entry = entry;
         } else {
-            targets.put(entry.id(), new Target(entry, health()));
+            targets.put(entry.id(), new Target(entry, newHealth()));
         }
     }
 
-    private TargetHealth health() {
-        return TargetHealth.of(PROBE_INTERVAL, FIRST_PAUSE, firstEvent, callTime, USUAL_GAP);
+    private TargetHealth newHealth() {
+        return TargetHealth.of(
+                PROBE_INTERVAL,
+                FIRST_EJECTION_TIME,
+                typicalFirstEvent,
+                typicalCallTime,
+                TYPICAL_EVENT_GAP);
     }
 
     /**
-     * Looks a target up.
+     * Finds a target.
      *
-     * @param id its name
-     * @return the target, or empty where it isn't registered
+     * @param id its id
+     * @return the target, or empty if it is not registered
      */
     public Optional<Target> find(String id) {
         return Optional.ofNullable(targets.get(id));
@@ -203,41 +209,41 @@
     }
 
     /**
-     * Targets of a service that calls may be sent to.
+     * Loads of a service's targets that calls may be sent to.
      *
      * @param service the service
-     * @param without names of targets left out
+     * @param excluded ids of targets to leave out
      * @param now the time, nanoseconds
      * @return their loads
      */
-    public List<TargetLoad> usableLoads(String service, Set<String> without, long now) {
+    public List<TargetLoad> usableLoads(String service, Set<String> excluded, long now) {
         return targets.values().stream()
                 .filter(target -> target.entry.service().equals(service))
-                .filter(target -> !without.contains(target.id()))
-                .filter(target -> isOpen(target, now))
+                .filter(target -> !excluded.contains(target.id()))
+                .filter(target -> isAvailable(target, now))
                 .map(target -> load(target, now))
                 .toList();
     }
 
     /**
-     * All targets that calls may be sent to.
+     * Loads of all targets that calls may be sent to.
      *
      * @param now the time, nanoseconds
      * @return their loads
      */
     public List<TargetLoad> usableLoads(long now) {
         return targets.values().stream()
-                .filter(target -> isOpen(target, now))
+                .filter(target -> isAvailable(target, now))
                 .map(target -> load(target, now))
                 .toList();
     }
 
-    private static boolean isOpen(Target target, long now) {
-        return !target.entry.isLeaving() && !target.misdirected && target.health.isUsable(now);
+    private static boolean isAvailable(Target target, long now) {
+        return !target.entry.isLeaving() && !target.isMisdirected && target.health.isUsable(now);
     }
 
     /**
-     * A target with its load.
+     * Load of a target.
      *
      * @param target the target
      * @param now the time, nanoseconds
@@ -248,27 +254,27 @@
                 target.id(),
                 target.entry.zone(),
                 target.entry.slots(),
-                board.knownCalls(target.id(), now),
+                loadTracker.knownCalls(target.id(), now),
                 target.health.callNanos(),
                 target.health.timeToFirstEventNanos());
     }
 
     /**
-     * A target answered as another one: its address has been given to somebody else.
+     * A target rejected a call for another one: the address has been reassigned.
      *
      * @param target the target
      */
     public void onMisdirected(Target target) {
-        target.misdirected = true;
+        target.isMisdirected = true;
         client.closeIdle(target.entry.host(), target.entry.port());
         Event.of("target.misdirected").with("target", target.id()).warn();
     }
 
     /**
-     * A call shows that a target doesn't answer; it is probed until it does.
+     * A call showed that a target does not answer; it is probed until it does.
      *
      * @param target the target
-     * @param reason what the call saw
+     * @param reason what the call showed, for the log
      */
     public void onSilent(Target target, String reason) {
         if (!target.health.onSilent(System.nanoTime())) {
@@ -277,39 +283,40 @@
         Event.of("target.silent").with("target", target.id()).with("reason", reason).warn();
         client.closeIdle(target.entry.host(), target.entry.port());
         long now = System.nanoTime();
-        target.broken.values().removeIf(at -> now - at >= DEATH_WINDOW.toNanos());
-        target.broken.keySet().forEach(request -> deathListener.onDeath(request, target.id()));
-        target.broken.clear();
+        target.brokenAt.values().removeIf(at -> now - at >= DEATH_DETECTION_WINDOW.toNanos());
+        target.brokenAt.keySet().forEach(request -> deathListener.onDeath(request, target.id()));
+        target.brokenAt.clear();
         probe(target);
     }
 
     /**
-     * A connection broke while a target ran a request: the target may have died of it, which its
-     * next connection shows.
+     * A connection broke while a target ran a request. The request may have crashed the target,
+     * which a probe on a new connection shows.
      *
      * @param target the target
      * @param request hash of the request
      */
     public void onConnectionBroken(Target target, long request) {
         onCallFailed(target);
-        target.broken.put(request, System.nanoTime());
-        if (target.verifying) {
+        target.brokenAt.put(request, System.nanoTime());
+        if (target.isProbePending) {
             return;
         }
-        target.verifying = true;
+        target.isProbePending = true;
         client.call(probeCall(target))
                 .whenComplete(
                         (answer, error) -> {
-                            target.verifying = false;
+                            target.isProbePending = false;
                             if (answer == null) {
-                                onSilent(target, "no answer after a connection broke");
+                                onSilent(
+                                        target, "no answer to the probe after a broken connection");
                             }
                         });
     }
 
     private void probe(Target target) {
-        boolean registered = targets.get(target.id()) == target;
-        if (!registered || !target.health.tryStartProbe(System.nanoTime())) {
+        boolean isRegistered = targets.get(target.id()) == target;
+        if (!isRegistered || !target.health.tryStartProbe(System.nanoTime())) {
             return;
         }
         client.call(probeCall(target))
@@ -331,9 +338,9 @@
     }
 
     private void onProbe(Target target, @Nullable Integer status) {
-        boolean answered = status != null && status == OK;
-        target.health.onProbeEnded(answered, System.nanoTime());
-        if (answered) {
+        boolean hasAnswered = status != null && status == OK;
+        target.health.onProbeEnded(hasAnswered, System.nanoTime());
+        if (hasAnswered) {
             Event.of("target.answers").with("target", target.id()).info();
             return;
         }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/package-info.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/package-info.java
@@ -1,4 +1,4 @@
-/** Calls from their arrival to their end. */
+/** Admission and forwarding of calls: online calls to targets, batch job calls to workers. */
 @NullMarked
 package org.sardinelift.gateway.call;
 
