--- a/gateway/src/main/java/org/sardinelift/gateway/feed/InstanceFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/InstanceFeed.java
@@ -18,33 +18,34 @@
 import org.tinylog.Logger;
 
 /**
- * Where the other instances are: each writes its address to the store once, under its name, and
- * reads those of the others. Who is live is told by reports, not here. Works on the control thread.
+ * Registers this instance's address in the store, once and under its name, and lists those of the
+ * other instances. Peer reports, not this list, show which ones are live. Runs on the control
+ * thread.
  */
 public final class InstanceFeed {
     private static final String KIND = "sardinelift-instances";
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
-    private static final Duration RETRY = Duration.ofMillis(500);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
 
-    /** Instances learn of a new one by its reports; the list is for those that it can't reach. */
-    private static final Duration INTERVAL = Duration.ofSeconds(30);
+    /** Instances learn of a new one by its reports; the list serves those that it can't reach. */
+    private static final Duration LIST_INTERVAL = Duration.ofSeconds(30);
 
     private final String instance;
     private final PeerRole role;
     private final Endpoint address;
     private final ObjectStore store;
     private final ControlThread control;
-    private final StoreAvailability contact;
+    private final StoreAvailability storeAvailability;
     private final Listener listener;
 
-    /** Takes the addresses of other instances, on the control thread. */
+    /** Is notified of the other instances, on the control thread. */
     public interface Listener {
         /**
-         * An instance is registered.
+         * Another instance was found in the list.
          *
          * @param name its name
-         * @param role what it does
-         * @param address where it takes reports
+         * @param role its role
+         * @param address address at which it receives reports
          */
         void onInstanceRegistered(String name, PeerRole role, Endpoint address);
     }
@@ -55,27 +56,27 @@
             Endpoint address,
             ObjectStore store,
             ControlThread control,
-            StoreAvailability contact,
+            StoreAvailability storeAvailability,
             Listener listener) {
         this.instance = instance;
         this.role = role;
         this.address = address;
         this.store = store;
         this.control = control;
-        this.contact = contact;
+        this.storeAvailability = storeAvailability;
         this.listener = listener;
     }
 
     /**
-     * Makes a feed.
+     * Creates a feed.
      *
      * @param instance name of this instance
-     * @param role what it does
-     * @param address where it takes reports
+     * @param role role of this instance
+     * @param address address at which it receives reports
      * @param store the platform's store
      * @param control the control thread
-     * @param contact notes whether the store answers
-     * @param listener takes the others
+     * @param storeAvailability records whether the store answers
+     * @param listener is notified of the other instances
      * @return the feed, not started
      */
     public static InstanceFeed of(
@@ -84,12 +85,13 @@
             Endpoint address,
             ObjectStore store,
             ControlThread control,
-            StoreAvailability contact,
+            StoreAvailability storeAvailability,
             Listener listener) {
-        return new InstanceFeed(instance, role, address, store, control, contact, listener);
+        return new InstanceFeed(
+                instance, role, address, store, control, storeAvailability, listener);
     }
 
-    /** Registers this instance and starts to read the others. */
+    /** Registers this instance and starts to list the others. */
     public void start() {
         control.execute(this::list);
     }
@@ -99,43 +101,43 @@
     }
 
     private void onList(ListResult result) {
-        contact.onResult(result);
+        storeAvailability.onResult(result);
         if (!(result instanceof ListResult.Listed listed)) {
-            control.schedule(RETRY, this::list);
+            control.schedule(RETRY_INTERVAL, this::list);
             return;
         }
-        listed.objects().forEach(this::onObject);
-        Optional<StoredObject> own =
+        listed.objects().forEach(this::readRegistration);
+        Optional<StoredObject> ownObject =
                 listed.objects().stream()
                         .filter(object -> object.key().name().equals(instance))
                         .findFirst();
-        if (own.map(StoredObject::value).filter(value()::equals).isPresent()) {
-            control.schedule(INTERVAL, this::list);
+        if (ownObject.map(StoredObject::value).filter(registrationJson()::equals).isPresent()) {
+            control.schedule(LIST_INTERVAL, this::list);
         } else {
-            register(own.map(StoredObject::version).orElse(ObjectStore.ABSENT));
+            register(ownObject.map(StoredObject::version).orElse(ObjectStore.ABSENT));
         }
     }
 
     private void register(long version) {
-        store.write(new ObjectKey(KIND, instance), version, value())
-                .thenAcceptAsync(this::onRegistered, control::execute);
+        store.write(new ObjectKey(KIND, instance), version, registrationJson())
+                .thenAcceptAsync(this::onWriteResult, control::execute);
     }
 
-    private void onRegistered(WriteResult result) {
-        contact.onResult(result);
-        boolean done = result instanceof WriteResult.Written;
-        if (done) {
+    private void onWriteResult(WriteResult result) {
+        storeAvailability.onResult(result);
+        boolean isRegistered = result instanceof WriteResult.Written;
+        if (isRegistered) {
             Event.of("instance.registered").with("address", address.toString()).info();
         }
-        if (done) {
-            // Of instances that register at the same time, each sees those that did so before it.
+        if (isRegistered) {
+            // Of instances that register at the same time, each lists those that did so before it.
             list();
         } else {
-            control.schedule(RETRY, this::list);
+            control.schedule(RETRY_INTERVAL, this::list);
         }
     }
 
-    private String value() {
+    private String registrationJson() {
         return MAPPER.createObjectNode()
                 .put("role", role.label())
                 .put("host", address.host())
@@ -143,7 +145,7 @@
                 .toString();
     }
 
-    private void onObject(StoredObject object) {
+    private void readRegistration(StoredObject object) {
         String name = object.key().name();
         if (name.equals(instance)) {
             return;
@@ -152,12 +154,15 @@
             JsonNode node = MAPPER.readTree(object.value());
             PeerRole peerRole =
                     PeerRole.fromLabel(node.path("role").asText())
-                            .orElseThrow(() -> new IllegalArgumentException("an unknown role"));
-            String host = Objects.requireNonNull(node.path("host").textValue(), "no host");
+                            .orElseThrow(() -> new IllegalArgumentException("unknown role"));
+            String host = Objects.requireNonNull(node.path("host").textValue(), "host is missing");
             listener.onInstanceRegistered(
                     name, peerRole, new Endpoint(host, node.path("port").asInt()));
         } catch (JsonProcessingException | RuntimeException e) {
-            Logger.warn("The registration of instance {} can't be read: {}", name, e.getMessage());
+            Logger.warn(
+                    "Ignoring the unreadable registration of instance {}: {}",
+                    name,
+                    e.getMessage());
         }
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/PeerSnapshots.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/PeerSnapshots.java
@@ -19,22 +19,18 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * Configuration and targets passed between instances: a newer configuration at once, the targets
- * while this instance can't read them itself. Works on the event loop.
+ * Exchanges the configuration and the targets with peers: a newer configuration at once, the
+ * targets while this instance can't read them itself. Runs on the event loop.
  */
 public final class PeerSnapshots implements PeerNetwork.Listener {
-    /** Path of the configuration. */
     private static final String PLAN_PATH = "/plan";
-
-    /** Path of the targets. */
     private static final String TARGETS_PATH = "/targets";
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(500);
 
-    private static final Duration TIMEOUT = Duration.ofMillis(500);
-
-    /** Age of the list of targets from which peers are asked: one list has failed or is late. */
-    private static final Duration OLD = Duration.ofMillis(1_300);
+    /** Age of the target list from which peers are asked: one list call has failed or is late. */
+    private static final Duration STALE_LIST_AGE = Duration.ofMillis(1_300);
 
-    private static final Duration ASK_INTERVAL = Duration.ofMillis(400);
+    private static final Duration LIST_CHECK_INTERVAL = Duration.ofMillis(400);
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
 
@@ -42,12 +38,12 @@
     private final HttpClient client;
     private final EventLoop loop;
     private final ControlThread control;
-    private final PlanFeed plan;
-    private final TargetFeed targets;
+    private final PlanFeed planFeed;
+    private final TargetFeed targetFeed;
     private final String zone;
-    private boolean fetchingPlan;
-    private boolean fetchingTargets;
-    private long asked;
+    private boolean isFetchingPlan;
+    private boolean isFetchingTargets;
+    private long fetchCount;
 
     private PeerSnapshots(
             String zone,
@@ -55,27 +51,27 @@
             HttpClient client,
             EventLoop loop,
             ControlThread control,
-            PlanFeed plan,
-            TargetFeed targets) {
+            PlanFeed planFeed,
+            TargetFeed targetFeed) {
         this.zone = zone;
         this.network = network;
         this.client = client;
         this.loop = loop;
         this.control = control;
-        this.plan = plan;
-        this.targets = targets;
+        this.planFeed = planFeed;
+        this.targetFeed = targetFeed;
     }
 
     /**
-     * Makes the exchange of snapshots.
+     * Creates the exchange of snapshots.
      *
      * @param zone availability zone of this instance
      * @param network the other instances
      * @param client sends the calls
-     * @param loop the event loop of traffic
+     * @param loop event loop that handles the traffic
      * @param control the control thread
-     * @param plan takes configurations
-     * @param targets takes lists of targets
+     * @param planFeed receives configurations
+     * @param targetFeed receives lists of targets
      * @return the exchange, not started
      */
     public static PeerSnapshots of(
@@ -84,35 +80,35 @@
             HttpClient client,
             EventLoop loop,
             ControlThread control,
-            PlanFeed plan,
-            TargetFeed targets) {
-        return new PeerSnapshots(zone, network, client, loop, control, plan, targets);
+            PlanFeed planFeed,
+            TargetFeed targetFeed) {
+        return new PeerSnapshots(zone, network, client, loop, control, planFeed, targetFeed);
     }
 
-    /** Starts to compare with peers. */
+    /** Starts to compare the local state with that of peers. */
     public void start() {
         network.addListener(this);
-        loop.schedule(this::lookAtTargets, ASK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::checkTargets, LIST_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /**
      * Answers a peer's call.
      *
      * @param exchange the call
-     * @return whether it was a call for a snapshot
+     * @return whether the call asked for a snapshot
      */
     public boolean handle(HttpExchange exchange) {
         if (exchange.path().equals(PLAN_PATH)) {
-            PlanFeed.CurrentPlan held = plan.current();
-            if (held == null) {
+            PlanFeed.CurrentPlan current = planFeed.current();
+            if (current == null) {
                 exchange.respond(UNAVAILABLE, Map.of(), new byte[0]);
             } else {
-                exchange.respondJson(OK, held.value());
+                exchange.respondJson(OK, current.value());
             }
             return true;
         }
         if (exchange.path().equals(TARGETS_PATH)) {
-            TargetFeed.Snapshot snapshot = targets.snapshot();
+            TargetFeed.Snapshot snapshot = targetFeed.snapshot();
             exchange.respond(
                     snapshot.readAt() == 0 ? UNAVAILABLE : OK,
                     Map.of("content-type", "application/json"),
@@ -124,78 +120,79 @@
 
     @Override
     public void onReport(Peer peer, boolean joined) {
-        noteTargets(peer);
-        if (peer.planVersion() > plan.version() && !fetchingPlan) {
-            fetchingPlan = true;
-            get(peer, PLAN_PATH)
+        compareTargets(peer);
+        if (peer.planVersion() > planFeed.version() && !isFetchingPlan) {
+            isFetchingPlan = true;
+            fetch(peer, PLAN_PATH)
                     .whenComplete(
                             (answer, error) -> {
-                                fetchingPlan = false;
+                                isFetchingPlan = false;
                                 if (answer != null && answer.status() == OK) {
                                     control.execute(
                                             () ->
-                                                    plan.applyIfNewer(
+                                                    planFeed.applyIfNewer(
                                                             answer.text(), "peer " + peer.name()));
                                 }
                             });
         }
     }
 
-    /** A near peer's newer targets are fetched at once; equal ones are known to be current. */
-    private void noteTargets(Peer peer) {
-        TargetFeed.Snapshot held = targets.snapshot();
+    /** Fetches a zone peer's newer targets at once and confirms equal ones as current. */
+    private void compareTargets(Peer peer) {
+        TargetFeed.Snapshot current = targetFeed.snapshot();
         if (peer.targetsReadAt().isEmpty()) {
             return;
         }
         long readAt = peer.targetsReadAt().getAsLong();
-        boolean isNewer = readAt - held.readAt() > 0;
-        if (isNewer && peer.targetsRevision() == held.changedRevision()) {
-            control.execute(() -> targets.confirmUnchanged(held.changedRevision(), readAt));
+        boolean isNewer = readAt - current.readAt() > 0;
+        if (isNewer && peer.targetsRevision() == current.changedRevision()) {
+            control.execute(() -> targetFeed.confirmUnchanged(current.changedRevision(), readAt));
         } else if (isNewer
                 && peer.zone().equals(zone)
-                && peer.targetsRevision() > held.changedRevision()
-                && !fetchingTargets) {
-            fetchingTargets = true;
-            askForTargets(peer);
+                && peer.targetsRevision() > current.changedRevision()
+                && !isFetchingTargets) {
+            isFetchingTargets = true;
+            fetchTargets(peer);
         }
     }
 
-    private void lookAtTargets() {
-        loop.schedule(this::lookAtTargets, ASK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
-        if (targets.ageNanos() < OLD.toNanos()) {
+    private void checkTargets() {
+        loop.schedule(this::checkTargets, LIST_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        if (targetFeed.ageNanos() < STALE_LIST_AGE.toNanos()) {
             return;
         }
         long now = System.nanoTime();
         Optional<Peer> peer =
                 Stream.of(PeerRole.values())
                         .flatMap(role -> network.peers().livePeers(role, now))
-                        .skip(asked++ % Math.max(1, livePeers(now)))
+                        .skip(fetchCount++ % Math.max(1, countLivePeers(now)))
                         .findFirst();
-        peer.ifPresent(this::askForTargets);
+        peer.ifPresent(this::fetchTargets);
     }
 
-    private long livePeers(long now) {
+    private long countLivePeers(long now) {
         return network.peers().all().stream()
                 .filter(peer -> network.peers().isLive(peer, now) && !peer.isLeaving())
                 .count();
     }
 
-    private void askForTargets(Peer peer) {
-        get(peer, TARGETS_PATH)
+    private void fetchTargets(Peer peer) {
+        fetch(peer, TARGETS_PATH)
                 .whenComplete(
                         (answer, error) -> {
-                            fetchingTargets = false;
+                            isFetchingTargets = false;
                             if (answer != null && answer.status() == OK) {
                                 long receivedAt = System.nanoTime();
-                                control.execute(() -> takeTargets(peer, answer.text(), receivedAt));
+                                control.execute(
+                                        () -> applyTargets(peer, answer.text(), receivedAt));
                             }
                         });
     }
 
-    private void takeTargets(Peer peer, String text, long receivedAt) {
+    private void applyTargets(Peer peer, String text, long receivedAt) {
         try {
-            TargetFeed.Snapshot theirs = SnapshotJson.read(text, receivedAt);
-            targets.applyIfNewer(theirs, "peer " + peer.name());
+            TargetFeed.Snapshot peerList = SnapshotJson.read(text, receivedAt);
+            targetFeed.applyIfNewer(peerList, "peer " + peer.name());
         } catch (JsonProcessingException e) {
             Event.of("targets.unreadable")
                     .with("peer", peer.name())
@@ -204,8 +201,15 @@
         }
     }
 
-    private CompletableFuture<HttpAnswer> get(Peer peer, String path) {
+    private CompletableFuture<HttpAnswer> fetch(Peer peer, String path) {
         return client.call(
-                HttpCall.of(peer.host(), peer.port(), "GET", path, Map.of(), new byte[0], TIMEOUT));
+                HttpCall.of(
+                        peer.host(),
+                        peer.port(),
+                        "GET",
+                        path,
+                        Map.of(),
+                        new byte[0],
+                        CALL_TIMEOUT));
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/PlanFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/PlanFeed.java
@@ -15,33 +15,33 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * The configuration in force, read from the store and, where the store is away, from peers. Within
- * one life of the process it only goes forward. Works on the control thread.
+ * Provides the configuration in force, read from the store and, while the store is unavailable,
+ * from peers. Its version never decreases while the process runs. Runs on the control thread.
  */
 public final class PlanFeed {
-    /** Short enough that a watch whose connection fell silent is noticed within the bound. */
+    /** Short enough to detect a watch on a silent connection within the bound for changes. */
     private static final Duration WATCH_WAIT = Duration.ofMillis(900);
 
-    private static final Duration RETRY = Duration.ofMillis(250);
-    private static final Duration PAUSE = Duration.ofMillis(20);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(250);
+    private static final Duration WATCH_PAUSE = Duration.ofMillis(20);
 
-    /** Time between looks whether another instance still reads; a part of the bound for changes. */
-    private static final Duration LOOK = Duration.ofMillis(100);
+    /** Time between checks whether another instance reads; a part of the bound for changes. */
+    private static final Duration READER_CHECK_INTERVAL = Duration.ofMillis(100);
 
     private final PlatformAdapter adapter;
     private final ObjectStore store;
     private final ControlThread control;
-    private final StoreAvailability contact;
+    private final StoreAvailability storeAvailability;
     private final Consumer<ServingPlan> listener;
-    private final ReadPolicy duty;
+    private final ReadPolicy readPolicy;
     private volatile @Nullable CurrentPlan current;
     private volatile long confirmedAt;
 
     /**
-     * A configuration as it was stored.
+     * The configuration in force.
      *
-     * @param plan decoded
-     * @param value as stored
+     * @param plan the decoded configuration
+     * @param value the stored value
      */
     public record CurrentPlan(ServingPlan plan, String value) {}
 
@@ -49,36 +49,36 @@
             PlatformAdapter adapter,
             ObjectStore store,
             ControlThread control,
-            StoreAvailability contact,
-            ReadPolicy duty,
+            StoreAvailability storeAvailability,
+            ReadPolicy readPolicy,
             Consumer<ServingPlan> listener) {
-        this.duty = duty;
+        this.readPolicy = readPolicy;
         this.adapter = adapter;
         this.store = store;
         this.control = control;
-        this.contact = contact;
+        this.storeAvailability = storeAvailability;
         this.listener = listener;
     }
 
     /**
-     * Makes a feed.
+     * Creates a feed.
      *
-     * @param adapter reads the stored value
+     * @param adapter decodes the stored value
      * @param store the platform's store
      * @param control the control thread
-     * @param contact notes whether the store answers
-     * @param duty whether this instance watches the store itself
-     * @param listener takes each newer plan, on the control thread
+     * @param storeAvailability records whether the store answers
+     * @param readPolicy whether this instance watches the store itself
+     * @param listener receives each newer configuration, on the control thread
      * @return the feed, not started
      */
     public static PlanFeed of(
             PlatformAdapter adapter,
             ObjectStore store,
             ControlThread control,
-            StoreAvailability contact,
-            ReadPolicy duty,
+            StoreAvailability storeAvailability,
+            ReadPolicy readPolicy,
             Consumer<ServingPlan> listener) {
-        return new PlanFeed(adapter, store, control, contact, duty, listener);
+        return new PlanFeed(adapter, store, control, storeAvailability, readPolicy, listener);
     }
 
     /** Starts to read and watch. */
@@ -89,7 +89,7 @@
     /**
      * The configuration in force.
      *
-     * @return the newest known, or null before the first; safe for any thread
+     * @return the configuration, or null before the first; safe for use by any thread
      */
     public @Nullable CurrentPlan current() {
         return current;
@@ -98,27 +98,27 @@
     /**
      * Version of the configuration in force.
      *
-     * @return the version, 0 before the first; safe for any thread
+     * @return the version, 0 before the first; safe for use by any thread
      */
     public long version() {
-        CurrentPlan now = current;
-        return now == null ? 0 : now.plan().version();
+        CurrentPlan latest = current;
+        return latest == null ? 0 : latest.plan().version();
     }
 
     /**
-     * When the store itself confirmed to this instance that nothing newer is there.
+     * When the store last confirmed to this instance that it has nothing newer.
      *
-     * @return the time, nanoseconds; 0 where it never did; safe for any thread
+     * @return the time, nanoseconds; 0 if it never did; safe for use by any thread
      */
     public long confirmedAt() {
         return confirmedAt;
     }
 
     /**
-     * Takes a stored value, from wherever it came.
+     * Decodes a stored value and applies it if it is newer.
      *
-     * @param value the value
-     * @param source where it came from, for the log
+     * @param value the stored value
+     * @param source where it was read, for the log
      */
     public void applyIfNewer(String value, String source) {
         Decoded<ServingPlan> decoded = adapter.decodePlan(value);
@@ -131,14 +131,14 @@
             return;
         }
         ServingPlan plan = ((Decoded.Value<ServingPlan>) decoded).value();
-        long before = version();
-        if (plan.version() <= before) {
+        long previousVersion = version();
+        if (plan.version() <= previousVersion) {
             return;
         }
         current = new CurrentPlan(plan, value);
         Event.of("plan.applied")
                 .with("version", plan.version())
-                .with("before", before)
+                .with("before", previousVersion)
                 .with("source", source)
                 .info();
         listener.accept(plan);
@@ -151,7 +151,7 @@
     }
 
     private void onRead(ReadResult result, long askedAt) {
-        contact.onResult(result);
+        storeAvailability.onResult(result);
         if (!(result instanceof ReadResult.Unavailable)) {
             confirmedAt = askedAt;
         }
@@ -161,45 +161,46 @@
         } else if (result instanceof ReadResult.Absent absent) {
             watch(absent.revision());
         } else {
-            control.schedule(RETRY, this::read);
+            control.schedule(RETRY_INTERVAL, this::read);
         }
     }
 
-    private void watch(long after) {
-        if (current != null && !duty.needsStoreRead()) {
-            control.schedule(LOOK, this::look);
+    private void watch(long afterRevision) {
+        if (current != null && !readPolicy.needsStoreRead()) {
+            control.schedule(READER_CHECK_INTERVAL, this::checkReader);
             return;
         }
         long askedAt = System.nanoTime();
-        store.watch(Set.of(adapter.planKey().kind()), after, WATCH_WAIT)
-                .thenAcceptAsync(result -> onWatch(result, after, askedAt), control::execute);
+        store.watch(Set.of(adapter.planKey().kind()), afterRevision, WATCH_WAIT)
+                .thenAcceptAsync(
+                        result -> onWatch(result, afterRevision, askedAt), control::execute);
     }
 
-    /** After a time without watching, changes may have been missed: the object is read first. */
-    private void look() {
-        if (duty.needsStoreRead()) {
+    /** Reads before watching again, since changes may have been missed in between. */
+    private void checkReader() {
+        if (readPolicy.needsStoreRead()) {
             read();
         } else {
-            control.schedule(LOOK, this::look);
+            control.schedule(READER_CHECK_INTERVAL, this::checkReader);
         }
     }
 
-    private void onWatch(WatchResult result, long after, long askedAt) {
-        contact.onResult(result);
+    private void onWatch(WatchResult result, long afterRevision, long askedAt) {
+        storeAvailability.onResult(result);
         if (result instanceof WatchResult.Changes changes) {
             confirmedAt = askedAt;
             changes.changes().stream()
                     .filter(change -> change.key().equals(adapter.planKey()))
                     .map(WatchResult.Change::object)
-                    .forEach(this::onChange);
-            long next = Math.max(after, changes.revision());
-            control.schedule(PAUSE, () -> watch(next));
+                    .forEach(this::onPlanObject);
+            long next = Math.max(afterRevision, changes.revision());
+            control.schedule(WATCH_PAUSE, () -> watch(next));
         } else {
-            control.schedule(RETRY, this::read);
+            control.schedule(RETRY_INTERVAL, this::read);
         }
     }
 
-    private void onChange(@Nullable StoredObject object) {
+    private void onPlanObject(@Nullable StoredObject object) {
         if (object == null) {
             Event.of("plan.deleted").with("kept_version", version()).error();
         } else {
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/SnapshotJson.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/SnapshotJson.java
@@ -12,7 +12,7 @@
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.StoredObject;
 
-/** Stored objects as instances hand them to each other while the store is away. */
+/** JSON form in which instances exchange stored objects while the store is unavailable. */
 final class SnapshotJson {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/StoreAvailability.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/StoreAvailability.java
@@ -6,98 +6,98 @@
 import org.sardinelift.objects.WriteResult;
 import org.sardinelift.runtime.log.Event;
 
-/** Whether the platform's store answers this instance; logs when that changes. */
+/** Tracks whether the platform's store answers this instance, and logs changes. */
 public final class StoreAvailability {
     private boolean isAvailable = true;
-    private boolean known;
-    private long answeredAt;
+    private boolean isKnown;
+    private long lastAnswerAt;
     private long regainedAt;
 
     /**
-     * Notes the outcome of a read.
+     * Records the result of a read.
      *
-     * @param result the outcome
+     * @param result the result
      */
     public void onResult(ReadResult result) {
-        onResult(result instanceof ReadResult.Unavailable failed ? failed.reason() : "");
+        updateAvailability(result instanceof ReadResult.Unavailable failed ? failed.reason() : "");
     }
 
     /**
-     * Notes the outcome of a list.
+     * Records the result of a list.
      *
-     * @param result the outcome
+     * @param result the result
      */
     public void onResult(ListResult result) {
-        onResult(result instanceof ListResult.Unavailable failed ? failed.reason() : "");
+        updateAvailability(result instanceof ListResult.Unavailable failed ? failed.reason() : "");
     }
 
     /**
-     * Notes the outcome of a watch.
+     * Records the result of a watch.
      *
-     * @param result the outcome
+     * @param result the result
      */
     public void onResult(WatchResult result) {
-        onResult(result instanceof WatchResult.Unavailable failed ? failed.reason() : "");
+        updateAvailability(result instanceof WatchResult.Unavailable failed ? failed.reason() : "");
     }
 
     /**
-     * Notes the outcome of a write.
+     * Records the result of a write.
      *
-     * @param result the outcome
+     * @param result the result
      */
     public void onResult(WriteResult result) {
         if (result instanceof WriteResult.NotWritten failed) {
-            onResult(failed.reason());
+            updateAvailability(failed.reason());
         } else {
-            onResult(result instanceof WriteResult.Unclear failed ? failed.reason() : "");
+            updateAvailability(result instanceof WriteResult.Unclear failed ? failed.reason() : "");
         }
     }
 
-    private synchronized void onResult(String failure) {
+    private synchronized void updateAvailability(String failure) {
         long now = System.nanoTime();
-        boolean answersNow = failure.isEmpty();
-        if (answersNow != isAvailable || !known) {
+        boolean isAvailableNow = failure.isEmpty();
+        if (isAvailableNow != isAvailable || !isKnown) {
             Event event =
-                    Event.of(answersNow ? "store.regained" : "store.lost")
+                    Event.of(isAvailableNow ? "store.regained" : "store.lost")
                             .with("reason", failure.isEmpty() ? null : failure);
-            if (answersNow) {
+            if (isAvailableNow) {
                 event.info();
             } else {
                 event.warn();
             }
         }
-        if (answersNow && !isAvailable) {
+        if (isAvailableNow && !isAvailable) {
             regainedAt = now;
         }
-        if (answersNow) {
-            answeredAt = now;
+        if (isAvailableNow) {
+            lastAnswerAt = now;
         }
-        known = true;
-        isAvailable = answersNow;
+        isKnown = true;
+        isAvailable = isAvailableNow;
     }
 
     /**
      * Whether the last call was answered.
      *
-     * @return false while calls fail
+     * @return false before the first answer and while calls fail
      */
     public synchronized boolean isAvailable() {
-        return isAvailable && known;
+        return isAvailable && isKnown;
     }
 
     /**
-     * Time since the store answered last.
+     * Time since the store last answered.
      *
      * @return nanoseconds
      */
     public synchronized long nanosSinceAnswer() {
-        return System.nanoTime() - answeredAt;
+        return System.nanoTime() - lastAnswerAt;
     }
 
     /**
-     * Time since the store came back after failures.
+     * Time since the store answered again after failures.
      *
-     * @return nanoseconds; very long where it has not failed
+     * @return nanoseconds; {@code Long.MAX_VALUE} if it has not failed
      */
     public synchronized long nanosSinceRegained() {
         return regainedAt == 0 ? Long.MAX_VALUE : System.nanoTime() - regainedAt;
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/TargetFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/TargetFeed.java
@@ -19,42 +19,43 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * The targets, listed from the store again and again. A list costs as much as a watch that returns
- * at each heartbeat of a target, can't fall silent and has no gaps. Works on the control thread.
+ * Provides the targets, which it lists from the store at intervals. A list costs as much as a watch
+ * that returns at each heartbeat of a target, but can't fall silent and has no gaps. Runs on the
+ * control thread.
  */
 public final class TargetFeed {
-    /** Half of the time in which a leaving target must get no more calls, less some slack. */
-    private static final Duration INTERVAL = Duration.ofMillis(700);
+    /** Half of the time within which a leaving target must get no more calls, minus some slack. */
+    private static final Duration LIST_INTERVAL = Duration.ofMillis(700);
 
-    private static final Duration RETRY = Duration.ofMillis(300);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(300);
 
-    /** Time between looks whether another instance still reads. */
-    private static final Duration LOOK = Duration.ofMillis(100);
+    /** Time between checks whether another instance still reads. */
+    private static final Duration READER_CHECK_INTERVAL = Duration.ofMillis(100);
 
-    /** Targets whose entries lapsed while the store was away register again within 2 s. */
-    private static final Duration REGISTER_AGAIN = Duration.ofMillis(2_200);
+    /** Targets whose entries expired while the store failed register again within 2 s. */
+    private static final Duration REREGISTRATION_TIME = Duration.ofMillis(2_200);
 
-    /** Stands for the revision of the last change in a list that was read here. */
-    private static final long OWN_LIST = -1;
+    /** Marks a list that this instance read itself, whose changed revision is yet to be set. */
+    private static final long OWN_LIST_REVISION = -1;
 
     private final PlatformAdapter adapter;
     private final ObjectStore store;
     private final ControlThread control;
-    private final StoreAvailability contact;
+    private final StoreAvailability storeAvailability;
     private final Consumer<Map<String, RegisteredTarget>> listener;
-    private final TargetRegistry roll = TargetRegistry.empty();
-    private final Map<String, String> reportedUnreadable = new HashMap<>();
-    private final ReadPolicy duty;
+    private final TargetRegistry registry = TargetRegistry.empty();
+    private final Map<String, String> loggedReasons = new HashMap<>();
+    private final ReadPolicy readPolicy;
     private volatile Snapshot snapshot = new Snapshot(List.of(), 0, 0, 0);
     private volatile long listedAt;
 
     /**
-     * A list as it was stored.
+     * A list of targets as stored.
      *
      * @param objects the entries
-     * @param revision revision of the store that it shows
-     * @param changedRevision revision at which the entries had changed last
-     * @param readAt when it was asked for, nanoseconds; 0 before the first
+     * @param revision revision of the store at which it was listed
+     * @param changedRevision revision at which the entries last changed
+     * @param readAt when it was requested, nanoseconds; 0 before the first
      */
     public record Snapshot(
             List<StoredObject> objects, long revision, long changedRevision, long readAt) {}
@@ -63,36 +64,36 @@
             PlatformAdapter adapter,
             ObjectStore store,
             ControlThread control,
-            StoreAvailability contact,
-            ReadPolicy duty,
+            StoreAvailability storeAvailability,
+            ReadPolicy readPolicy,
             Consumer<Map<String, RegisteredTarget>> listener) {
-        this.duty = duty;
+        this.readPolicy = readPolicy;
         this.adapter = adapter;
         this.store = store;
         this.control = control;
-        this.contact = contact;
+        this.storeAvailability = storeAvailability;
         this.listener = listener;
     }
 
     /**
-     * Makes a feed.
+     * Creates a feed.
      *
-     * @param adapter reads the stored entries
+     * @param adapter decodes the stored entries
      * @param store the platform's store
      * @param control the control thread
-     * @param contact notes whether the store answers
-     * @param duty whether this instance lists them itself
-     * @param listener takes the targets after each change, on the control thread
+     * @param storeAvailability records whether the store answers
+     * @param readPolicy whether this instance lists the targets itself
+     * @param listener receives the targets after each change, on the control thread
      * @return the feed, not started
      */
     public static TargetFeed of(
             PlatformAdapter adapter,
             ObjectStore store,
             ControlThread control,
-            StoreAvailability contact,
-            ReadPolicy duty,
+            StoreAvailability storeAvailability,
+            ReadPolicy readPolicy,
             Consumer<Map<String, RegisteredTarget>> listener) {
-        return new TargetFeed(adapter, store, control, contact, duty, listener);
+        return new TargetFeed(adapter, store, control, storeAvailability, readPolicy, listener);
     }
 
     /** Starts to list. */
@@ -103,16 +104,16 @@
     /**
      * The newest list.
      *
-     * @return the list; safe for any thread
+     * @return the list; safe for use by any thread
      */
     public Snapshot snapshot() {
         return snapshot;
     }
 
     /**
-     * How old the newest list is.
+     * Age of the newest list.
      *
-     * @return nanoseconds, very many before the first; safe for any thread
+     * @return nanoseconds, {@code Long.MAX_VALUE} before the first; safe for use by any thread
      */
     public long ageNanos() {
         long readAt = snapshot.readAt();
@@ -120,42 +121,44 @@
     }
 
     /**
-     * When this instance itself listed the targets last.
+     * When this instance itself last listed the targets.
      *
-     * @return the time, nanoseconds; 0 where it never did; safe for any thread
+     * @return the time, nanoseconds; 0 if it never did; safe for use by any thread
      */
     public long listedAt() {
         return listedAt;
     }
 
     /**
-     * A peer that holds the same entries has read them lately: they are known to be current.
+     * Marks the entries as current, since a peer that has the same ones has read them again.
      *
-     * @param changed revision at which the peer's entries had changed last
+     * @param changedRevision revision at which the peer's entries last changed
      * @param readAt when it read them, nanoseconds of this process
      */
-    public void confirmUnchanged(long changed, long readAt) {
-        Snapshot held = snapshot;
-        if (held.changedRevision() == changed && held.readAt() != 0 && readAt - held.readAt() > 0) {
-            snapshot = new Snapshot(held.objects(), held.revision(), changed, readAt);
+    public void confirmUnchanged(long changedRevision, long readAt) {
+        Snapshot current = snapshot;
+        if (current.changedRevision() == changedRevision
+                && current.readAt() != 0
+                && readAt - current.readAt() > 0) {
+            snapshot = new Snapshot(current.objects(), current.revision(), changedRevision, readAt);
         }
     }
 
     /**
-     * Takes a list that a peer has read.
+     * Applies a list that a peer has read, if it is newer.
      *
-     * @param theirs the list
+     * @param peerList the list
      * @param source the peer, for the log
      */
-    public void applyIfNewer(Snapshot theirs, String source) {
-        if (theirs.readAt() - snapshot.readAt() > 0) {
-            apply(theirs, source);
+    public void applyIfNewer(Snapshot peerList, String source) {
+        if (peerList.readAt() - snapshot.readAt() > 0) {
+            apply(peerList, source);
         }
     }
 
     private void list() {
-        if (snapshot.readAt() != 0 && !duty.needsStoreRead()) {
-            control.schedule(LOOK, this::list);
+        if (snapshot.readAt() != 0 && !readPolicy.needsStoreRead()) {
+            control.schedule(READER_CHECK_INTERVAL, this::list);
             return;
         }
         long askedAt = System.nanoTime();
@@ -164,17 +167,19 @@
     }
 
     private void onList(ListResult result, long askedAt) {
-        contact.onResult(result);
+        storeAvailability.onResult(result);
         if (result instanceof ListResult.Listed listed) {
             listedAt = askedAt;
-            long changed =
+            long changedRevision =
                     listed.objects().equals(snapshot.objects())
                             ? snapshot.changedRevision()
                             : listed.revision();
-            apply(new Snapshot(listed.objects(), listed.revision(), changed, askedAt), "store");
-            control.schedule(INTERVAL, this::list);
+            apply(
+                    new Snapshot(listed.objects(), listed.revision(), changedRevision, askedAt),
+                    "store");
+            control.schedule(LIST_INTERVAL, this::list);
         } else {
-            control.schedule(RETRY, this::list);
+            control.schedule(RETRY_INTERVAL, this::list);
         }
     }
 
@@ -182,26 +187,29 @@
         List<RegisteredTarget> readable = new ArrayList<>();
         Set<String> unreadable = new HashSet<>();
         list.objects().forEach(object -> decode(object, readable, unreadable));
-        boolean keepMissing = contact.nanosSinceRegained() < REGISTER_AGAIN.toNanos();
-        Map<String, RegisteredTarget> before = roll.targets();
-        if (!roll.apply(readable, unreadable, list.revision(), keepMissing)) {
+        boolean keepMissing =
+                storeAvailability.nanosSinceRegained() < REREGISTRATION_TIME.toNanos();
+        Map<String, RegisteredTarget> previous = registry.targets();
+        if (!registry.apply(readable, unreadable, list.revision(), keepMissing)) {
             Event.of("targets.stale")
                     .with("revision", list.revision())
                     .with("source", source)
                     .warn();
             return;
         }
-        boolean isChanged = !roll.targets().equals(before);
-        long changed = isChanged ? list.revision() : snapshot.changedRevision();
+        boolean isChanged = !registry.targets().equals(previous);
+        long changedRevision = isChanged ? list.revision() : snapshot.changedRevision();
         snapshot =
                 new Snapshot(
                         list.objects(),
                         list.revision(),
-                        list.changedRevision() == OWN_LIST ? changed : list.changedRevision(),
+                        list.changedRevision() == OWN_LIST_REVISION
+                                ? changedRevision
+                                : list.changedRevision(),
                         list.readAt());
         if (isChanged) {
-            logChanges(before, roll.targets(), source);
-            listener.accept(roll.targets());
+            logChanges(previous, registry.targets(), source);
+            listener.accept(registry.targets());
         }
     }
 
@@ -215,17 +223,17 @@
         }
         String reason = ((Decoded.Unreadable<RegisteredTarget>) decoded).reason();
         unreadable.add(name);
-        if (!reason.equals(reportedUnreadable.put(name, reason))) {
+        if (!reason.equals(loggedReasons.put(name, reason))) {
             Event.of("target.unreadable").with("target", name).with("reason", reason).warn();
         }
     }
 
     private static void logChanges(
-            Map<String, RegisteredTarget> before,
-            Map<String, RegisteredTarget> after,
+            Map<String, RegisteredTarget> previous,
+            Map<String, RegisteredTarget> updated,
             String source) {
-        after.values().stream()
-                .filter(entry -> !entry.equals(before.get(entry.id())))
+        updated.values().stream()
+                .filter(entry -> !entry.equals(previous.get(entry.id())))
                 .forEach(
                         entry ->
                                 Event.of(entry.isLeaving() ? "target.leaving" : "target.listed")
@@ -234,8 +242,8 @@
                                         .with("zone", entry.zone())
                                         .with("source", source)
                                         .info());
-        before.keySet().stream()
-                .filter(id -> !after.containsKey(id))
+        previous.keySet().stream()
+                .filter(id -> !updated.containsKey(id))
                 .forEach(
                         id ->
                                 Event.of("target.gone")
