--- a/gateway/src/main/java/org/sardinelift/gateway/Endpoint.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/Endpoint.java
@@ -3,10 +3,10 @@
 import org.sardinelift.settings.SettingsNode;
 
 /**
- * An address.
+ * A network address.
  *
  * @param host IP address
- * @param port port, 0 for any where it is to be bound
+ * @param port port; 0 to bind any free port
  */
 public record Endpoint(String host, int port) {
     private static final int MAX_PORT = 65_535;
--- a/gateway/src/main/java/org/sardinelift/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/GatewayProcess.java
@@ -18,24 +18,24 @@
 import org.sardinelift.http.HttpServer;
 import org.sardinelift.runtime.log.Event;
 
-/** A running gateway: takes callers' requests and sends them to targets. */
+/** A running gateway: receives callers' requests and forwards them to targets. */
 public final class GatewayProcess implements AutoCloseable {
-    /** A target answers a new connection within a few milliseconds, or is not there. */
+    /** A target accepts a new connection within a few milliseconds, or is not there. */
     private static final Duration TARGET_CONNECT_TIMEOUT = Duration.ofMillis(250);
 
-    /** The balancer sends no new connections after two misses, a second apart. */
-    private static final Duration UNTIL_BALANCED = Duration.ofMillis(3_200);
+    /** The load balancer opens no new connections after two failed checks, a second apart. */
+    private static final Duration BALANCER_REMOVAL_TIME = Duration.ofMillis(3_200);
 
-    /** Left of the grace for the exit of the process. */
+    /** Part of the grace period reserved for the exit of the process. */
     private static final Duration EXIT_RESERVE = Duration.ofMillis(900);
 
-    private static final long STEP_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
     private static final int MAX_CONNECTIONS = 3_000;
     private static final int MAX_LINE_BYTES = 8 * 1024;
-    private static final RequestLimits BOUNDS_BEFORE_PLAN =
+    private static final RequestLimits LIMITS_BEFORE_PLAN =
             new RequestLimits(16 * 1024, 4 << 20, Duration.ofSeconds(3), Duration.ofSeconds(15));
 
-    /** Clients may use a connection until the stated idle time; it closes somewhat later. */
+    /** Clients may use a connection until the configured idle time; it closes somewhat later. */
     private static final Duration IDLE_SLACK = Duration.ofSeconds(1);
 
     private static final int OK = 200;
@@ -43,12 +43,12 @@
 
     private final GatewaySettings settings;
     private final Node node;
-    private final TargetTable table;
-    private final HttpServer internal;
-    private final HttpServer ready;
-    private final HttpServer callers;
+    private final TargetTable targetTable;
+    private final HttpServer internalServer;
+    private final HttpServer readinessServer;
+    private final HttpServer callerServer;
     private final CompletableFuture<Void> drainRequested = new CompletableFuture<>();
-    private volatile boolean stopping;
+    private volatile boolean isStopping;
 
     private GatewayProcess(GatewaySettings settings, PlatformAdapter adapter) throws BindException {
         this.settings = settings;
@@ -56,7 +56,7 @@
         HttpClient targetClient =
                 HttpClient.createPlaintext(
                         node.group(), TARGET_CONNECT_TIMEOUT, settings.connectionIdleTimeout());
-        this.table =
+        this.targetTable =
                 TargetTable.create(
                         node.network().targetLoads(),
                         targetClient,
@@ -64,24 +64,27 @@
                         adapter.probePath(),
                         settings.typicalFirstEvent(),
                         settings.typicalCallTime());
-        CallPipeline gate =
+        CallPipeline pipeline =
                 CallPipeline.create(
                         settings,
                         adapter,
                         node.loop(),
                         targetClient,
                         node.client(),
-                        table,
+                        targetTable,
                         node.network(),
                         node.plans());
-        this.internal = node.startInternalServer(table, Node::respondNotFound);
-        this.ready = bind(settings.readinessAddress(), HttpLimits::defaults, this::answerReady);
-        this.callers = bind(settings.callerAddress(), this::limits, gate.handler());
+        this.internalServer = node.startInternalServer(targetTable, Node::respondNotFound);
+        this.readinessServer =
+                startServer(
+                        settings.readinessAddress(), HttpLimits::defaults, this::respondReadiness);
+        this.callerServer =
+                startServer(settings.callerAddress(), this::httpLimits, pipeline.handler());
         node.start(
                 new Node.Listener() {
                     @Override
                     public void onTargetsChanged(Map<String, RegisteredTarget> entries) {
-                        table.update(entries);
+                        targetTable.update(entries);
                     }
                 });
     }
@@ -90,16 +93,16 @@
      * Starts a gateway.
      *
      * @param settings its settings
-     * @param adapter translates for the platform
+     * @param adapter adapter of the platform
      * @return the running gateway
-     * @throws BindException where a port is taken; choose another in the settings
+     * @throws BindException if a port is in use; choose another in the settings
      */
     public static GatewayProcess start(GatewaySettings settings, PlatformAdapter adapter)
             throws BindException {
         return new GatewayProcess(settings, adapter);
     }
 
-    private HttpServer bind(
+    private HttpServer startServer(
             Endpoint address,
             java.util.function.Supplier<HttpLimits> limits,
             org.sardinelift.http.HttpHandler handler)
@@ -108,36 +111,37 @@
                 node.group(), address.host(), address.port(), limits, null, handler);
     }
 
-    /** Bounds of callers' requests, as the configuration in force sets them. */
-    private HttpLimits limits() {
-        PlanFeed.CurrentPlan held = node.plans().current();
-        RequestLimits bounds = held == null ? BOUNDS_BEFORE_PLAN : bounds(held.plan());
+    /** Limits on callers' requests, from the configuration in force. */
+    private HttpLimits httpLimits() {
+        PlanFeed.CurrentPlan currentPlan = node.plans().current();
+        RequestLimits requestLimits =
+                currentPlan == null ? LIMITS_BEFORE_PLAN : requestLimits(currentPlan.plan());
         return new HttpLimits(
                 MAX_LINE_BYTES,
-                bounds.maxHeaderBytes(),
-                bounds.maxBodyBytes(),
+                requestLimits.maxHeaderBytes(),
+                requestLimits.maxBodyBytes(),
                 MAX_CONNECTIONS,
-                bounds.headerTimeout(),
-                bounds.idleTimeout().plus(IDLE_SLACK));
+                requestLimits.headerTimeout(),
+                requestLimits.idleTimeout().plus(IDLE_SLACK));
     }
 
-    private static RequestLimits bounds(ServingPlan plan) {
+    private static RequestLimits requestLimits(ServingPlan plan) {
         return plan.requestLimits();
     }
 
-    private void answerReady(HttpExchange exchange) {
+    private void respondReadiness(HttpExchange exchange) {
         boolean isReady = isReady();
         exchange.respond(isReady ? OK : UNAVAILABLE, Map.of(), new byte[0]);
     }
 
     private boolean isReady() {
-        return !stopping
+        return !isStopping
                 && node.plans().current() != null
                 && !node.targets().snapshot().objects().isEmpty();
     }
 
     /**
-     * One line that says that the process runs and where it listens.
+     * Line that reports that the process is running and on which ports it listens.
      *
      * @return machine-readable line
      */
@@ -145,43 +149,44 @@
         return "{\"event\":\"started\",\"role\":\"gateway\",\"instance\":\""
                 + settings.node().instance()
                 + "\",\"caller\":"
-                + callers.port()
+                + callerServer.port()
                 + ",\"ready\":"
-                + ready.port()
+                + readinessServer.port()
                 + ",\"internal\":"
-                + internal.port()
+                + internalServer.port()
                 + "}";
     }
 
     /**
-     * Completes once an operator asks for a drain by other means than a signal.
+     * Completes when an operator requests a drain other than by a signal.
      *
-     * @return never completes by itself
+     * @return a future that this role never completes
      */
     public CompletableFuture<Void> drainRequested() {
         return drainRequested;
     }
 
     /**
-     * Stops in order: not ready at once, but still serving until the balancer sends no more; every
-     * request that was read is answered. Returns when that is done or the grace is nearly over.
+     * Drains the gateway: readiness fails at once, but it serves until the load balancer sends no
+     * more; every request that was read is answered. Returns when that is done or the grace period
+     * is nearly over.
      */
     public void drain() {
         long startedAt = System.nanoTime();
-        stopping = true;
-        Event.of("process.stopping").with("answers_due", callers.answersDue()).info();
+        isStopping = true;
+        Event.of("process.stopping").with("answers_due", callerServer.answersDue()).info();
         node.loop().execute(node.network()::announceLeaving);
-        callers.announceClose();
-        long latest = startedAt + settings.node().gracePeriod().minus(EXIT_RESERVE).toNanos();
-        sleepUntil(Math.min(latest, startedAt + UNTIL_BALANCED.toNanos()));
-        callers.stopAccepting();
-        callers.closeIdle();
-        while (callers.answersDue() > 0 && System.nanoTime() - latest < 0) {
+        callerServer.announceClose();
+        long deadline = startedAt + settings.node().gracePeriod().minus(EXIT_RESERVE).toNanos();
+        sleepUntil(Math.min(deadline, startedAt + BALANCER_REMOVAL_TIME.toNanos()));
+        callerServer.stopAccepting();
+        callerServer.closeIdle();
+        while (callerServer.answersDue() > 0 && System.nanoTime() - deadline < 0) {
             sleep();
-            callers.closeIdle();
+            callerServer.closeIdle();
         }
         Event.of("process.stopped")
-                .with("answers_due", callers.answersDue())
+                .with("answers_due", callerServer.answersDue())
                 .with("ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt))
                 .info();
     }
@@ -194,7 +199,7 @@
 
     private static void sleep() {
         try {
-            TimeUnit.MILLISECONDS.sleep(STEP_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -202,9 +207,9 @@
 
     @Override
     public void close() {
-        callers.close();
-        ready.close();
-        internal.close();
+        callerServer.close();
+        readinessServer.close();
+        internalServer.close();
         node.close();
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/GatewaySettings.java
@@ -6,16 +6,16 @@
 /**
  * Settings of a gateway.
  *
- * @param node what it has in common with workers
- * @param caller address that callers reach
- * @param ready address at which the balancer asks whether it is ready
- * @param placementMargin part of an objective kept for what estimates of waits miss
- * @param keptForReturners part of an objective that calls which come for the first time don't use
- * @param resendWait longest wait for a slot of a call that is sent again after its target failed
- * @param stall least silence of a target after which a call that may be repeated is moved
- * @param firstEvent usual time from a send to the first event
- * @param callTime usual time that an online call holds a slot
- * @param connectionIdleTimeout longest idle time of a connection to a target that is used again
+ * @param node settings shared with workers
+ * @param callerAddress address to which callers connect
+ * @param readinessAddress address at which the load balancer checks readiness
+ * @param placementMargin part of a latency objective reserved for errors in estimated waits
+ * @param retryReserve part of a latency objective that first attempts of calls don't use
+ * @param maxResendWait longest wait for a slot of a call that is resent after its target failed
+ * @param stallTimeout minimum silence of a target after which a repeatable call is moved
+ * @param typicalFirstEvent usual time from a send to the first event
+ * @param typicalCallTime usual time that an online call occupies a slot
+ * @param connectionIdleTimeout longest idle time of a connection to a target that is reused
  */
 public record GatewaySettings(
         NodeSettings node,
@@ -40,17 +40,17 @@
                 NodeSettings.read(node),
                 Endpoint.read(node, "caller"),
                 Endpoint.read(node, "ready"),
-                // Two network hops and the jitter of the report of a call that came before.
+                // Two network hops and the jitter of the report on an earlier call.
                 node.millis("placementMarginMs", 30),
-                // A slot of a target with eight comes free about so often.
+                // Roughly the interval at which a target with eight slots frees one.
                 node.millis("keptForReturnersMs", 60),
-                // A fifth of the usual deadline: such a call has lost its objective already.
+                // A fifth of the usual deadline; a resent call has already missed its objective.
                 node.millis("resendWaitMs", 1_000),
-                // Several times the usual pause between events, under half of the pause allowed.
+                // Several times the usual gap between events, less than half of the allowed gap.
                 node.millis("stallMs", 180),
-                // Set-up, prefill of a usual prompt and the steps of the first event.
+                // Setup, prefill of a usual prompt and the engine steps up to the first event.
                 node.millis("firstEventMs", 55),
-                // Steps of a usual answer with all slots taken.
+                // Engine steps of a usual response with all slots in use.
                 node.millis("callMs", 750),
                 // Well under the idle time after which targets close connections.
                 node.millis("connectionIdleMs", 2_000));
--- a/gateway/src/main/java/org/sardinelift/gateway/Node.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/Node.java
@@ -33,18 +33,18 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * What gateways and workers have in common: one thread for traffic and one for control, the store,
- * the feeds, the other instances and the internal port.
+ * The components that gateways and workers share: one thread for traffic and one for control, the
+ * store, the feeds, the network of instances and the internal port.
  */
 final class Node implements AutoCloseable {
-    /** A peer in another zone answers a new connection within a few milliseconds. */
+    /** A peer in another zone accepts a new connection within a few milliseconds. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(300);
 
-    /** Idle connections to the store and to peers; theirs close later. */
-    private static final Duration CONNECTION_IDLE = Duration.ofSeconds(2);
+    /** Shorter than the idle timeouts of the store and of peers, which close later. */
+    private static final Duration CONNECTION_IDLE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** Rare enough that it costs nothing, often enough to see what an outage cost. */
-    private static final Duration STORE_CALLS_LOGGED = Duration.ofSeconds(10);
+    /** Rare enough to cost nothing, frequent enough to show what an outage cost. */
+    private static final Duration STORE_CALL_LOG_INTERVAL = Duration.ofSeconds(10);
 
     private static final int MAX_QUEUED_STORE_CALLS = 2_000;
     private static final String METRICS_PATH = "/metrics";
@@ -57,7 +57,7 @@
     private final EventLoop loop;
     private final ControlThread control;
     private final HttpClient client;
-    private final StoreAvailability contact = new StoreAvailability();
+    private final StoreAvailability storeAvailability = new StoreAvailability();
     private final CountedObjectStore store;
     private final PlanFeed plans;
     private final TargetFeed targets;
@@ -66,7 +66,7 @@
     private final InstanceFeed instances;
     private Listener listener = new Listener() {};
 
-    /** Takes what the feeds bring; on the event loop. */
+    /** Is notified of what the feeds have read, on the event loop. */
     interface Listener {
         /**
          * A newer configuration is in force.
@@ -76,9 +76,9 @@
         default void onPlanChanged(ServingPlan plan) {}
 
         /**
-         * The targets were read.
+         * The targets have changed.
          *
-         * @param entries entries by name
+         * @param entries registrations by id
          */
         default void onTargetsChanged(Map<String, RegisteredTarget> entries) {}
     }
@@ -89,17 +89,23 @@
         this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         this.loop = (EventLoop) group.next();
         this.control = ControlThread.start("control");
-        this.client = HttpClient.createPlaintext(group, CONNECT_TIMEOUT, CONNECTION_IDLE);
-        this.store = store(adapter);
-        this.network = PeerNetwork.bind(settings, role, loop, new StoreKnowledge());
+        this.client = HttpClient.createPlaintext(group, CONNECT_TIMEOUT, CONNECTION_IDLE_TIMEOUT);
+        this.store = createStore(adapter);
+        this.network = PeerNetwork.bind(settings, role, loop, new FeedState());
         this.plans =
-                PlanFeed.of(adapter, store, control, contact, network::isPlanReader, this::onPlan);
+                PlanFeed.of(
+                        adapter,
+                        store,
+                        control,
+                        storeAvailability,
+                        network::isPlanReader,
+                        this::onPlan);
         this.targets =
                 TargetFeed.of(
                         adapter,
                         store,
                         control,
-                        contact,
+                        storeAvailability,
                         network::isTargetsReader,
                         this::onTargets);
         this.snapshots =
@@ -111,7 +117,7 @@
                         settings.internalAddress(),
                         store,
                         control,
-                        contact,
+                        storeAvailability,
                         (name, peerRole, address) ->
                                 loop.execute(
                                         () ->
@@ -124,8 +130,8 @@
         return new Node(settings, role, adapter);
     }
 
-    /** The feeds as the reports show them. */
-    private final class StoreKnowledge implements PeerNetwork.StoreReadState {
+    /** State of the feeds for the reports to peers. */
+    private final class FeedState implements PeerNetwork.StoreReadState {
         @Override
         public long planVersion() {
             return plans.version();
@@ -147,8 +153,8 @@
         }
     }
 
-    private CountedObjectStore store(PlatformAdapter adapter) {
-        ObjectStore http =
+    private CountedObjectStore createStore(PlatformAdapter adapter) {
+        ObjectStore httpStore =
                 HttpObjectStore.create(
                         client,
                         settings.storeAddress().host(),
@@ -158,23 +164,23 @@
         int rate = settings.storeCallsPerSecond();
         return CountedObjectStore.over(
                 PacedObjectStore.over(
-                        http, new CallBudget(rate, rate, MAX_QUEUED_STORE_CALLS), loop));
+                        httpStore, new CallBudget(rate, rate, MAX_QUEUED_STORE_CALLS), loop));
     }
 
     private void logStoreCalls() {
-        Event line = Event.of("store.calls");
-        store.counts().forEach((name, count) -> line.with(name, count));
-        line.info();
+        Event event = Event.of("store.calls");
+        store.counts().forEach((name, count) -> event.with(name, count));
+        event.info();
     }
 
-    void start(Listener taking) {
-        listener = taking;
+    void start(Listener newListener) {
+        listener = newListener;
         plans.start();
         targets.start();
         instances.start();
         snapshots.start();
         network.start();
-        control.repeat(STORE_CALLS_LOGGED, this::logStoreCalls);
+        control.repeat(STORE_CALL_LOG_INTERVAL, this::logStoreCalls);
     }
 
     private void onPlan(ServingPlan plan) {
@@ -190,8 +196,9 @@
         loop.execute(() -> listener.onTargetsChanged(entries));
     }
 
-    /** Serves the internal port: snapshots, status, metrics, and what the role adds. */
-    HttpServer startInternalServer(TargetTable table, HttpHandler role) throws BindException {
+    /** Serves snapshots, status, metrics and the role's own calls on the internal port. */
+    HttpServer startInternalServer(TargetTable table, HttpHandler roleHandler)
+            throws BindException {
         return HttpServer.start(
                 group,
                 settings.internalAddress().host(),
@@ -204,7 +211,7 @@
                                     || handleMetrics(exchange)
                                     || handleStatus(exchange, table);
                     if (!handled) {
-                        role.handle(exchange);
+                        roleHandler.handle(exchange);
                     }
                 });
     }
@@ -224,7 +231,12 @@
         exchange.respondJson(
                 OK,
                 StatusReport.toJson(
-                        settings.instance(), plans.version(), contact, targets, network, table));
+                        settings.instance(),
+                        plans.version(),
+                        storeAvailability,
+                        targets,
+                        network,
+                        table));
         return true;
     }
 
@@ -252,8 +264,8 @@
         return client;
     }
 
-    StoreAvailability contact() {
-        return contact;
+    StoreAvailability storeAvailability() {
+        return storeAvailability;
     }
 
     ObjectStore store() {
--- a/gateway/src/main/java/org/sardinelift/gateway/NodeSettings.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/NodeSettings.java
@@ -5,16 +5,16 @@
 import org.sardinelift.settings.SettingsNode;
 
 /**
- * Settings that gateways and workers have in common.
+ * Settings that gateways and workers share.
  *
- * @param instance name of this instance, kept over restarts
+ * @param instance name of this instance, kept across restarts
  * @param zone availability zone
- * @param internal address for reports (UDP) and internal calls (TCP), the same port on all
+ * @param internalAddress address for reports (UDP) and internal calls (TCP), the same port on all
  *     instances
- * @param seeds hosts of some other instances, of use where the store is away
- * @param store address of the platform's store
- * @param storeTimeout longest silence of the store before a call is given up
- * @param storeCallsPerSecond calls of the store that this instance makes at most
+ * @param seedHosts hosts of some other instances, used while the store is unavailable
+ * @param storeAddress address of the platform's store
+ * @param storeTimeout longest silence of the store before a call fails
+ * @param storeCallsPerSecond limit on this instance's calls to the store
  * @param gracePeriod time between the request to stop and the kill
  */
 public record NodeSettings(
@@ -41,9 +41,9 @@
                 Endpoint.read(node, "internal"),
                 node.texts("seeds").stream().map(NodeSettings::host).toList(),
                 Endpoint.read(store, "address"),
-                // Over twice the answer time of a store that is sixty times slower than usual.
+                // Over twice the response time of a store that is sixty times slower than usual.
                 store.millis("timeoutMs", 800),
-                // A tenth of a small store's reads: a dozen instances stay within it together.
+                // A tenth of a small store's reads; a dozen instances together stay within them.
                 store.integer("callsPerSecond", 60, 1, 100_000),
                 node.millis("graceMs", 8_000));
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/PlatformAdapter.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/PlatformAdapter.java
@@ -8,110 +8,111 @@
 import org.sardinelift.objects.ObjectDialect;
 import org.sardinelift.objects.ObjectKey;
 
-/** Translates between the product's terms and those of the platform that it runs on. */
+/** Translates between sardinelift's terms and those of the platform that it runs on. */
 public interface PlatformAdapter {
 
     /**
-     * Names of the headers on the platform.
+     * Names of the headers that the platform uses.
      *
      * @return the names
      */
     HeaderNames headerNames();
 
     /**
-     * Headers by which a caller could speak in the system's place; they are not passed on.
+     * Headers that only the system may send to targets; those of callers are not forwarded.
      *
      * @return names in lower case
      */
     Set<String> reservedHeaders();
 
     /**
-     * How the platform's store spells its calls.
+     * Form of the calls to the platform's object store.
      *
      * @return the dialect
      */
     ObjectDialect objectDialect();
 
     /**
-     * Where the configuration is stored.
+     * Key of the stored configuration.
      *
-     * @return its key
+     * @return the key
      */
     ObjectKey planKey();
 
     /**
-     * Reads the configuration.
+     * Decodes the configuration.
      *
      * @param value the stored value
-     * @return the plan, or why it can't be read
+     * @return the configuration, or why it is unreadable
      */
     Decoded<ServingPlan> decodePlan(String value);
 
     /**
-     * Where targets register themselves.
+     * Kind of the objects with which targets register.
      *
-     * @return the kind of their objects
+     * @return the kind
      */
     String targetKind();
 
     /**
-     * Reads the entry of a target.
+     * Decodes the registration of a target.
      *
      * @param name name of the object
      * @param value the stored value
-     * @return the entry, or why it can't be read
+     * @return the registration, or why it is unreadable
      */
     Decoded<RegisteredTarget> decodeTarget(String name, String value);
 
     /**
-     * Path at which a target answers without taking a slot.
+     * Path at which a target answers without occupying a slot.
      *
      * @return the path
      */
     String probePath();
 
     /**
-     * The callers' interface for batch jobs.
+     * The callers' API for batch jobs.
      *
-     * @return the interface
+     * @return the API
      */
     JobApi jobs();
 
     /**
-     * Where operators ask for an instance to be emptied; the name of the object is the instance's.
+     * Kind of the objects with which operators request the retirement of an instance; each has the
+     * name of its instance.
      *
-     * @return the kind, or empty where the platform has no such requests
+     * @return the kind, or empty if the platform has no such requests
      */
     Optional<String> retirementKind();
 
     /**
-     * A call of the store that reports how far an emptying is.
+     * Request to the store that reports the progress of a retirement.
      *
-     * @param key object of the request
-     * @param done whether the instance may be taken away
-     * @return the call
+     * @param key key of the retirement object
+     * @param isDone whether the instance may be removed
+     * @return the request
      */
-    ObjectDialect.Request retirementStatusRequest(ObjectKey key, boolean done);
+    ObjectDialect.Request retirementStatusRequest(ObjectKey key, boolean isDone);
 
     /**
-     * A value read from the platform.
+     * Result of decoding a stored value.
      *
-     * @param <T> what it is
+     * @param <T> type of the value
      */
     sealed interface Decoded<T> {
         /**
-         * It could be read.
+         * The decoded value.
          *
          * @param value the value
-         * @param <T> what it is
+         * @param <T> type of the value
          */
         record Value<T>(T value) implements Decoded<T> {}
 
         /**
-         * It could not be read.
+         * The stored value could not be decoded.
          *
-         * @param reason what is wrong with it
-         * @param <T> what it should be
+         * @param reason what is wrong with the stored value
+         * @param <T> type of the expected value
          */
         record Unreadable<T>(String reason) implements Decoded<T> {}
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/StatusReport.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/StatusReport.java
@@ -12,7 +12,10 @@
 import org.sardinelift.gateway.feed.TargetFeed;
 import org.sardinelift.gateway.peer.PeerNetwork;
 
-/** What an instance believes at one moment, for operators. On the event loop. */
+/**
+ * What an instance currently knows of its peers and targets, as JSON for operators. Used on the
+ * event loop.
+ */
 final class StatusReport {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
@@ -21,16 +24,16 @@
     static String toJson(
             String instance,
             long planVersion,
-            StoreAvailability contact,
-            TargetFeed feed,
+            StoreAvailability storeAvailability,
+            TargetFeed targetFeed,
             PeerNetwork network,
-            TargetTable table) {
+            TargetTable targetTable) {
         long now = System.nanoTime();
         ObjectNode root = MAPPER.createObjectNode();
         root.put("instance", instance);
         root.put("plan", planVersion);
-        root.put("storeAnswers", contact.isAvailable());
-        root.put("targetsRevision", feed.snapshot().revision());
+        root.put("storeAnswers", storeAvailability.isAvailable());
+        root.put("targetsRevision", targetFeed.snapshot().revision());
         ArrayNode peers = root.putArray("peers");
         network.peers().all().stream()
                 .sorted(Comparator.comparing(Peer::name))
@@ -43,19 +46,19 @@
                                         .put("plan", peer.planVersion())
                                         .put("silentMs", millis(now - peer.lastReportAt())));
         ArrayNode targets = root.putArray("targets");
-        table.all().stream()
+        targetTable.all().stream()
                 .sorted(Comparator.comparing(TargetTable.Target::id))
                 .forEach(
                         target -> {
-                            TargetCalls use = network.targetLoads().knownCalls(target.id(), now);
+                            TargetCalls calls = network.targetLoads().knownCalls(target.id(), now);
                             targets.addObject()
                                     .put("id", target.id())
                                     .put("zone", target.entry().zone())
                                     .put("leaving", target.entry().isLeaving())
                                     .put("usable", target.health().isUsable(now))
                                     .put("slots", target.entry().slots())
-                                    .put("online", use.online())
-                                    .put("batch", use.batch())
+                                    .put("online", calls.online())
+                                    .put("batch", calls.batch())
                                     .put(
                                             "ownOnline",
                                             network.targetLoads().ownCalls(target.id()).online())
--- a/gateway/src/main/java/org/sardinelift/gateway/WorkerProcess.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/WorkerProcess.java
@@ -14,21 +14,21 @@
 import org.sardinelift.http.HttpServer;
 import org.sardinelift.runtime.log.Event;
 
-/** A running worker: keeps batch jobs in the store and runs their items. */
+/** A running worker: stores batch jobs and runs their items. */
 public final class WorkerProcess implements AutoCloseable {
     private static final Duration TARGET_CONNECT_TIMEOUT = Duration.ofMillis(250);
-    private static final Duration USUAL_FIRST_EVENT = Duration.ofMillis(55);
-    private static final Duration USUAL_CALL = Duration.ofMillis(750);
+    private static final Duration TYPICAL_FIRST_EVENT = Duration.ofMillis(55);
+    private static final Duration TYPICAL_CALL_TIME = Duration.ofMillis(750);
 
-    /** Time for results on their way to the store, and for peers to take the jobs. */
-    private static final Duration HAND_OVER = Duration.ofMillis(1_500);
+    /** Time for results to reach the store and for peers to take over the jobs. */
+    private static final Duration HAND_OVER_TIMEOUT = Duration.ofMillis(1_500);
 
-    private static final long STEP_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final WorkerSettings settings;
     private final Node node;
     private final JobWorker worker;
-    private final HttpServer internal;
+    private final HttpServer internalServer;
     private final CompletableFuture<Void> drainRequested = new CompletableFuture<>();
 
     private WorkerProcess(WorkerSettings settings, PlatformAdapter adapter) throws BindException {
@@ -37,14 +37,14 @@
         HttpClient targetClient =
                 HttpClient.createPlaintext(
                         node.group(), TARGET_CONNECT_TIMEOUT, settings.connectionIdleTimeout());
-        TargetTable table =
+        TargetTable targetTable =
                 TargetTable.create(
                         node.network().targetLoads(),
                         targetClient,
                         node.loop(),
                         adapter.probePath(),
-                        USUAL_FIRST_EVENT,
-                        USUAL_CALL);
+                        TYPICAL_FIRST_EVENT,
+                        TYPICAL_CALL_TIME);
         this.worker =
                 JobWorker.create(
                         settings,
@@ -54,13 +54,13 @@
                         targetClient,
                         node.client(),
                         node.store(),
-                        node.contact(),
-                        table,
+                        node.storeAvailability(),
+                        targetTable,
                         node.network(),
                         node.plans());
-        this.internal =
+        this.internalServer =
                 node.startInternalServer(
-                        table,
+                        targetTable,
                         exchange -> {
                             if (!worker.handle(exchange)) {
                                 Node.respondNotFound(exchange);
@@ -75,7 +75,7 @@
 
                     @Override
                     public void onTargetsChanged(Map<String, RegisteredTarget> entries) {
-                        table.update(entries);
+                        targetTable.update(entries);
                         worker.onPlanOrTargetsChanged();
                     }
                 });
@@ -86,9 +86,9 @@
      * Starts a worker.
      *
      * @param settings its settings
-     * @param adapter translates for the platform
+     * @param adapter adapter of the platform
      * @return the running worker
-     * @throws BindException where a port is taken; choose another in the settings
+     * @throws BindException if a port is in use; choose another in the settings
      */
     public static WorkerProcess start(WorkerSettings settings, PlatformAdapter adapter)
             throws BindException {
@@ -96,7 +96,7 @@
     }
 
     /**
-     * One line that says that the process runs and where it listens.
+     * Line that reports that the process is running and on which port it listens.
      *
      * @return machine-readable line
      */
@@ -104,20 +104,20 @@
         return "{\"event\":\"started\",\"role\":\"worker\",\"instance\":\""
                 + settings.node().instance()
                 + "\",\"internal\":"
-                + internal.port()
+                + internalServer.port()
                 + "}";
     }
 
     /**
-     * Completes once an operator asks for a drain by other means than a signal.
+     * Completes when an operator requests a drain other than by a signal.
      *
-     * @return never completes by itself
+     * @return a future that this role never completes
      */
     public CompletableFuture<Void> drainRequested() {
         return drainRequested;
     }
 
-    /** Hands the jobs over and records what has ended. */
+    /** Hands the jobs over to other workers and waits until finished items are recorded. */
     public void drain() {
         long startedAt = System.nanoTime();
         Event.of("process.stopping").info();
@@ -127,10 +127,10 @@
                             node.network().announceLeaving();
                             worker.handOverJobs();
                         });
-        long latest = startedAt + HAND_OVER.toNanos();
+        long deadline = startedAt + HAND_OVER_TIMEOUT.toNanos();
         do {
             sleep();
-        } while (!worker.isIdle() && System.nanoTime() - latest < 0);
+        } while (!worker.isIdle() && System.nanoTime() - deadline < 0);
         Event.of("process.stopped")
                 .with("ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt))
                 .info();
@@ -138,7 +138,7 @@
 
     private static void sleep() {
         try {
-            TimeUnit.MILLISECONDS.sleep(STEP_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -146,7 +146,7 @@
 
     @Override
     public void close() {
-        internal.close();
+        internalServer.close();
         node.close();
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/WorkerSettings.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/WorkerSettings.java
@@ -7,10 +7,10 @@
 /**
  * Settings of a worker.
  *
- * @param node what it has in common with gateways
+ * @param node settings shared with gateways
  * @param jobRetention time after its submission for which a closed job is kept
- * @param connectionIdle longest idle time of a connection to a target that is used again
- * @param spool where jobs are kept that the store can't take yet; null where there is no disk
+ * @param connectionIdleTimeout longest idle time of a connection to a target that is reused
+ * @param spool settings of the spool for jobs that the store can't accept yet; null without a disk
  */
 public record WorkerSettings(
         NodeSettings node,
