--- a/gateway/src/main/java/org/sardinelift/gateway/job/ItemRun.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/ItemRun.java
@@ -14,37 +14,41 @@
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 
-/** One run of an item on a target. On the event loop. */
+/** A run of an item on a target. On the event loop. */
 final class ItemRun implements HttpAnswerListener {
     private static final int MISDIRECTED = 421;
     private static final int UNPROCESSABLE = 422;
-    private static final int SUCCESS_CLASS = 2;
-    private static final int CLASS_SIZE = 100;
+    private static final int SUCCESS_STATUS_CLASS = 2;
+    private static final int STATUS_CLASS_SIZE = 100;
 
     private final ItemRunner runner;
-    private final ItemSchedule.ScheduledItem due;
+    private final ItemSchedule.ScheduledItem scheduledItem;
     private final RoutePlan route;
     private final Target target;
     private Runnable canceller = () -> {};
     private long startedAt;
-    private int events;
+    private int eventCount;
     private int status;
     private List<Map.Entry<String, String>> headers = List.of();
-    private @Nullable EventStreamParser reader;
+    private @Nullable EventStreamParser parser;
 
-    ItemRun(ItemRunner runner, ItemSchedule.ScheduledItem due, RoutePlan route, Target target) {
+    ItemRun(
+            ItemRunner runner,
+            ItemSchedule.ScheduledItem scheduledItem,
+            RoutePlan route,
+            Target target) {
         this.runner = runner;
-        this.due = due;
+        this.scheduledItem = scheduledItem;
         this.route = route;
         this.target = target;
     }
 
-    ItemSchedule.ScheduledItem due() {
-        return due;
+    ItemSchedule.ScheduledItem scheduledItem() {
+        return scheduledItem;
     }
 
     ItemProgress item() {
-        return due.item();
+        return scheduledItem.item();
     }
 
     RoutePlan route() {
@@ -55,9 +59,9 @@
         return target;
     }
 
-    /** Events of this run. */
-    int events() {
-        return events;
+    /** Number of events received in this run. */
+    int eventCount() {
+        return eventCount;
     }
 
     long startedAt() {
@@ -69,18 +73,18 @@
         canceller = client.send(call, this);
     }
 
-    /** Closes the connection, so that the target drops the item. */
+    /** Closes the connection, so that the target stops running the item. */
     void cancel() {
         canceller.run();
     }
 
     @Override
-    public void onHead(int answered, List<Map.Entry<String, String>> fields) {
+    public void onHead(int responseStatus, List<Map.Entry<String, String>> responseHeaders) {
         if (!runner.isRunning(this)) {
             return;
         }
-        status = answered;
-        headers = fields;
+        status = responseStatus;
+        headers = responseHeaders;
         long now = System.nanoTime();
         target.onBytesReceived(now);
         String echoed = header(runner.headers().callId());
@@ -94,11 +98,11 @@
                                 runner.network()
                                         .targetLoads()
                                         .onTargetLoad(target.id(), calls, now));
-        boolean succeeded = status / CLASS_SIZE == SUCCESS_CLASS;
-        if (succeeded && header(runner.headers().signature()) == null) {
+        boolean isSuccess = status / STATUS_CLASS_SIZE == SUCCESS_STATUS_CLASS;
+        if (isSuccess && header(runner.headers().signature()) == null) {
             fail("the answer has no signature");
-        } else if (succeeded) {
-            reader =
+        } else if (isSuccess) {
+            parser =
                     item().lastEventId().isPresent()
                             ? EventStreamParser.resumingAfter(item().lastEventId().getAsLong())
                             : EventStreamParser.fromStart();
@@ -107,18 +111,18 @@
 
     @Override
     public void onData(byte[] part) {
-        if (!runner.isRunning(this) || reader == null) {
+        if (!runner.isRunning(this) || parser == null) {
             return;
         }
         target.onBytesReceived(System.nanoTime());
-        List<StreamEvent> received = reader.parse(part);
+        List<StreamEvent> received = parser.parse(part);
         if (!received.isEmpty()) {
-            events += received.size();
+            eventCount += received.size();
             received.forEach(event -> item().onEvent(event.id(), event.data()));
             item().onProgress();
         }
-        if (reader.fault().isPresent()) {
-            fail(reader.fault().get());
+        if (parser.fault().isPresent()) {
+            fail(parser.fault().get());
         }
     }
 
@@ -132,9 +136,9 @@
             runner.onRefused(this, "another target has the address");
         } else if (header(runner.headers().notRun()) != null) {
             runner.onRefused(this, "refused with status " + status);
-        } else if (reader == null) {
+        } else if (parser == null) {
             runner.onFailed(this, status, status == UNPROCESSABLE);
-        } else if (reader.hasPartialEvent()) {
+        } else if (parser.hasPartialEvent()) {
             fail("the stream ends within an event");
         } else {
             runner.onCompleted(this);
@@ -164,7 +168,7 @@
 
     private @Nullable String header(String name) {
         return headers.stream()
-                .filter(entry -> entry.getKey().equalsIgnoreCase(name))
+                .filter(field -> field.getKey().equalsIgnoreCase(name))
                 .map(Map.Entry::getValue)
                 .findFirst()
                 .orElse(null);
--- a/gateway/src/main/java/org/sardinelift/gateway/job/ItemRunner.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/ItemRunner.java
@@ -36,45 +36,46 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * Runs the items of the jobs that fall to this worker in the slots that online calls leave, and
- * takes them away where online calls need these slots. On the event loop.
+ * Runs the items of the jobs assigned to this worker in slots that online calls leave free, and
+ * preempts items when online calls need the slots. On the event loop.
  */
 final class ItemRunner implements PeerNetwork.Listener {
-    private static final TargetCalls ONE_ITEM = new TargetCalls(0, 1);
-    private static final TargetCalls ONE_ITEM_LESS = new TargetCalls(0, -1);
+    private static final TargetCalls ITEM_STARTED = new TargetCalls(0, 1);
+    private static final TargetCalls ITEM_ENDED = new TargetCalls(0, -1);
 
-    /** Time for the start of an item to be reported before the next one on the same target. */
-    private static final Duration NEXT_START = Duration.ofMillis(6);
+    /** Time to report the start of an item before the next start on the same target. */
+    private static final Duration NEXT_START_DELAY = Duration.ofMillis(6);
 
-    /** Several times the longest pause that a target makes between events, prefill included. */
-    private static final Duration SILENCE = Duration.ofMillis(1_200);
+    /** Several times the longest pause of a target between events, prefill included. */
+    private static final Duration TARGET_SILENCE_TIMEOUT = Duration.ofMillis(1_200);
 
-    private static final Duration AFTER_REFUSAL = Duration.ofMillis(100);
-    private static final Duration AFTER_FAILURE = Duration.ofMillis(200);
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(8);
+    private static final Duration REFUSAL_BACKOFF = Duration.ofMillis(100);
+    private static final Duration FAILURE_BACKOFF = Duration.ofMillis(200);
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(8);
 
-    /** Cuts in a row from which an item is suspected to break the targets that run it. */
-    private static final int CUTS_TO_SUSPECT = 3;
+    /** Interruptions in a row from which an item is suspected to crash its targets. */
+    private static final int INTERRUPTIONS_BEFORE_BACKOFF = 3;
 
-    /** Time for which a route must be missing before the items of its jobs are given up. */
-    private static final Duration ROUTE_GONE = Duration.ofSeconds(5);
+    /** Time without a route after which the items of its jobs are given up. */
+    private static final Duration MISSING_ROUTE_TIMEOUT = Duration.ofSeconds(5);
 
-    /** Until runs have shown it: an output of some hundred events, decoded with all slots taken. */
-    private static final int USUAL_EVENTS = 200;
+    /** Estimate until runs have completed: an output of some hundred events. */
+    private static final int INITIAL_EVENTS_PER_ITEM = 200;
 
-    private static final Duration USUAL_EVENT = Duration.ofMillis(27);
+    /** Estimate until runs have completed: decoding with all slots in use. */
+    private static final Duration INITIAL_EVENT_INTERVAL = Duration.ofMillis(27);
 
-    /** Time for a result to be recorded, seen by the other workers and read. */
-    private static final Duration UNTIL_READ = Duration.ofMillis(400);
+    /** Time for a result to be recorded, seen by the other workers and read by the caller. */
+    private static final Duration RESULT_DELIVERY_TIME = Duration.ofMillis(400);
 
     /** Longer than the gap between two online calls on a busy slot. */
-    private static final Duration SETTLE = Duration.ofMillis(40);
+    private static final Duration FREE_SLOT_SETTLE_TIME = Duration.ofMillis(40);
 
-    /** Time for the workers of the target's zone to take the slot first. */
-    private static final Duration SETTLE_FAR = Duration.ofMillis(150);
+    /** Longer, so that workers of the target's zone use the slot first. */
+    private static final Duration OTHER_ZONE_SETTLE_TIME = Duration.ofMillis(150);
 
     private final String instance;
-    private final JobRegistry book;
+    private final JobRegistry jobs;
     private final JobRecorder recorder;
     private final TargetTable table;
     private final PeerNetwork network;
@@ -83,18 +84,19 @@
     private final PlanFeed plans;
     private final HeaderNames headers;
     private final JobAssignment assignment;
-    private final ItemSchedule schedule = ItemSchedule.of(USUAL_EVENTS, USUAL_EVENT, UNTIL_READ);
-    private final BatchSlotSelector slots;
-    private final Set<String> mine = new HashSet<>();
+    private final ItemSchedule schedule =
+            ItemSchedule.of(INITIAL_EVENTS_PER_ITEM, INITIAL_EVENT_INTERVAL, RESULT_DELIVERY_TIME);
+    private final BatchSlotSelector slotSelector;
+    private final Set<String> assignedJobIds = new HashSet<>();
     private final Map<Target, List<ItemRun>> running = new HashMap<>();
     private final Map<String, Long> routeMissingSince = new HashMap<>();
-    private boolean pumpPending;
-    private boolean leaving;
+    private boolean isReschedulePending;
+    private boolean isLeaving;
 
     ItemRunner(
             String instance,
             String zone,
-            JobRegistry book,
+            JobRegistry jobs,
             JobRecorder recorder,
             TargetTable table,
             PeerNetwork network,
@@ -103,7 +105,7 @@
             PlanFeed plans,
             HeaderNames headers) {
         this.instance = instance;
-        this.book = book;
+        this.jobs = jobs;
         this.recorder = recorder;
         this.table = table;
         this.network = network;
@@ -111,44 +113,46 @@
         this.loop = loop;
         this.plans = plans;
         this.headers = headers;
-        this.slots = BatchSlotSelector.of(zone, SETTLE, SETTLE_FAR, NEXT_START);
-        this.assignment = JobAssignment.of(instance, NEXT_START.multipliedBy(50));
+        this.slotSelector =
+                BatchSlotSelector.of(
+                        zone, FREE_SLOT_SETTLE_TIME, OTHER_ZONE_SETTLE_TIME, NEXT_START_DELAY);
+        this.assignment = JobAssignment.of(instance, NEXT_START_DELAY.multipliedBy(50));
     }
 
-    /** Hashes of the jobs that run here, for the reports. */
+    /** Hashes of the jobs that run here, for reports. */
     Collection<Long> assignedJobHashes() {
-        return leaving ? List.of() : mine.stream().map(ItemRunner::hash).toList();
+        return isLeaving ? List.of() : assignedJobIds.stream().map(ItemRunner::hash).toList();
     }
 
-    /** Stands for a job in reports. */
+    /** Hash of a job's name, which identifies the job in reports. */
     static long hash(String job) {
         return org.sardinelift.core.route.Rendezvous.weight(job, "");
     }
 
-    /** A job was accepted here, so that it runs here. */
+    /** Assigns a job to this worker, since it was accepted here. */
     void claim(JobProgress job) {
-        if (!leaving && mine.add(job.spec().id())) {
+        if (!isLeaving && assignedJobIds.add(job.spec().id())) {
             network.onLocalChange();
         }
         reschedule();
     }
 
-    /** This worker is about to stop: others take its jobs. */
+    /** Stops all runs and leaves the jobs to other workers. */
     void handOverJobs() {
-        leaving = true;
-        mine.clear();
+        isLeaving = true;
+        assignedJobIds.clear();
         runs().forEach(run -> stop(run, "leaving"));
         network.onLocalChange();
     }
 
-    /** This worker stays after all, and takes jobs again. */
+    /** Runs jobs again, since this worker does not stop after all. */
     void resumeJobs() {
-        leaving = false;
+        isLeaving = false;
         network.onLocalChange();
         reschedule();
     }
 
-    /** Whether nothing runs here. */
+    /** Whether no item runs here. */
     boolean isIdle() {
         return running.isEmpty();
     }
@@ -161,46 +165,46 @@
     public void onLoadsUpdated() {
         long now = System.nanoTime();
         observeSlots(now);
-        yieldSlots(now);
-        pumpLater(NEXT_START);
+        preemptItems(now);
+        rescheduleAfter(NEXT_START_DELAY);
     }
 
-    /** Something has changed that may let items start or make them stop. */
+    /** Updates which jobs run here, stops items that must not run, and starts items. */
     void reschedule() {
-        if (leaving) {
+        if (isLeaving) {
             return;
         }
         long now = System.nanoTime();
         observeSlots(now);
-        assign(now);
-        stopWhatMustNotRun(now);
-        yieldSlots(now);
+        assignJobs(now);
+        stopInvalidRuns(now);
+        preemptItems(now);
         startItems(now);
     }
 
     private void observeSlots(long now) {
-        slots.observe(table.usableLoads(now), now);
+        slotSelector.observe(table.usableLoads(now), now);
     }
 
-    private void pumpLater(Duration pause) {
-        if (!pumpPending) {
-            pumpPending = true;
+    private void rescheduleAfter(Duration delay) {
+        if (!isReschedulePending) {
+            isReschedulePending = true;
             loop.schedule(
                     () -> {
-                        pumpPending = false;
+                        isReschedulePending = false;
                         reschedule();
                     },
-                    pause.toNanos(),
+                    delay.toNanos(),
                     TimeUnit.NANOSECONDS);
         }
     }
 
-    private void assign(long now) {
+    private void assignJobs(long now) {
         List<Peer> workers = network.peers().livePeers(PeerRole.WORKER, now).toList();
-        for (JobProgress job : book.all()) {
+        for (JobProgress job : jobs.all()) {
             String id = job.spec().id();
             if (job.isClosed()) {
-                mine.remove(id);
+                assignedJobIds.remove(id);
                 assignment.forget(id);
                 continue;
             }
@@ -210,69 +214,76 @@
                                     Collectors.toMap(
                                             Peer::name,
                                             peer -> peer.jobHashes().contains(hash(id))));
-            boolean before = mine.contains(id);
-            boolean here = assignment.isAssignedHere(id, before, claims, now);
-            if (here != before) {
-                Event.of(here ? "job.taken" : "job.left").with("job", id).info();
+            boolean wasAssigned = assignedJobIds.contains(id);
+            boolean isAssigned = assignment.isAssignedHere(id, wasAssigned, claims, now);
+            if (isAssigned != wasAssigned) {
+                Event.of(isAssigned ? "job.taken" : "job.left").with("job", id).info();
                 network.onLocalChange();
             }
-            if (here) {
-                mine.add(id);
+            if (isAssigned) {
+                assignedJobIds.add(id);
             } else {
-                mine.remove(id);
+                assignedJobIds.remove(id);
             }
         }
     }
 
-    private void stopWhatMustNotRun(long now) {
+    private void stopInvalidRuns(long now) {
         for (ItemRun run : runs()) {
-            JobProgress job = run.due().job();
+            JobProgress job = run.scheduledItem().job();
             if (job.hasEnded()) {
                 stop(run, "the job was ended");
             } else if (job.openItem(run.item().item().id()).isEmpty()) {
                 stop(run, "another worker has recorded the item");
-            } else if (route(run.due()).isEmpty()) {
-                stop(run, "its route is gone");
+            } else if (route(run.scheduledItem()).isEmpty()) {
+                stop(run, "its route no longer exists");
             }
         }
-        giveUpOld(now);
+        giveUpExpired(now);
     }
 
-    private Optional<RoutePlan> route(ItemSchedule.ScheduledItem due) {
-        PlanFeed.CurrentPlan held = plans.current();
-        return held == null
+    private Optional<RoutePlan> route(ItemSchedule.ScheduledItem scheduled) {
+        PlanFeed.CurrentPlan currentPlan = plans.current();
+        return currentPlan == null
                 ? Optional.empty()
-                : held.plan().route(due.job().spec().host(), due.item().item().path());
+                : currentPlan
+                        .plan()
+                        .route(scheduled.job().spec().host(), scheduled.item().item().path());
     }
 
-    /** Items whose time is up, and those whose route has gone for good. */
-    private void giveUpOld(long now) {
-        PlanFeed.CurrentPlan held = plans.current();
-        if (held == null) {
+    /** Gives up items past their retention time and items whose route is missing for too long. */
+    private void giveUpExpired(long now) {
+        PlanFeed.CurrentPlan currentPlan = plans.current();
+        if (currentPlan == null) {
             return;
         }
         long nowMs = System.currentTimeMillis();
-        for (JobProgress job : myJobs().toList()) {
-            List<ItemProgress> old =
+        for (JobProgress job : assignedJobs().toList()) {
+            List<ItemProgress> expired =
                     job.openItems()
                             .filter(item -> !item.isRunning())
-                            .filter(item -> isUp(held.plan(), job, item, nowMs, now))
+                            .filter(item -> isExpired(currentPlan.plan(), job, item, nowMs, now))
                             .toList();
-            old.forEach(item -> giveUp(job, item, "its time or its route is gone"));
+            expired.forEach(
+                    item ->
+                            giveUp(
+                                    job,
+                                    item,
+                                    "its retention time has passed or its route no longer exists"));
         }
     }
 
-    private boolean isUp(
+    private boolean isExpired(
             ServingPlan plan, JobProgress job, ItemProgress item, long nowMs, long now) {
         Optional<RoutePlan> route = plan.route(job.spec().host(), item.item().path());
         String key = job.spec().id();
         if (route.isEmpty()) {
             long since = routeMissingSince.computeIfAbsent(key, missing -> now);
-            return now - since >= ROUTE_GONE.toNanos();
+            return now - since >= MISSING_ROUTE_TIMEOUT.toNanos();
         }
         routeMissingSince.remove(key);
-        long keepMs = route.get().retention().toMillis();
-        return keepMs > 0 && nowMs - job.spec().submittedMs() > keepMs;
+        long retentionMs = route.get().retention().toMillis();
+        return retentionMs > 0 && nowMs - job.spec().submittedMs() > retentionMs;
     }
 
     private void giveUp(JobProgress job, ItemProgress item, String reason) {
@@ -285,7 +296,7 @@
         recorder.scheduleRecording(job);
     }
 
-    private void yieldSlots(long now) {
+    private void preemptItems(long now) {
         if (running.isEmpty()) {
             return;
         }
@@ -294,49 +305,58 @@
             int excess =
                     network.targetLoads().knownCalls(target.id(), now).total()
                             - target.entry().slots();
-            int share =
+            int count =
                     PreemptionShare.itemsToPreempt(
                             instance,
                             each.getValue().size(),
                             network.targetLoads().batchItemsByInstance(target.id()),
                             excess);
-            for (int i = 0; i < share; i++) {
-                yieldOne(target);
+            for (int i = 0; i < count; i++) {
+                preemptOne(target);
             }
         }
     }
 
-    private void yieldOne(Target target) {
+    private void preemptOne(Target target) {
         List<ItemRun> runs = running.getOrDefault(target, List.of());
         schedule.selectForPreemption(
-                        runs.stream().map(ItemRun::due).toList(), System.currentTimeMillis())
-                .flatMap(due -> runs.stream().filter(run -> run.due() == due).findFirst())
+                        runs.stream().map(ItemRun::scheduledItem).toList(),
+                        System.currentTimeMillis())
+                .flatMap(
+                        scheduled ->
+                                runs.stream()
+                                        .filter(run -> run.scheduledItem() == scheduled)
+                                        .findFirst())
                 .ifPresent(run -> stop(run, "an online call needs the slot"));
     }
 
     private void startItems(long now) {
-        PlanFeed.CurrentPlan held = plans.current();
-        if (held == null) {
+        PlanFeed.CurrentPlan currentPlan = plans.current();
+        if (currentPlan == null) {
             return;
         }
-        boolean more = true;
-        while (more) {
+        boolean hasStarted = true;
+        while (hasStarted) {
             Optional<ItemSchedule.ScheduledItem> next =
-                    schedule.selectNext(dueItems(held.plan()), now, System.currentTimeMillis());
-            more = next.isPresent() && startOne(next.get(), held.plan(), now);
+                    schedule.selectNext(
+                            scheduledItems(currentPlan.plan()), now, System.currentTimeMillis());
+            hasStarted = next.isPresent() && tryStart(next.get(), currentPlan.plan(), now);
         }
     }
 
-    private Stream<JobProgress> myJobs() {
-        return mine.stream().flatMap(id -> book.find(id).stream());
+    private Stream<JobProgress> assignedJobs() {
+        return assignedJobIds.stream().flatMap(id -> jobs.find(id).stream());
     }
 
-    private Stream<ItemSchedule.ScheduledItem> dueItems(ServingPlan plan) {
-        return myJobs().flatMap(
-                        job -> job.openItems().flatMap(item -> due(plan, job, item).stream()));
+    private Stream<ItemSchedule.ScheduledItem> scheduledItems(ServingPlan plan) {
+        return assignedJobs()
+                .flatMap(
+                        job ->
+                                job.openItems()
+                                        .flatMap(item -> scheduledItem(plan, job, item).stream()));
     }
 
-    private static Optional<ItemSchedule.ScheduledItem> due(
+    private static Optional<ItemSchedule.ScheduledItem> scheduledItem(
             ServingPlan plan, JobProgress job, ItemProgress item) {
         return plan.route(job.spec().host(), item.item().path())
                 .map(
@@ -348,28 +368,29 @@
                                                 + route.completionObjective().toMillis()));
     }
 
-    /** Starts an item where there is a slot for it. */
-    private boolean startOne(ItemSchedule.ScheduledItem due, ServingPlan plan, long now) {
-        RoutePlan route = plan.route(due.job().spec().host(), due.item().item().path()).get();
-        String service = route.selectService(hash(due.item().item().id())).orElse("");
+    /** Starts an item if there is a slot for it; returns whether it did. */
+    private boolean tryStart(ItemSchedule.ScheduledItem scheduled, ServingPlan plan, long now) {
+        RoutePlan route =
+                plan.route(scheduled.job().spec().host(), scheduled.item().item().path()).get();
+        String service = route.selectService(hash(scheduled.item().item().id())).orElse("");
         List<TargetLoad> loads = table.usableLoads(service, Set.of(), now);
-        Optional<TargetLoad> slot = slots.select(loads, now);
+        Optional<TargetLoad> slot = slotSelector.select(loads, now);
         if (slot.isEmpty()) {
-            if (slots.hasFreeSlot(loads)) {
-                pumpLater(NEXT_START);
+            if (slotSelector.hasFreeSlot(loads)) {
+                rescheduleAfter(NEXT_START_DELAY);
             }
             return false;
         }
         Target target = table.find(slot.get().id()).orElseThrow();
-        slots.onItemStarted(target.id(), now);
-        start(new ItemRun(this, due, route, target), now);
+        slotSelector.onItemStarted(target.id(), now);
+        start(new ItemRun(this, scheduled, route, target), now);
         return true;
     }
 
     private void start(ItemRun run, long now) {
         run.item().setRunning(true);
         running.computeIfAbsent(run.target(), key -> new ArrayList<>()).add(run);
-        network.targetLoads().onOwnCallsChanged(run.target().id(), ONE_ITEM);
+        network.targetLoads().onOwnCallsChanged(run.target().id(), ITEM_STARTED);
         network.onLocalChange();
         WorkerMetrics.setRunningItems(runs().size());
         run.start(client, httpCall(run), now);
@@ -378,10 +399,10 @@
     private HttpCall httpCall(ItemRun run) {
         var item = run.item().item();
         List<Map.Entry<String, String>> fields = new ArrayList<>();
-        fields.add(Map.entry("Host", run.due().job().spec().host()));
+        fields.add(Map.entry("Host", run.scheduledItem().job().spec().host()));
         item.headers().forEach((name, value) -> fields.add(Map.entry(name, value)));
         fields.add(Map.entry(headers.callId(), item.id()));
-        fields.add(Map.entry(headers.team(), run.due().job().spec().team()));
+        fields.add(Map.entry(headers.team(), run.scheduledItem().job().spec().team()));
         fields.add(Map.entry(headers.expectedTarget(), run.target().id()));
         run.item()
                 .lastEventId()
@@ -393,7 +414,7 @@
                 item.path(),
                 fields,
                 item.body(),
-                SILENCE,
+                TARGET_SILENCE_TIMEOUT,
                 false);
     }
 
@@ -412,11 +433,11 @@
     private void stop(ItemRun run, String reason) {
         WorkerMetrics.countRun("stopped");
         run.cancel();
-        release(run, reason);
+        releaseSlot(run, reason);
     }
 
-    /** Frees the slot of a run; false where it was freed before. */
-    private boolean release(ItemRun run, String how) {
+    /** Frees the slot of a run; returns false if it was freed before. */
+    private boolean releaseSlot(ItemRun run, String reason) {
         List<ItemRun> runs = running.get(run.target());
         if (runs == null || !runs.remove(run)) {
             return false;
@@ -425,14 +446,14 @@
             running.remove(run.target());
         }
         run.item().setRunning(false);
-        network.targetLoads().onOwnCallsChanged(run.target().id(), ONE_ITEM_LESS);
+        network.targetLoads().onOwnCallsChanged(run.target().id(), ITEM_ENDED);
         network.onSlotFreed();
         WorkerMetrics.setRunningItems(runs().size());
         Event.of("item.run_ended")
-                .with("job", run.due().job().spec().id())
+                .with("job", run.scheduledItem().job().spec().id())
                 .with("item", run.item().item().id())
                 .with("target", run.target().id())
-                .with("how", how)
+                .with("how", reason)
                 .with("events", run.item().eventCount())
                 .with("ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - run.startedAt()))
                 .info();
@@ -443,13 +464,13 @@
         return running.getOrDefault(run.target(), List.of()).contains(run);
     }
 
-    /** The target ran the item to its end. */
+    /** The target completed the item. */
     void onCompleted(ItemRun run) {
         WorkerMetrics.countRun("done");
-        Duration ran = Duration.ofNanos(System.nanoTime() - run.startedAt());
-        schedule.onItemCompleted(run.item().eventCount(), run.events(), ran);
-        release(run, "done");
-        JobProgress job = run.due().job();
+        Duration runTime = Duration.ofNanos(System.nanoTime() - run.startedAt());
+        schedule.onItemCompleted(run.item().eventCount(), run.eventCount(), runTime);
+        releaseSlot(run, "done");
+        JobProgress job = run.scheduledItem().job();
         job.onResult(ItemResult.completed(run.item().item().id(), run.item().output()));
         recorder.scheduleRecording(job);
         reschedule();
@@ -458,37 +479,40 @@
     /** The target refused the item without running it. */
     void onRefused(ItemRun run, String reason) {
         WorkerMetrics.countRun("refused");
-        release(run, reason);
-        run.item().delayUntil(System.nanoTime() + AFTER_REFUSAL.toNanos());
-        pumpLater(AFTER_REFUSAL);
+        releaseSlot(run, reason);
+        run.item().delayUntil(System.nanoTime() + REFUSAL_BACKOFF.toNanos());
+        rescheduleAfter(REFUSAL_BACKOFF);
     }
 
-    /** The target ran the item and failed. */
-    void onFailed(ItemRun run, int status, boolean hopeless) {
+    /** The target ran the item and answered with an error. */
+    void onFailed(ItemRun run, int status, boolean isPermanent) {
         WorkerMetrics.countRun("failed");
-        release(run, "status " + status);
+        releaseSlot(run, "status " + status);
         int failures = run.item().onFailedRun();
         run.item().discardOutput();
-        if (hopeless || failures >= run.route().maxAttempts()) {
-            giveUp(run.due().job(), run.item(), "status " + status + ", failures " + failures);
+        if (isPermanent || failures >= run.route().maxAttempts()) {
+            giveUp(
+                    run.scheduledItem().job(),
+                    run.item(),
+                    "status " + status + ", failures " + failures);
         } else {
-            run.item().delayUntil(System.nanoTime() + AFTER_FAILURE.toNanos());
-            pumpLater(AFTER_FAILURE);
+            run.item().delayUntil(System.nanoTime() + FAILURE_BACKOFF.toNanos());
+            rescheduleAfter(FAILURE_BACKOFF);
         }
     }
 
-    /** The run broke off; the item goes on from its last event. */
+    /** The run was interrupted; the next one resumes after the last event. */
     void onInterrupted(ItemRun run, String reason) {
         WorkerMetrics.countRun("cut");
-        release(run, reason);
-        int cuts = run.item().onRunInterrupted();
+        releaseSlot(run, reason);
+        int interruptions = run.item().onRunInterrupted();
         long pause =
-                cuts < CUTS_TO_SUSPECT
+                interruptions < INTERRUPTIONS_BEFORE_BACKOFF
                         ? 0
                         : Math.min(
-                                LONGEST_PAUSE.toNanos(),
-                                AFTER_FAILURE.toNanos() << Math.min(10, cuts));
+                                MAX_BACKOFF.toNanos(),
+                                FAILURE_BACKOFF.toNanos() << Math.min(10, interruptions));
         run.item().delayUntil(System.nanoTime() + pause);
-        pumpLater(NEXT_START);
+        rescheduleAfter(NEXT_START_DELAY);
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobApi.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobApi.java
@@ -7,10 +7,10 @@
 import org.sardinelift.core.joblog.ItemResult;
 import org.sardinelift.core.joblog.JobItem;
 
-/** How callers spell their calls for batch jobs, and how they are answered. */
+/** The callers' HTTP interface for batch jobs: parses calls and formats responses. */
 public interface JobApi {
 
-    /** A call about a job that was submitted before. */
+    /** A call about a submitted job. */
     sealed interface JobCall {
         /**
          * The job.
@@ -23,8 +23,8 @@
          * Reads results.
          *
          * @param job name of the job
-         * @param firstPosition position of the first
-         * @param waitMs how long to wait for one, milliseconds
+         * @param firstPosition position of the first result to read
+         * @param waitMs longest wait for a result, milliseconds
          */
         record Results(String job, int firstPosition, long waitMs) implements JobCall {}
 
@@ -45,31 +45,31 @@
     }
 
     /**
-     * Recognizes a call about a submitted job.
+     * Parses a call about a submitted job.
      *
      * @param method HTTP method
      * @param uri path and query
-     * @param header gives the first value of a request header, null where it is absent
-     * @return the call, or empty where it is another one
+     * @param header returns the first value of a request header, or null if it is absent
+     * @return the call, or empty if it is not about a submitted job
      */
     Optional<JobCall> parseCall(String method, String uri, UnaryOperator<@Nullable String> header);
 
     /**
-     * Reads the items of a submitted job.
+     * Parses the items of a job.
      *
      * @param body body of the submission
      * @return its items
-     * @throws IllegalArgumentException where the body is malformed
+     * @throws IllegalArgumentException if the body is malformed
      */
     List<JobItem> parseItems(byte[] body);
 
     /**
-     * Writes a page of results.
+     * Formats a page of results.
      *
-     * @param total items of the job
+     * @param total number of items of the job
      * @param next position after the last result
      * @param results the results
-     * @return body of the answer
+     * @return body of the response
      */
     byte[] formatResults(int total, int next, List<ItemResult> results);
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobCodec.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobCodec.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.sardinelift.core.joblog.ItemResult;
 
-/** Values of the objects by which a job is stored. */
+/** Encodes and decodes the stored objects of a job. */
 final class JobCodec {
-    /** A part of a value's bound, since a document grows when it is quoted. */
+    /** Below the store's bound of a value, since quoting makes a document longer. */
     static final int MAX_DOCUMENT_PART_CHARS = 400_000;
 
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
@@ -19,19 +19,19 @@
     private JobCodec() {}
 
     /**
-     * The object that makes a job accepted.
+     * The object whose creation makes a job accepted.
      *
      * @param team team that it runs for
-     * @param route route that it came by
-     * @param host host that the caller named
+     * @param route name of the route that it was submitted by
+     * @param host host header of the submission
      * @param submittedMs when it was accepted, Unix milliseconds
-     * @param parts objects before this one that hold the beginning of the document
-     * @param document end of the document as the caller sent it
+     * @param parts number of part objects, which hold the beginning of the document
+     * @param document rest of the document that the caller sent
      */
     record Header(
             String team, String route, String host, long submittedMs, int parts, String document) {}
 
-    static String header(Header header) {
+    static String encodeHeader(Header header) {
         return MAPPER.createObjectNode()
                 .put("team", header.team())
                 .put("route", header.route())
@@ -42,8 +42,8 @@
                 .toString();
     }
 
-    static Header header(String value) {
-        JsonNode node = tree(value);
+    static Header decodeHeader(String value) {
+        JsonNode node = parseJson(value);
         return new Header(
                 node.path("team").asText(),
                 node.path("route").asText(),
@@ -53,7 +53,7 @@
                 node.path("document").asText());
     }
 
-    static String record(List<ItemResult> results) {
+    static String encodeRecord(List<ItemResult> results) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode array = root.putArray("results");
         results.forEach(
@@ -65,9 +65,9 @@
         return root.toString();
     }
 
-    static List<ItemResult> record(String value) {
+    static List<ItemResult> decodeRecord(String value) {
         List<ItemResult> results = new ArrayList<>();
-        tree(value)
+        parseJson(value)
                 .path("results")
                 .forEach(
                         node ->
@@ -80,7 +80,7 @@
         return results;
     }
 
-    private static JsonNode tree(String value) {
+    private static JsonNode parseJson(String value) {
         try {
             return MAPPER.readTree(value);
         } catch (JsonProcessingException e) {
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobFeed.java
@@ -10,28 +10,32 @@
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.WatchResult;
 
-/** Follows the stored jobs: a list, then watches; after a gap the list again. On the event loop. */
+/** Lists the stored jobs and then watches them; lists them again after a gap. On the event loop. */
 final class JobFeed {
-    /** Bounds how old the knowledge is that nothing has changed. */
-    private static final Duration WATCH_WAIT = Duration.ofMillis(200);
+    /** Bounds the age of the last answer while nothing changes. */
+    private static final Duration WATCH_TIMEOUT = Duration.ofMillis(200);
 
-    /** Changes gather between two watches, each of which is a call. */
-    private static final Duration PAUSE = Duration.ofMillis(380);
+    /** Collects changes between two watches, since each watch is a call of the store. */
+    private static final Duration WATCH_PAUSE = Duration.ofMillis(380);
 
-    private static final Duration RETRY = Duration.ofMillis(300);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
-    private final JobRegistry book;
+    private final JobRegistry jobs;
     private final ObjectStore store;
     private final EventLoop loop;
-    private final StoreAvailability contact;
-    private boolean complete;
-    private long freshAt;
+    private final StoreAvailability storeAvailability;
+    private boolean isComplete;
+    private long upToDateAt;
 
-    JobFeed(JobRegistry book, ObjectStore store, EventLoop loop, StoreAvailability contact) {
-        this.book = book;
+    JobFeed(
+            JobRegistry jobs,
+            ObjectStore store,
+            EventLoop loop,
+            StoreAvailability storeAvailability) {
+        this.jobs = jobs;
         this.store = store;
         this.loop = loop;
-        this.contact = contact;
+        this.storeAvailability = storeAvailability;
     }
 
     void start() {
@@ -40,39 +44,39 @@
 
     /** Whether all jobs stored at the start are known. */
     boolean isComplete() {
-        return complete;
+        return isComplete;
     }
 
-    /** Time since which a change may have been missed, nanoseconds. */
+    /** Time since the last request whose answer covered all changes, nanoseconds. */
     long staleNanos() {
-        return complete ? System.nanoTime() - freshAt : Long.MAX_VALUE;
+        return isComplete ? System.nanoTime() - upToDateAt : Long.MAX_VALUE;
     }
 
     private void list() {
-        long askedAt = System.nanoTime();
-        store.list(JobObject.KIND, "").thenAcceptAsync(result -> onList(result, askedAt), loop);
+        long requestedAt = System.nanoTime();
+        store.list(JobObject.KIND, "").thenAcceptAsync(result -> onList(result, requestedAt), loop);
     }
 
-    private void onList(ListResult result, long askedAt) {
-        contact.onResult(result);
+    private void onList(ListResult result, long requestedAt) {
+        storeAvailability.onResult(result);
         if (!(result instanceof ListResult.Listed listed)) {
-            later(RETRY, this::list);
+            runAfter(RETRY_DELAY, this::list);
             return;
         }
-        // Parts and records are taken before and after the headers that they belong to.
+        // Document parts are applied before the headers of their jobs, records and ends after them.
         listed.objects().stream()
                 .filter(object -> isPart(object.key().name()))
-                .forEach(book::apply);
+                .forEach(jobs::apply);
         listed.objects().stream()
                 .filter(object -> object.key().name().endsWith(".job"))
-                .forEach(book::apply);
+                .forEach(jobs::apply);
         listed.objects().stream()
                 .filter(object -> !isPart(object.key().name()))
                 .filter(object -> !object.key().name().endsWith(".job"))
                 .sorted(java.util.Comparator.comparingLong(object -> object.revision()))
-                .forEach(book::apply);
-        complete = true;
-        freshAt = askedAt;
+                .forEach(jobs::apply);
+        isComplete = true;
+        upToDateAt = requestedAt;
         watch(listed.revision());
     }
 
@@ -81,28 +85,28 @@
     }
 
     private void watch(long after) {
-        long askedAt = System.nanoTime();
-        store.watch(Set.of(JobObject.KIND), after, WATCH_WAIT)
-                .thenAcceptAsync(result -> onWatch(result, after, askedAt), loop);
+        long requestedAt = System.nanoTime();
+        store.watch(Set.of(JobObject.KIND), after, WATCH_TIMEOUT)
+                .thenAcceptAsync(result -> onWatch(result, after, requestedAt), loop);
     }
 
-    private void onWatch(WatchResult result, long after, long askedAt) {
-        contact.onResult(result);
+    private void onWatch(WatchResult result, long after, long requestedAt) {
+        storeAvailability.onResult(result);
         if (result instanceof WatchResult.Changes changes) {
             changes.changes().stream()
                     .map(WatchResult.Change::object)
                     .filter(Objects::nonNull)
-                    .forEach(book::apply);
-            freshAt = askedAt;
-            later(PAUSE, () -> watch(Math.max(after, changes.revision())));
+                    .forEach(jobs::apply);
+            upToDateAt = requestedAt;
+            runAfter(WATCH_PAUSE, () -> watch(Math.max(after, changes.revision())));
         } else if (result instanceof WatchResult.Gap) {
             list();
         } else {
-            later(RETRY, () -> watch(after));
+            runAfter(RETRY_DELAY, () -> watch(after));
         }
     }
 
-    private void later(Duration pause, Runnable task) {
-        loop.schedule(task, pause.toMillis(), TimeUnit.MILLISECONDS);
+    private void runAfter(Duration delay, Runnable task) {
+        loop.schedule(task, delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobObject.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobObject.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 import org.sardinelift.objects.ObjectKey;
 
-/** Names of the objects by which a job is stored. */
+/** Identifies an object by which a job is stored. */
 sealed interface JobObject {
-    /** Kind of all of them. */
+    /** Kind of all objects of jobs. */
     String KIND = "sardinelift-jobs";
 
     /**
@@ -26,7 +26,7 @@
         return new ObjectKey(KIND, name());
     }
 
-    /** Makes a job accepted. */
+    /** Its creation makes the job accepted. */
     record Header(String job) implements JobObject {
         @Override
         public String name() {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** A part of a long document. */
+    /** Part of the beginning of a long document. */
     record Part(String job, int number) implements JobObject {
         @Override
         public String name() {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Results, each at the position that follows from the records before. */
+    /** Results; their positions follow those of the preceding records. */
     record Record(String job, int number) implements JobObject {
         @Override
         public String name() {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The caller has ended the job. */
+    /** Shows that the caller has ended the job. */
     record End(String job) implements JobObject {
         @Override
         public String name() {
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobPaths.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobPaths.java
@@ -3,9 +3,9 @@
 import io.netty.handler.codec.http.QueryStringEncoder;
 import java.util.Map;
 
-/** Internal calls about batch jobs, from gateways to workers. */
+/** Paths and queries of the internal calls about batch jobs, from gateways to workers. */
 public final class JobPaths {
-    /** Begins the path of every such call. */
+    /** Prefix of all paths. */
     public static final String PREFIX = "/jobs/";
 
     static final String RESULTS = "/results";
@@ -19,12 +19,12 @@
     private JobPaths() {}
 
     /**
-     * Submission of a job.
+     * URI of the submission of a job.
      *
      * @param job name of the job
      * @param team team that it runs for
      * @param route name of its route
-     * @param host host that the caller named
+     * @param host host header of the caller's request
      * @return path and query
      */
     public static String submitUri(String job, String team, String route, String host) {
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Another call about a job.
+     * URI of a call about a submitted job.
      *
      * @param call the call
      * @param team team of the caller
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobRecorder.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobRecorder.java
@@ -13,56 +13,60 @@
 import org.sardinelift.objects.WriteResult;
 import org.sardinelift.runtime.log.Event;
 
-/** Records results, for each job one record after the other. On the event loop. */
+/** Writes results to the store, one record of a job at a time. On the event loop. */
 final class JobRecorder {
-    /** Results of one job that end within this time share a record. */
-    private static final Duration GATHER = Duration.ofMillis(40);
+    /** Results of a job that arrive within this time share a record. */
+    private static final Duration RECORD_BATCH_DELAY = Duration.ofMillis(40);
 
-    private static final Duration RETRY = Duration.ofMillis(200);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
     private static final int MAX_RECORD_CHARS = 400_000;
 
     private final JobStorage storage;
-    private final JobRegistry book;
+    private final JobRegistry jobs;
     private final EventLoop loop;
-    private final Predicate<String> isPending;
-    private final Set<String> recording = new HashSet<>();
+    private final Predicate<String> isAwaitingStore;
+    private final Set<String> recordingJobs = new HashSet<>();
 
     /**
-     * Makes a recorder.
+     * Creates a recorder.
      *
-     * @param isPending whether a job is not in the store yet: its records must not come before it
+     * @param isAwaitingStore whether a job is not stored yet, so that its records must wait
      */
-    JobRecorder(JobStorage storage, JobRegistry book, EventLoop loop, Predicate<String> isPending) {
-        this.isPending = isPending;
+    JobRecorder(
+            JobStorage storage,
+            JobRegistry jobs,
+            EventLoop loop,
+            Predicate<String> isAwaitingStore) {
+        this.isAwaitingStore = isAwaitingStore;
         this.storage = storage;
-        this.book = book;
+        this.jobs = jobs;
         this.loop = loop;
     }
 
-    /** Results of the job wait to be recorded. */
+    /** Schedules the recording of a job's results, unless it is scheduled or running. */
     void scheduleRecording(JobProgress job) {
-        if (recording.add(job.spec().id())) {
-            later(GATHER, job);
+        if (recordingJobs.add(job.spec().id())) {
+            recordAfter(RECORD_BATCH_DELAY, job);
         }
     }
 
-    /** Whether any result waits to be recorded. */
+    /** Whether no result waits to be recorded. */
     boolean isIdle() {
-        return recording.isEmpty();
+        return recordingJobs.isEmpty();
     }
 
-    private void later(Duration pause, JobProgress job) {
-        loop.schedule(() -> record(job), pause.toMillis(), TimeUnit.MILLISECONDS);
+    private void recordAfter(Duration delay, JobProgress job) {
+        loop.schedule(() -> record(job), delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void record(JobProgress job) {
         List<ItemResult> batch = job.unrecordedResults(MAX_RECORD_CHARS);
         if (batch.isEmpty() || job.hasEnded()) {
-            recording.remove(job.spec().id());
+            recordingJobs.remove(job.spec().id());
             return;
         }
-        if (isPending.test(job.spec().id())) {
-            later(RETRY, job);
+        if (isAwaitingStore.test(job.spec().id())) {
+            recordAfter(RETRY_DELAY, job);
             return;
         }
         int number = job.nextRecord();
@@ -72,7 +76,7 @@
 
     private void onResult(JobProgress job, int number, List<ItemResult> batch, WriteResult result) {
         if (result instanceof WriteResult.Written) {
-            book.onRecordWritten(job, number, batch);
+            jobs.onRecordWritten(job, number, batch);
             long ageMs = System.currentTimeMillis() - job.spec().submittedMs();
             batch.forEach(each -> WorkerMetrics.observeResultAge(ageMs));
             Event.of("job.recorded")
@@ -83,27 +87,27 @@
                     .info();
             record(job);
         } else if (result instanceof WriteResult.Conflict) {
-            readOther(job, number);
+            readExisting(job, number);
         } else {
-            later(RETRY, job);
+            recordAfter(RETRY_DELAY, job);
         }
     }
 
-    /** The record is there: written by another worker, or here with the answer lost. */
-    private void readOther(JobProgress job, int number) {
+    /** Reads a record that another worker has written, or this one whose answer was lost. */
+    private void readExisting(JobProgress job, int number) {
         JobObject.Record object = new JobObject.Record(job.spec().id(), number);
         storage.read(object)
                 .thenAccept(
                         result -> {
                             if (result instanceof ReadResult.Found found) {
-                                book.apply(found.object());
+                                jobs.apply(found.object());
                                 Event.of("job.record_found")
                                         .with("job", job.spec().id())
                                         .with("record", number)
                                         .info();
                                 record(job);
                             } else {
-                                later(RETRY, job);
+                                recordAfter(RETRY_DELAY, job);
                             }
                         });
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobRegistry.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobRegistry.java
@@ -15,27 +15,27 @@
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.runtime.log.Event;
 
-/** All jobs as far as their objects are known to this worker; on the event loop. */
+/** The jobs known to this worker, built from their stored objects; on the event loop. */
 final class JobRegistry {
-    private final JobApi jobInterface;
+    private final JobApi jobApi;
     private final Map<String, JobProgress> jobs = new HashMap<>();
-    private final Map<String, Map<Integer, String>> parts = new HashMap<>();
-    private final Map<String, Map<Integer, String>> early = new HashMap<>();
-    private Consumer<JobProgress> listener = job -> {};
+    private final Map<String, Map<Integer, String>> documentParts = new HashMap<>();
+    private final Map<String, Map<Integer, String>> waitingObjects = new HashMap<>();
+    private Consumer<JobProgress> changeListener = job -> {};
     private Consumer<String> storedListener = job -> {};
 
-    JobRegistry(JobApi jobInterface) {
-        this.jobInterface = jobInterface;
+    JobRegistry(JobApi jobApi) {
+        this.jobApi = jobApi;
     }
 
-    /** Sets who hears of each change of a job. */
-    void setChangeListener(Consumer<JobProgress> changed) {
-        listener = changed;
+    /** Sets the listener notified of each change of a job. */
+    void setChangeListener(Consumer<JobProgress> listener) {
+        changeListener = listener;
     }
 
-    /** Sets who hears of each job whose header is seen in the store. */
-    void setStoredListener(Consumer<String> stored) {
-        storedListener = stored;
+    /** Sets the listener notified of each job whose header is found in the store. */
+    void setStoredListener(Consumer<String> listener) {
+        storedListener = listener;
     }
 
     Optional<JobProgress> find(String job) {
@@ -46,15 +46,15 @@
         return jobs.values();
     }
 
-    /** Takes an object as it is stored; an object that was taken before tells nothing. */
+    /** Applies a stored object; has no effect if it was applied before. */
     void apply(StoredObject object) {
-        Optional<JobObject> named = JobObject.parse(object.key().name());
-        if (named.isEmpty()) {
+        Optional<JobObject> parsed = JobObject.parse(object.key().name());
+        if (parsed.isEmpty()) {
             Event.of("job.unreadable").with("object", object.key().name()).warn();
             return;
         }
         try {
-            apply(named.get(), object.value());
+            apply(parsed.get(), object.value());
         } catch (IllegalArgumentException e) {
             Event.of("job.unreadable")
                     .with("object", object.key().name())
@@ -65,39 +65,43 @@
 
     private void apply(JobObject object, String value) {
         if (object instanceof JobObject.Header) {
-            takeHeader(object.job(), JobCodec.header(value));
+            applyHeader(object.job(), JobCodec.decodeHeader(value));
         } else if (object instanceof JobObject.Part part) {
             if (!jobs.containsKey(part.job())) {
-                parts.computeIfAbsent(part.job(), key -> new TreeMap<>()).put(part.number(), value);
+                documentParts
+                        .computeIfAbsent(part.job(), key -> new TreeMap<>())
+                        .put(part.number(), value);
             }
-        } else if (object instanceof JobObject.Record recorded) {
-            takeRecord(recorded, value);
+        } else if (object instanceof JobObject.Record recordObject) {
+            applyRecord(recordObject, value);
         } else {
             JobProgress job = jobs.get(object.job());
             if (job == null) {
-                early.computeIfAbsent(object.job(), key -> new TreeMap<>()).put(END, "");
+                waitingObjects
+                        .computeIfAbsent(object.job(), key -> new TreeMap<>())
+                        .put(END_NUMBER, "");
             } else {
                 onJobEnded(job);
             }
         }
     }
 
-    /** Stands for the end among objects that came before the header of their job. */
-    private static final int END = -1;
+    /** Number of the end among the objects read before the header of their job. */
+    private static final int END_NUMBER = -1;
 
-    private void takeHeader(String job, JobCodec.Header header) {
+    private void applyHeader(String job, JobCodec.Header header) {
         storedListener.accept(job);
         if (jobs.containsKey(job)) {
             return;
         }
-        Map<Integer, String> held = parts.getOrDefault(job, Map.of());
-        if (held.size() < header.parts()) {
+        Map<Integer, String> parts = documentParts.getOrDefault(job, Map.of());
+        if (parts.size() < header.parts()) {
             throw new IllegalArgumentException(
-                    held.size() + " of " + header.parts() + " parts are known");
+                    parts.size() + " of " + header.parts() + " parts of the document are known");
         }
         String beginning =
                 IntStream.range(0, header.parts())
-                        .mapToObj(held::get)
+                        .mapToObj(parts::get)
                         .collect(Collectors.joining());
         byte[] document =
                 (beginning + header.document()).getBytes(java.nio.charset.StandardCharsets.UTF_8);
@@ -108,10 +112,10 @@
                         header.route(),
                         header.host(),
                         header.submittedMs(),
-                        jobInterface.parseItems(document)));
+                        jobApi.parseItems(document)));
     }
 
-    /** Takes a job that was accepted here. */
+    /** Adds a job, unless it is known, and applies the objects that were read before it. */
     JobProgress add(JobSpec spec) {
         JobProgress known = jobs.get(spec.id());
         if (known != null) {
@@ -119,45 +123,46 @@
         }
         JobProgress job = JobProgress.of(spec);
         jobs.put(spec.id(), job);
-        parts.remove(spec.id());
-        Map<Integer, String> waiting = early.remove(spec.id());
+        documentParts.remove(spec.id());
+        Map<Integer, String> waiting = waitingObjects.remove(spec.id());
         if (waiting != null) {
-            waiting.forEach((number, value) -> takeEarly(job, number, value));
+            waiting.forEach((number, value) -> applyWaiting(job, number, value));
         }
-        listener.accept(job);
+        changeListener.accept(job);
         return job;
     }
 
-    private void takeEarly(JobProgress job, int number, String value) {
-        if (number == END) {
+    private void applyWaiting(JobProgress job, int number, String value) {
+        if (number == END_NUMBER) {
             job.end();
         } else {
-            job.applyRecord(number, JobCodec.record(value));
+            job.applyRecord(number, JobCodec.decodeRecord(value));
         }
     }
 
-    private void takeRecord(JobObject.Record recorded, String value) {
-        JobProgress job = jobs.get(recorded.job());
+    private void applyRecord(JobObject.Record recordObject, String value) {
+        JobProgress job = jobs.get(recordObject.job());
         if (job == null) {
-            early.computeIfAbsent(recorded.job(), key -> new TreeMap<>())
-                    .put(recorded.number(), value);
+            waitingObjects
+                    .computeIfAbsent(recordObject.job(), key -> new TreeMap<>())
+                    .put(recordObject.number(), value);
             return;
         }
-        if (recorded.number() < job.nextRecord()) {
+        if (recordObject.number() < job.nextRecord()) {
             return;
         }
-        JobProgress.ApplyResult applied =
-                job.applyRecord(recorded.number(), JobCodec.record(value));
-        if (applied == JobProgress.ApplyResult.GAP) {
+        JobProgress.ApplyResult result =
+                job.applyRecord(recordObject.number(), JobCodec.decodeRecord(value));
+        if (result == JobProgress.ApplyResult.GAP) {
             throw new IllegalArgumentException("record " + job.nextRecord() + " is missing");
         }
-        listener.accept(job);
+        changeListener.accept(job);
     }
 
-    /** Takes a record that was written here. */
+    /** This worker has written a record. */
     void onRecordWritten(JobProgress job, int number, List<ItemResult> results) {
         if (job.applyRecord(number, results) == JobProgress.ApplyResult.APPLIED) {
-            listener.accept(job);
+            changeListener.accept(job);
         }
     }
 
@@ -166,13 +171,13 @@
         if (!job.hasEnded()) {
             job.end();
             Event.of("job.ended").with("job", job.spec().id()).info();
-            listener.accept(job);
+            changeListener.accept(job);
         }
     }
 
     void remove(String job) {
         jobs.remove(job);
-        parts.remove(job);
-        early.remove(job);
+        documentParts.remove(job);
+        waitingObjects.remove(job);
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobService.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobService.java
@@ -26,18 +26,18 @@
 
 /** Answers gateways' calls about batch jobs. On the event loop. */
 final class JobService {
-    private static final Duration SUBMIT_BOUND = Duration.ofMillis(750);
+    private static final Duration SUBMIT_TIMEOUT = Duration.ofMillis(750);
 
-    /** Time of several usual answers of the store; a job is then kept on disks as well. */
-    private static final Duration SPOOL_AFTER = Duration.ofMillis(100);
+    /** Several usual response times of the store; a job is then written to disks as well. */
+    private static final Duration SPOOL_DELAY = Duration.ofMillis(100);
 
-    /** Several heartbeats, within which all workers that are there are heard after a start. */
-    private static final Duration ACQUAINTED = Duration.ofSeconds(3);
+    /** Several heartbeats, in which all live workers report after a start. */
+    private static final Duration PEER_DISCOVERY_TIME = Duration.ofSeconds(3);
 
-    private static final Duration END_BOUND = Duration.ofMillis(500);
+    private static final Duration END_TIMEOUT = Duration.ofMillis(500);
 
-    /** Knowledge that is older may lack a result that a caller has read elsewhere. */
-    private static final Duration FRESH = Duration.ofMillis(700);
+    /** Older state may lack a result that a caller has already read from another worker. */
+    private static final Duration MAX_STALENESS = Duration.ofMillis(700);
 
     private static final int MAX_PAGE_CHARS = 700_000;
     private static final int OK = 200;
@@ -48,43 +48,43 @@
     private static final int OUTCOME_UNKNOWN = 504;
     private static final int MAX_ITEMS = 200;
 
-    private final JobApi jobInterface;
-    private final JobRegistry book;
+    private final JobApi jobApi;
+    private final JobRegistry jobs;
     private final JobFeed feed;
     private final JobStorage storage;
     private final JobSpool spool;
-    private final StoreAvailability contact;
+    private final StoreAvailability storeAvailability;
     private final PeerNetwork network;
     private final EventLoop loop;
-    private final Consumer<JobProgress> accepted;
+    private final Consumer<JobProgress> acceptedListener;
     private final long startedAt = System.nanoTime();
     private final Map<String, List<Waiter>> waiters = new HashMap<>();
 
     /** A read that waits for a result. */
-    private record Waiter(HttpExchange exchange, int after, long deadline) {}
+    private record Waiter(HttpExchange exchange, int firstPosition, long deadline) {}
 
     JobService(
-            JobApi jobInterface,
-            JobRegistry book,
+            JobApi jobApi,
+            JobRegistry jobs,
             JobFeed feed,
             JobStorage storage,
             JobSpool spool,
-            StoreAvailability contact,
+            StoreAvailability storeAvailability,
             PeerNetwork network,
             EventLoop loop,
-            Consumer<JobProgress> accepted) {
-        this.jobInterface = jobInterface;
-        this.book = book;
+            Consumer<JobProgress> acceptedListener) {
+        this.jobApi = jobApi;
+        this.jobs = jobs;
         this.feed = feed;
         this.storage = storage;
         this.spool = spool;
-        this.contact = contact;
+        this.storeAvailability = storeAvailability;
         this.network = network;
         this.loop = loop;
-        this.accepted = accepted;
+        this.acceptedListener = acceptedListener;
     }
 
-    /** Answers a call; false where its path is none of a job. */
+    /** Answers a call about a job; returns false if the path is another one. */
     boolean handle(HttpExchange exchange) {
         String path = exchange.path();
         if (!path.startsWith(JobPaths.PREFIX)) {
@@ -95,55 +95,58 @@
         if (exchange.method().equals("POST")) {
             submit(exchange, rest);
         } else if (exchange.method().equals("DELETE")) {
-            withJob(exchange, rest, job -> end(exchange, job));
+            withJob(exchange, rest, job -> endJob(exchange, job));
         } else if (items > 0) {
             String item = rest.substring(items + JobPaths.ITEMS.length());
-            withJob(exchange, rest.substring(0, items), job -> body(exchange, job, item));
+            withJob(
+                    exchange,
+                    rest.substring(0, items),
+                    job -> respondWithItemBody(exchange, job, item));
         } else if (rest.endsWith(JobPaths.RESULTS)) {
             String job = rest.substring(0, rest.length() - JobPaths.RESULTS.length());
-            withJob(exchange, job, found -> results(exchange, found));
+            withJob(exchange, job, found -> respondWithResults(exchange, found));
         } else {
-            answer(exchange, NOT_FOUND, "no such call");
+            respond(exchange, NOT_FOUND, "no such call");
         }
         return true;
     }
 
     private void submit(HttpExchange exchange, String id) {
-        if (book.find(id).isPresent()) {
-            answer(exchange, ACCEPTED, "accepted before");
+        if (jobs.find(id).isPresent()) {
+            respond(exchange, ACCEPTED, "already accepted");
             return;
         }
         List<JobItem> items;
         try {
-            items = jobInterface.parseItems(exchange.body());
+            items = jobApi.parseItems(exchange.body());
         } catch (IllegalArgumentException e) {
-            answer(exchange, BAD_REQUEST, "the job can't be read: " + e.getMessage());
+            respond(exchange, BAD_REQUEST, "malformed job: " + e.getMessage());
             return;
         }
         if (items.isEmpty() || items.size() > MAX_ITEMS) {
-            answer(exchange, BAD_REQUEST, "a job has 1 to " + MAX_ITEMS + " items");
+            respond(exchange, BAD_REQUEST, "a job has 1 to " + MAX_ITEMS + " items");
             return;
         }
         JobSpec spec =
                 new JobSpec(
                         id,
-                        query(exchange, JobPaths.TEAM),
-                        query(exchange, JobPaths.ROUTE),
-                        query(exchange, JobPaths.HOST),
+                        queryParameter(exchange, JobPaths.TEAM),
+                        queryParameter(exchange, JobPaths.ROUTE),
+                        queryParameter(exchange, JobPaths.HOST),
                         System.currentTimeMillis(),
                         items);
         new Submission(exchange, spec, new String(exchange.body(), StandardCharsets.UTF_8)).start();
     }
 
-    /** One submission, until the store or enough disks hold the job. */
+    /** One submission, in progress until the store or enough disks hold the job. */
     private final class Submission {
         private final HttpExchange exchange;
         private final JobSpec spec;
         private final JobCodec.Header header;
-        private JobStorage.@Nullable CreateResult stored;
-        private CopyCount.@Nullable Outcome spooled;
-        private boolean spooling;
-        private boolean answered;
+        private JobStorage.@Nullable CreateResult storeResult;
+        private CopyCount.@Nullable Outcome spoolOutcome;
+        private boolean isSpooling;
+        private boolean isAnswered;
 
         Submission(HttpExchange exchange, JobSpec spec, String document) {
             this.exchange = exchange;
@@ -159,112 +162,114 @@
         }
 
         void start() {
-            long deadline = System.nanoTime() + SUBMIT_BOUND.toNanos();
+            long deadline = System.nanoTime() + SUBMIT_TIMEOUT.toNanos();
             storage.createJob(spec.id(), header, header.document(), deadline)
                     .thenAccept(this::onStored);
-            if (contact.isAvailable()) {
-                loop.schedule(this::spool, SPOOL_AFTER.toNanos(), TimeUnit.NANOSECONDS);
+            if (storeAvailability.isAvailable()) {
+                loop.schedule(this::storeOnDisks, SPOOL_DELAY.toNanos(), TimeUnit.NANOSECONDS);
             } else {
-                spool();
+                storeOnDisks();
             }
         }
 
-        private void spool() {
-            if (!answered && !spooling) {
-                spooling = true;
+        private void storeOnDisks() {
+            if (!isAnswered && !isSpooling) {
+                isSpooling = true;
                 spool.storeCopies(spec.id(), header).thenAccept(this::onSpooled);
             }
         }
 
-        private void onStored(JobStorage.CreateResult created) {
-            stored = created;
-            WorkerMetrics.countSubmission(created.name().toLowerCase(java.util.Locale.ROOT));
-            if (created == JobStorage.CreateResult.EXISTS) {
+        private void onStored(JobStorage.CreateResult result) {
+            storeResult = result;
+            WorkerMetrics.countSubmission(result.name().toLowerCase(java.util.Locale.ROOT));
+            if (result == JobStorage.CreateResult.EXISTS) {
                 spool.onJobStored(spec.id());
                 accept();
             } else {
-                spool();
-                refuseWhereBothFailed();
+                storeOnDisks();
+                refuseIfBothFailed();
             }
         }
 
         private void onSpooled(CopyCount.Outcome outcome) {
-            spooled = outcome;
+            spoolOutcome = outcome;
             if (outcome == CopyCount.Outcome.KEPT) {
                 WorkerMetrics.countSubmission("spooled");
                 accept();
             } else {
-                refuseWhereBothFailed();
+                refuseIfBothFailed();
             }
         }
 
         private void accept() {
-            JobProgress job = book.add(spec);
-            accepted.accept(job);
-            answerOnce(ACCEPTED, "accepted");
+            JobProgress job = jobs.add(spec);
+            acceptedListener.accept(job);
+            respondOnce(ACCEPTED, "accepted");
         }
 
-        private void refuseWhereBothFailed() {
-            if (stored == null || spooled == null) {
+        private void refuseIfBothFailed() {
+            if (storeResult == null || spoolOutcome == null) {
                 return;
             }
-            boolean mayRun =
-                    stored == JobStorage.CreateResult.UNCLEAR
-                            || spooled == CopyCount.Outcome.UNCLEAR;
-            if (mayRun) {
-                answerOnce(OUTCOME_UNKNOWN, "the job may have been stored");
+            boolean mayBeStored =
+                    storeResult == JobStorage.CreateResult.UNCLEAR
+                            || spoolOutcome == CopyCount.Outcome.UNCLEAR;
+            if (mayBeStored) {
+                respondOnce(OUTCOME_UNKNOWN, "the job may have been stored");
             } else {
-                answerOnce(UNAVAILABLE, "the job could not be stored");
+                respondOnce(UNAVAILABLE, "neither the store nor enough disks could store the job");
             }
         }
 
-        private void answerOnce(int status, String detail) {
-            if (answered) {
+        private void respondOnce(int status, String detail) {
+            if (isAnswered) {
                 return;
             }
-            answered = true;
+            isAnswered = true;
             Event.of("job.submitted")
                     .with("job", spec.id())
                     .with("team", spec.team())
                     .with("items", spec.items().size())
                     .with("status", status)
-                    .with("stored", stored == null ? "pending" : stored.name())
-                    .with("spooled", spooled == null ? null : spooled.name())
+                    .with("stored", storeResult == null ? "pending" : storeResult.name())
+                    .with("spooled", spoolOutcome == null ? null : spoolOutcome.name())
                     .info();
-            answer(exchange, status, detail);
+            respond(exchange, status, detail);
         }
     }
 
     private void withJob(HttpExchange exchange, String id, Consumer<JobProgress> action) {
-        Optional<JobProgress> known = book.find(id);
+        Optional<JobProgress> known = jobs.find(id);
         if (known.isPresent()) {
             checkTeam(exchange, known.get(), action);
             return;
         }
-        load(id).thenAccept(
+        loadJob(id)
+                .thenAccept(
                         found -> {
                             if (found.isEmpty()) {
-                                answer(exchange, UNAVAILABLE, "the store doesn't answer");
-                            } else if (!found.get() && mayBeElsewhere(id)) {
-                                answer(exchange, UNAVAILABLE, "another worker may know the job");
+                                respond(exchange, UNAVAILABLE, "the store doesn't answer");
+                            } else if (!found.get() && mayBeKnownElsewhere(id)) {
+                                respond(exchange, UNAVAILABLE, "another worker may know the job");
                             } else if (!found.get()) {
-                                answer(exchange, NOT_FOUND, "no such job");
+                                respond(exchange, NOT_FOUND, "no such job");
                             } else {
-                                checkTeam(exchange, book.find(id).orElseThrow(), action);
+                                checkTeam(exchange, jobs.find(id).orElseThrow(), action);
                             }
                         });
     }
 
     /**
-     * A job that only disks hold yet is not in the store. The worker that runs it reports it, so
-     * that only one that hears all others may deny a job.
+     * Whether another worker may know a job that is not in the store because only disks hold it so
+     * far. The worker that runs such a job reports it, so that only a worker that receives the
+     * reports of all others may answer that there is no such job.
      */
-    private boolean mayBeElsewhere(String id) {
+    private boolean mayBeKnownElsewhere(String id) {
         long now = System.nanoTime();
         long hash = ItemRunner.hash(id);
-        boolean young = now - startedAt < ACQUAINTED.toNanos();
+        boolean hasJustStarted = now - startedAt < PEER_DISCOVERY_TIME.toNanos();
         return spool.isEnabled()
-                && (young
+                && (hasJustStarted
                         || !network.peers().isEveryPeerLive(PeerRole.WORKER, now)
                         || network.peers()
                                 .livePeers(PeerRole.WORKER, now)
@@ -272,15 +277,15 @@
     }
 
     private void checkTeam(HttpExchange exchange, JobProgress job, Consumer<JobProgress> action) {
-        if (job.spec().team().equals(query(exchange, JobPaths.TEAM))) {
+        if (job.spec().team().equals(queryParameter(exchange, JobPaths.TEAM))) {
             action.accept(job);
         } else {
-            answer(exchange, NOT_FOUND, "no such job of this team");
+            respond(exchange, NOT_FOUND, "no such job of this team");
         }
     }
 
-    /** Reads a job from the store; empty where the store doesn't answer. */
-    private CompletableFuture<Optional<Boolean>> load(String id) {
+    /** Reads a job; returns whether it exists, or empty if the store doesn't answer. */
+    private CompletableFuture<Optional<Boolean>> loadJob(String id) {
         return storage.read(new JobObject.Header(id))
                 .thenCompose(
                         result -> {
@@ -290,13 +295,15 @@
                             if (!(result instanceof ReadResult.Found found)) {
                                 return CompletableFuture.completedFuture(Optional.empty());
                             }
-                            int parts = JobCodec.header(found.object().value()).parts();
+                            int parts = JobCodec.decodeHeader(found.object().value()).parts();
                             return loadParts(id, 0, parts)
                                     .thenApply(
-                                            whole -> {
-                                                book.apply(found.object());
-                                                boolean known = book.find(id).isPresent();
-                                                return known ? Optional.of(true) : Optional.empty();
+                                            loaded -> {
+                                                jobs.apply(found.object());
+                                                boolean isKnown = jobs.find(id).isPresent();
+                                                return isKnown
+                                                        ? Optional.of(true)
+                                                        : Optional.empty();
                                             });
                         });
     }
@@ -309,19 +316,19 @@
                 .thenCompose(
                         result -> {
                             if (result instanceof ReadResult.Found found) {
-                                book.apply(found.object());
+                                jobs.apply(found.object());
                             }
                             return loadParts(id, number + 1, parts);
                         });
     }
 
-    private void end(HttpExchange exchange, JobProgress job) {
+    private void endJob(HttpExchange exchange, JobProgress job) {
         if (job.hasEnded()) {
-            answer(exchange, OK, "ended");
+            respond(exchange, OK, "ended");
             return;
         }
         String id = job.spec().id();
-        storage.createEnd(id, System.nanoTime() + END_BOUND.toNanos())
+        storage.createEnd(id, System.nanoTime() + END_TIMEOUT.toNanos())
                 .thenAccept(
                         created -> {
                             Event.of("job.end")
@@ -329,59 +336,64 @@
                                     .with("stored", created.name())
                                     .info();
                             if (created == JobStorage.CreateResult.EXISTS) {
-                                book.onJobEnded(job);
-                                answer(exchange, OK, "ended");
+                                jobs.onJobEnded(job);
+                                respond(exchange, OK, "ended");
                             } else {
-                                answer(exchange, UNAVAILABLE, "the end could not be stored");
+                                respond(
+                                        exchange,
+                                        UNAVAILABLE,
+                                        "the end of the job could not be stored");
                             }
                         });
     }
 
-    private void body(HttpExchange exchange, JobProgress job, String item) {
+    private void respondWithItemBody(HttpExchange exchange, JobProgress job, String item) {
         Optional<JobItem> found = job.item(item);
         if (found.isEmpty()) {
-            answer(exchange, NOT_FOUND, "no such item");
+            respond(exchange, NOT_FOUND, "no such item");
             return;
         }
         exchange.respond(
                 OK, Map.of("content-type", "application/octet-stream"), found.get().body());
     }
 
-    private void results(HttpExchange exchange, JobProgress job) {
-        int after = (int) number(exchange, JobPaths.AFTER);
-        long waitMs = number(exchange, JobPaths.WAIT_MS);
-        if (job.filledPositions() > after) {
-            answerPage(exchange, job, after);
+    private void respondWithResults(HttpExchange exchange, JobProgress job) {
+        int firstPosition = (int) numericParameter(exchange, JobPaths.AFTER);
+        long waitMs = numericParameter(exchange, JobPaths.WAIT_MS);
+        if (job.filledPositions() > firstPosition) {
+            respondWithPage(exchange, job, firstPosition);
             return;
         }
-        boolean complete = job.filledPositions() == job.spec().items().size();
-        if (complete || waitMs <= 0) {
-            answerEmpty(exchange, job, after);
+        boolean isComplete = job.filledPositions() == job.spec().items().size();
+        if (isComplete || waitMs <= 0) {
+            respondWithEmptyPage(exchange, job, firstPosition);
             return;
         }
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
-        Waiter waiter = new Waiter(exchange, after, deadline);
+        Waiter waiter = new Waiter(exchange, firstPosition, deadline);
         String id = job.spec().id();
         waiters.computeIfAbsent(id, key -> new ArrayList<>()).add(waiter);
-        loop.schedule(() -> onWaitOver(id, job, waiter), waitMs, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> onWaitExpired(id, job, waiter), waitMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Positions of a job were filled. */
+    /** A job has changed: answers the reads whose result is now there. */
     void onJobChanged(JobProgress job) {
         List<Waiter> waiting = waiters.get(job.spec().id());
         if (waiting == null) {
             return;
         }
         List<Waiter> due =
-                waiting.stream().filter(waiter -> job.filledPositions() > waiter.after()).toList();
-        due.forEach(waiter -> answerPage(waiter.exchange(), job, waiter.after()));
+                waiting.stream()
+                        .filter(waiter -> job.filledPositions() > waiter.firstPosition())
+                        .toList();
+        due.forEach(waiter -> respondWithPage(waiter.exchange(), job, waiter.firstPosition()));
         waiting.removeAll(due);
         if (waiting.isEmpty()) {
             waiters.remove(job.spec().id());
         }
     }
 
-    private void onWaitOver(String id, JobProgress job, Waiter waiter) {
+    private void onWaitExpired(String id, JobProgress job, Waiter waiter) {
         List<Waiter> waiting = waiters.get(id);
         if (waiting == null || !waiting.remove(waiter)) {
             return;
@@ -389,50 +401,50 @@
         if (waiting.isEmpty()) {
             waiters.remove(id);
         }
-        answerEmpty(waiter.exchange(), job, waiter.after());
+        respondWithEmptyPage(waiter.exchange(), job, waiter.firstPosition());
     }
 
-    /** Says that nothing is at a position, once that is certain. */
-    private void answerEmpty(HttpExchange exchange, JobProgress job, int after) {
-        boolean complete = job.filledPositions() == job.spec().items().size();
-        if (complete || feed.staleNanos() < FRESH.toNanos()) {
-            answerPage(exchange, job, after);
+    /** Answers that there is no result from a position on, after making sure of it. */
+    private void respondWithEmptyPage(HttpExchange exchange, JobProgress job, int firstPosition) {
+        boolean isComplete = job.filledPositions() == job.spec().items().size();
+        if (isComplete || feed.staleNanos() < MAX_STALENESS.toNanos()) {
+            respondWithPage(exchange, job, firstPosition);
             return;
         }
         storage.read(new JobObject.Record(job.spec().id(), job.nextRecord()))
                 .thenAccept(
                         result -> {
                             if (result instanceof ReadResult.Found found) {
-                                book.apply(found.object());
-                                answerPage(exchange, job, after);
+                                jobs.apply(found.object());
+                                respondWithPage(exchange, job, firstPosition);
                             } else if (result instanceof ReadResult.Absent) {
-                                answerPage(exchange, job, after);
+                                respondWithPage(exchange, job, firstPosition);
                             } else {
-                                answer(exchange, UNAVAILABLE, "the store doesn't answer");
+                                respond(exchange, UNAVAILABLE, "the store doesn't answer");
                             }
                         });
     }
 
-    private void answerPage(HttpExchange exchange, JobProgress job, int after) {
-        List<ItemResult> page = job.results(after, MAX_PAGE_CHARS);
+    private void respondWithPage(HttpExchange exchange, JobProgress job, int firstPosition) {
+        List<ItemResult> page = job.results(firstPosition, MAX_PAGE_CHARS);
         int total = job.spec().items().size();
         exchange.respond(
                 OK,
                 Map.of("content-type", "application/json"),
-                jobInterface.formatResults(total, after + page.size(), page));
+                jobApi.formatResults(total, firstPosition + page.size(), page));
     }
 
-    private static String query(HttpExchange exchange, String name) {
+    private static String queryParameter(HttpExchange exchange, String name) {
         @Nullable String value = exchange.query(name);
         return value == null ? "" : value;
     }
 
-    private static long number(HttpExchange exchange, String name) {
-        String text = query(exchange, name);
+    private static long numericParameter(HttpExchange exchange, String name) {
+        String text = queryParameter(exchange, name);
         return text.matches("\\d{1,9}") ? Long.parseLong(text) : 0;
     }
 
-    private static void answer(HttpExchange exchange, int status, String detail) {
+    private static void respond(HttpExchange exchange, int status, String detail) {
         exchange.respondJson(status, "{\"detail\":\"" + detail.replace('"', '\'') + "\"}");
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobSpool.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobSpool.java
@@ -30,24 +30,24 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * Keeps jobs on the disks of several workers while the store can't take them, and moves them to the
- * store once it can. A job counts as accepted when one disk more holds it than may be lost at once.
- * On the event loop.
+ * Writes jobs to the disks of several workers while the store is unavailable, and moves them to the
+ * store later. A job counts as accepted once it is on one disk more than may be lost at once. On
+ * the event loop.
  */
 final class JobSpool implements PeerNetwork.Listener {
-    /** Path of the call by which workers hand each other copies. */
-    private static final String PATH = "/spool";
+    /** Path of the call by which workers send copies to each other. */
+    private static final String COPY_PATH = "/spool";
 
-    /** Several times the sync of a slow disk and the way to another zone. */
+    /** Several times the sync of a slow disk and the round trip to another zone. */
     private static final Duration COPY_TIMEOUT = Duration.ofMillis(300);
 
-    private static final Duration FLUSH_INTERVAL = Duration.ofMillis(400);
+    private static final Duration STORE_INTERVAL = Duration.ofMillis(400);
 
-    /** Time for the worker that accepted a job to store it before the others try. */
-    private static final Duration LEFT_TO_FIRST = Duration.ofMillis(2_000);
+    /** Time after an outage in which only the worker that accepted a job stores it. */
+    private static final Duration ACCEPTING_WORKER_HEAD_START = Duration.ofMillis(2_000);
 
-    /** Bound of a try; the next flush tries again. */
-    private static final Duration STORE_BOUND = Duration.ofMillis(700);
+    /** Bound of an attempt to store a job; the next one follows after the interval. */
+    private static final Duration STORE_TIMEOUT = Duration.ofMillis(700);
 
     private static final int MAX_JOBS = 400;
     private static final int OK = 200;
@@ -57,33 +57,33 @@
 
     private final @Nullable SpoolSettings settings;
     private final @Nullable SpoolFolder folder;
-    private final JobApi jobInterface;
-    private final JobRegistry book;
+    private final JobApi jobApi;
+    private final JobRegistry jobs;
     private final JobStorage storage;
-    private final StoreAvailability contact;
+    private final StoreAvailability storeAvailability;
     private final PeerNetwork network;
     private final HttpClient client;
     private final EventLoop loop;
-    private final Map<String, Entry> entries = new HashMap<>();
+    private final Map<String, PendingJob> pendingJobs = new HashMap<>();
 
-    /** A job that waits for the store. */
-    private static final class Entry {
+    /** A job that is not in the store yet. */
+    private static final class PendingJob {
         private final Job job;
-        private final boolean acceptedHere;
-        private boolean storing;
+        private final boolean isAcceptedHere;
+        private boolean isStoring;
 
-        Entry(Job job, boolean acceptedHere) {
+        PendingJob(Job job, boolean isAcceptedHere) {
             this.job = job;
-            this.acceptedHere = acceptedHere;
+            this.isAcceptedHere = isAcceptedHere;
         }
     }
 
-    /** A job as it is kept: what its header in the store will hold. */
+    /** The copy of a job on a disk, with the header that the store will hold. */
     record Job(String id, JobCodec.Header header) {
         String toJson() {
             return MAPPER.createObjectNode()
                     .put("id", id)
-                    .put("header", JobCodec.header(header))
+                    .put("header", JobCodec.encodeHeader(header))
                     .toString();
         }
 
@@ -91,7 +91,8 @@
             try {
                 JsonNode node = MAPPER.readTree(text);
                 return new Job(
-                        node.path("id").asText(), JobCodec.header(node.path("header").asText()));
+                        node.path("id").asText(),
+                        JobCodec.decodeHeader(node.path("header").asText()));
             } catch (JsonProcessingException e) {
                 throw new IllegalArgumentException(e.getOriginalMessage(), e);
             }
@@ -100,62 +101,62 @@
 
     JobSpool(
             @Nullable SpoolSettings settings,
-            JobApi jobInterface,
-            JobRegistry book,
+            JobApi jobApi,
+            JobRegistry jobs,
             JobStorage storage,
-            StoreAvailability contact,
+            StoreAvailability storeAvailability,
             PeerNetwork network,
             HttpClient client,
             EventLoop loop) {
         this.settings = settings;
         this.folder = settings == null ? null : SpoolFolder.open(settings.folder());
-        this.jobInterface = jobInterface;
-        this.book = book;
+        this.jobApi = jobApi;
+        this.jobs = jobs;
         this.storage = storage;
-        this.contact = contact;
+        this.storeAvailability = storeAvailability;
         this.network = network;
         this.client = client;
         this.loop = loop;
     }
 
-    /** Takes up what was kept before the start. */
-    void start(Duration keep) {
+    /** Restores the jobs that are on the disk from before the start. */
+    void start(Duration retention) {
         if (folder == null) {
             return;
         }
-        List<String> kept = folder.load();
+        List<String> documents = folder.load();
         loop.execute(
                 () -> {
-                    kept.forEach(text -> takeUp(text, keep));
-                    flush();
+                    documents.forEach(text -> restore(text, retention));
+                    storePending();
                 });
     }
 
-    /** A worker that joins makes up for a copy that may be lost. */
+    /** Sends copies to a worker that joins, since earlier copies may be lost. */
     @Override
-    public void onReport(Peer peer, boolean joined) {
-        if (joined && peer.role() == PeerRole.WORKER) {
-            List.copyOf(entries.values()).forEach(entry -> copyTo(peer, entry.job));
+    public void onReport(Peer peer, boolean hasJoined) {
+        if (hasJoined && peer.role() == PeerRole.WORKER) {
+            List.copyOf(pendingJobs.values()).forEach(pending -> copyTo(peer, pending.job));
         }
     }
 
-    private void takeUp(String text, Duration keep) {
+    private void restore(String text, Duration retention) {
         try {
-            takeUp(Job.fromJson(text), keep);
+            restore(Job.fromJson(text), retention);
         } catch (IllegalArgumentException e) {
-            // The file stays for an operator to look at; the other jobs must not wait for it.
+            // The file is kept for an operator to inspect; the other jobs are restored.
             Event.of("spool.unreadable").with("reason", e.getMessage()).error();
         }
     }
 
-    private void takeUp(Job job, Duration keep) {
+    private void restore(Job job, Duration retention) {
         long ageMs = System.currentTimeMillis() - job.header().submittedMs();
         Event.of("spool.found").with("job", job.id()).with("age_ms", ageMs).info();
-        if (ageMs > keep.toMillis()) {
-            // Others may have stored, closed and removed it long ago.
+        if (ageMs > retention.toMillis()) {
+            // Another worker may have stored, closed and removed it long ago.
             folder().delete(job.id());
         } else {
-            hold(job, false);
+            addPending(job, false);
         }
     }
 
@@ -163,27 +164,27 @@
         return Objects.requireNonNull(folder);
     }
 
-    /** Whether there is a disk to keep jobs on. */
+    /** Whether this worker has a disk for jobs. */
     boolean isEnabled() {
         return settings != null;
     }
 
-    /** Whether a job waits here for the store, so that nothing else of it may be stored yet. */
+    /** Whether a job is not in the store yet, so that its records must not be stored. */
     boolean isPending(String job) {
-        return entries.containsKey(job);
+        return pendingJobs.containsKey(job);
     }
 
-    /** Whether nothing waits for the store. */
+    /** Whether no job waits for the store. */
     boolean isEmpty() {
-        return entries.isEmpty();
+        return pendingJobs.isEmpty();
     }
 
-    private JobProgress hold(Job job, boolean acceptedHere) {
-        entries.putIfAbsent(job.id(), new Entry(job, acceptedHere));
-        return book.add(spec(job));
+    private JobProgress addPending(Job job, boolean isAcceptedHere) {
+        pendingJobs.putIfAbsent(job.id(), new PendingJob(job, isAcceptedHere));
+        return jobs.add(toSpec(job));
     }
 
-    private JobSpec spec(Job job) {
+    private JobSpec toSpec(Job job) {
         JobCodec.Header header = job.header();
         return new JobSpec(
                 job.id(),
@@ -191,16 +192,16 @@
                 header.route(),
                 header.host(),
                 header.submittedMs(),
-                jobInterface.parseItems(header.document().getBytes(StandardCharsets.UTF_8)));
+                jobApi.parseItems(header.document().getBytes(StandardCharsets.UTF_8)));
     }
 
     /**
-     * Keeps a job on this disk and on those of the other workers.
+     * Writes a job to the disks of this worker and of all other workers.
      *
-     * @return what became of it, once enough disks hold it or no more answers are to come
+     * @return the outcome, once enough disks hold the job or no more answers are expected
      */
     CompletableFuture<CopyCount.Outcome> storeCopies(String id, JobCodec.Header header) {
-        if (settings == null || entries.size() >= MAX_JOBS) {
+        if (settings == null || pendingJobs.size() >= MAX_JOBS) {
             return CompletableFuture.completedFuture(CopyCount.Outcome.NOT_KEPT);
         }
         Job job = new Job(id, header);
@@ -212,10 +213,10 @@
         }
         folder().write(id, job.toJson())
                 .thenAcceptAsync(
-                        written -> {
-                            count.onAnswer(written);
-                            if (written) {
-                                hold(job, true);
+                        isWritten -> {
+                            count.onAnswer(isWritten);
+                            if (isWritten) {
+                                addPending(job, true);
                             }
                             count.outcome().ifPresent(outcome::complete);
                         },
@@ -242,11 +243,12 @@
                 });
     }
 
-    /** True where the peer holds the job, false where it doesn't, empty where nobody can tell. */
+    /** Returns true if the peer holds the copy, false if it doesn't, empty if that is unknown. */
     private CompletableFuture<Optional<Boolean>> copyTo(Peer peer, Job job) {
         byte[] body = job.toJson().getBytes(StandardCharsets.UTF_8);
         HttpCall call =
-                HttpCall.of(peer.host(), peer.port(), "POST", PATH, Map.of(), body, COPY_TIMEOUT);
+                HttpCall.of(
+                        peer.host(), peer.port(), "POST", COPY_PATH, Map.of(), body, COPY_TIMEOUT);
         return client.call(call)
                 .handle(
                         (answer, error) -> {
@@ -254,76 +256,78 @@
                                 return Optional.of(answer.status() == OK);
                             }
                             Throwable cause = error.getCause() == null ? error : error.getCause();
-                            boolean unclear =
+                            boolean isUnclear =
                                     !(error instanceof HttpFailure failure) || failure.mayHaveRun();
                             Event.of("spool.copy_failed")
                                     .with("job", job.id())
                                     .with("peer", peer.name())
                                     .with("reason", cause.toString())
                                     .info();
-                            return unclear ? Optional.empty() : Optional.of(false);
+                            return isUnclear ? Optional.empty() : Optional.of(false);
                         });
     }
 
-    /** Takes a copy from another worker; false where the call is another one. */
+    /** Handles a copy from another worker; returns false for any other call. */
     boolean handle(HttpExchange exchange) {
-        if (!exchange.path().equals(PATH)) {
+        if (!exchange.path().equals(COPY_PATH)) {
             return false;
         }
-        if (folder == null || entries.size() >= MAX_JOBS) {
-            exchange.respondJson(UNAVAILABLE, "{\"detail\":\"no room in the spool\"}");
+        if (folder == null || pendingJobs.size() >= MAX_JOBS) {
+            exchange.respondJson(
+                    UNAVAILABLE, "{\"detail\":\"the worker has no spool or its spool is full\"}");
             return true;
         }
         try {
             Job job = Job.fromJson(exchange.bodyText());
-            spec(job);
+            toSpec(job);
             folder.write(job.id(), job.toJson())
-                    .thenAcceptAsync(written -> onCopyWritten(exchange, job, written), loop);
+                    .thenAcceptAsync(isWritten -> onCopyWritten(exchange, job, isWritten), loop);
         } catch (IllegalArgumentException e) {
-            exchange.respondJson(BAD_REQUEST, "{\"detail\":\"the copy can't be read\"}");
+            exchange.respondJson(BAD_REQUEST, "{\"detail\":\"malformed copy of a job\"}");
         }
         return true;
     }
 
-    private void onCopyWritten(HttpExchange exchange, Job job, boolean written) {
-        if (written) {
-            hold(job, false);
+    private void onCopyWritten(HttpExchange exchange, Job job, boolean isWritten) {
+        if (isWritten) {
+            addPending(job, false);
         }
-        exchange.respondJson(written ? OK : UNAVAILABLE, "{}");
+        exchange.respondJson(isWritten ? OK : UNAVAILABLE, "{}");
     }
 
-    /** The job is in the store: here it need be kept no longer. */
+    /** The job is in the store, so that its copy here is deleted. */
     void onJobStored(String job) {
-        if (entries.remove(job) != null) {
+        if (pendingJobs.remove(job) != null) {
             folder().delete(job);
-            Event.of("spool.stored").with("job", job).with("left", entries.size()).info();
+            Event.of("spool.stored").with("job", job).with("left", pendingJobs.size()).info();
         }
     }
 
-    private void flush() {
-        loop.schedule(this::flush, FLUSH_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
-        if (!contact.isAvailable()) {
+    private void storePending() {
+        loop.schedule(this::storePending, STORE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        if (!storeAvailability.isAvailable()) {
             return;
         }
-        boolean leftToFirst = contact.nanosSinceRegained() < LEFT_TO_FIRST.toNanos();
-        Collection<Entry> due =
-                entries.values().stream()
-                        .filter(entry -> !entry.storing)
-                        .filter(entry -> entry.acceptedHere || !leftToFirst)
+        boolean isHeadStart =
+                storeAvailability.nanosSinceRegained() < ACCEPTING_WORKER_HEAD_START.toNanos();
+        Collection<PendingJob> due =
+                pendingJobs.values().stream()
+                        .filter(pending -> !pending.isStoring)
+                        .filter(pending -> pending.isAcceptedHere || !isHeadStart)
                         .toList();
         due.forEach(this::store);
     }
 
-    private void store(Entry entry) {
-        entry.storing = true;
-        long deadline = System.nanoTime() + STORE_BOUND.toNanos();
-        JobCodec.Header header = entry.job.header();
-        storage.createJob(entry.job.id(), header, header.document(), deadline)
+    private void store(PendingJob pending) {
+        pending.isStoring = true;
+        long deadline = System.nanoTime() + STORE_TIMEOUT.toNanos();
+        JobCodec.Header header = pending.job.header();
+        storage.createJob(pending.job.id(), header, header.document(), deadline)
                 .thenAccept(
                         created -> {
-                            entry.storing = false;
+                            pending.isStoring = false;
                             if (created == JobStorage.CreateResult.EXISTS) {
-                                onJobStored(entry.job.id());
+                                onJobStored(pending.job.id());
                             }
                         });
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobStorage.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobStorage.java
@@ -15,56 +15,56 @@
 
 /** Creates and reads the objects of jobs. On the event loop. */
 final class JobStorage {
-    private static final Duration RETRY = Duration.ofMillis(60);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(60);
 
     private final ObjectStore store;
     private final EventLoop loop;
-    private final StoreAvailability contact;
+    private final StoreAvailability storeAvailability;
 
-    /** What became of a creation. */
+    /** Outcome of a creation. */
     enum CreateResult {
-        /** The object is there, created now or before. */
+        /** The object exists, created now or before. */
         EXISTS,
-        /** The object is not there and won't be. */
+        /** The object does not exist and won't be created. */
         NOT_CREATED,
-        /** Nobody can tell. */
+        /** Unknown: the answer to a write was lost. */
         UNCLEAR
     }
 
-    JobStorage(ObjectStore store, EventLoop loop, StoreAvailability contact) {
+    JobStorage(ObjectStore store, EventLoop loop, StoreAvailability storeAvailability) {
         this.store = store;
         this.loop = loop;
-        this.contact = contact;
+        this.storeAvailability = storeAvailability;
     }
 
-    /** Stores a job; it is accepted once the last of its objects is there. */
+    /** Stores a job; it is accepted once the header, its last object, exists. */
     CompletableFuture<CreateResult> createJob(
             String job, JobCodec.Header header, String document, long deadline) {
-        List<String> pieces = pieces(document);
-        int parts = pieces.size() - 1;
+        List<String> documentParts = split(document);
+        int parts = documentParts.size() - 1;
         CompletableFuture<CreateResult> stored =
                 CompletableFuture.completedFuture(CreateResult.EXISTS);
         for (int i = 0; i < parts; i++) {
             ObjectKey key = new JobObject.Part(job, i).key();
-            String piece = pieces.get(i);
-            stored = stored.thenCompose(before -> createAfter(before, key, piece, deadline));
+            String part = documentParts.get(i);
+            stored = stored.thenCompose(before -> createAfter(before, key, part, deadline));
         }
-        JobCodec.Header whole =
+        JobCodec.Header storedHeader =
                 new JobCodec.Header(
                         header.team(),
                         header.route(),
                         header.host(),
                         header.submittedMs(),
                         parts,
-                        pieces.get(parts));
+                        documentParts.get(parts));
         return stored.thenCompose(
                 before ->
-                        // Without all of its parts the job was not accepted, whatever became of
-                        // the one that is unclear.
+                        // The job is not accepted without all of its parts, even if the creation of
+                        // one is unclear.
                         before == CreateResult.EXISTS
                                 ? create(
                                         new JobObject.Header(job).key(),
-                                        JobCodec.header(whole),
+                                        JobCodec.encodeHeader(storedHeader),
                                         deadline)
                                 : CompletableFuture.completedFuture(CreateResult.NOT_CREATED));
     }
@@ -76,22 +76,22 @@
                 : CompletableFuture.completedFuture(before);
     }
 
-    private static List<String> pieces(String document) {
-        List<String> pieces = new ArrayList<>();
+    private static List<String> split(String document) {
+        List<String> documentParts = new ArrayList<>();
         int from = 0;
         while (document.length() - from > JobCodec.MAX_DOCUMENT_PART_CHARS) {
-            pieces.add(document.substring(from, from + JobCodec.MAX_DOCUMENT_PART_CHARS));
+            documentParts.add(document.substring(from, from + JobCodec.MAX_DOCUMENT_PART_CHARS));
             from += JobCodec.MAX_DOCUMENT_PART_CHARS;
         }
-        pieces.add(document.substring(from));
-        return pieces;
+        documentParts.add(document.substring(from));
+        return documentParts;
     }
 
     CompletableFuture<CreateResult> createEnd(String job, long deadline) {
         return create(new JobObject.End(job).key(), "{}", deadline);
     }
 
-    /** Creates an object, again after failures until the deadline. */
+    /** Creates an object, and retries after failures until the deadline. */
     private CompletableFuture<CreateResult> create(ObjectKey key, String value, long deadline) {
         CompletableFuture<CreateResult> done = new CompletableFuture<>();
         create(key, value, deadline, false, done);
@@ -102,41 +102,42 @@
             ObjectKey key,
             String value,
             long deadline,
-            boolean unclearBefore,
+            boolean wasUnclear,
             CompletableFuture<CreateResult> done) {
         store.write(key, ObjectStore.ABSENT, value)
                 .thenAcceptAsync(
                         result -> {
-                            contact.onResult(result);
-                            boolean unclear =
-                                    unclearBefore || result instanceof WriteResult.Unclear;
+                            storeAvailability.onResult(result);
+                            boolean isUnclear = wasUnclear || result instanceof WriteResult.Unclear;
                             boolean exists =
                                     result instanceof WriteResult.Written
                                             || result instanceof WriteResult.Conflict;
                             if (exists) {
                                 done.complete(CreateResult.EXISTS);
-                            } else if (System.nanoTime() + RETRY.toNanos() >= deadline) {
+                            } else if (System.nanoTime() + RETRY_DELAY.toNanos() >= deadline) {
                                 done.complete(
-                                        unclear ? CreateResult.UNCLEAR : CreateResult.NOT_CREATED);
+                                        isUnclear
+                                                ? CreateResult.UNCLEAR
+                                                : CreateResult.NOT_CREATED);
                             } else {
                                 loop.schedule(
-                                        () -> create(key, value, deadline, unclear, done),
-                                        RETRY.toMillis(),
+                                        () -> create(key, value, deadline, isUnclear, done),
+                                        RETRY_DELAY.toMillis(),
                                         TimeUnit.MILLISECONDS);
                             }
                         },
                         loop);
     }
 
-    /** Creates a record under its number, once. */
+    /** Creates a record under its number, without retries. */
     CompletableFuture<WriteResult> createRecord(String job, int number, List<ItemResult> results) {
         return store.write(
                         new JobObject.Record(job, number).key(),
                         ObjectStore.ABSENT,
-                        JobCodec.record(results))
+                        JobCodec.encodeRecord(results))
                 .thenApplyAsync(
                         result -> {
-                            contact.onResult(result);
+                            storeAvailability.onResult(result);
                             return result;
                         },
                         loop);
@@ -146,7 +147,7 @@
         return store.read(object.key())
                 .thenApplyAsync(
                         result -> {
-                            contact.onResult(result);
+                            storeAvailability.onResult(result);
                             return result;
                         },
                         loop);
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobSweeper.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobSweeper.java
@@ -16,61 +16,61 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * Removes the objects of closed jobs once their results need be kept no longer. The header goes
- * last, so that a removal that was interrupted is taken up again. On the event loop.
+ * Removes the objects of closed jobs after the retention time of their results. The header is
+ * deleted last, so that an interrupted removal is continued. On the event loop.
  */
 final class JobSweeper {
-    private static final Duration INTERVAL = Duration.ofSeconds(5);
+    private static final Duration SWEEP_INTERVAL = Duration.ofSeconds(5);
 
-    /** Jobs that other workers removed are forgotten here this much later. */
-    private static final Duration FORGET_LATER = Duration.ofSeconds(60);
+    /** Further time until jobs that another worker removes from the store are dropped here. */
+    private static final Duration OTHER_WORKER_REMOVAL_TIME = Duration.ofSeconds(60);
 
     private final String instance;
-    private final JobRegistry book;
+    private final JobRegistry jobs;
     private final JobStorage storage;
     private final PeerNetwork network;
     private final EventLoop loop;
-    private final Duration keep;
-    private final Deque<JobProgress> removing = new ArrayDeque<>();
+    private final Duration retention;
+    private final Deque<JobProgress> removalQueue = new ArrayDeque<>();
 
     JobSweeper(
             String instance,
-            JobRegistry book,
+            JobRegistry jobs,
             JobStorage storage,
             PeerNetwork network,
             EventLoop loop,
-            Duration keep) {
+            Duration retention) {
         this.instance = instance;
-        this.book = book;
+        this.jobs = jobs;
         this.storage = storage;
         this.network = network;
         this.loop = loop;
-        this.keep = keep;
+        this.retention = retention;
     }
 
     void start() {
-        loop.schedule(this::sweep, INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::sweep, SWEEP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void sweep() {
-        loop.schedule(this::sweep, INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::sweep, SWEEP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
         long now = System.nanoTime();
         long nowMs = System.currentTimeMillis();
-        List<JobProgress> old =
-                book.all().stream()
-                        .filter(job -> job.isClosed() && ageMs(job, nowMs) > keep.toMillis())
+        List<JobProgress> expired =
+                jobs.all().stream()
+                        .filter(job -> job.isClosed() && ageMs(job, nowMs) > retention.toMillis())
                         .toList();
-        for (JobProgress job : old) {
+        for (JobProgress job : expired) {
             String id = job.spec().id();
             long own = Rendezvous.weight(id, instance);
-            boolean first =
+            boolean isRemovedHere =
                     network.peers()
                             .livePeers(PeerRole.WORKER, now)
                             .allMatch(peer -> Rendezvous.weight(id, peer.name()) < own);
-            if (first && !removing.contains(job)) {
-                removing.add(job);
-            } else if (ageMs(job, nowMs) > keep.plus(FORGET_LATER).toMillis()) {
-                book.remove(id);
+            if (isRemovedHere && !removalQueue.contains(job)) {
+                removalQueue.add(job);
+            } else if (ageMs(job, nowMs) > retention.plus(OTHER_WORKER_REMOVAL_TIME).toMillis()) {
+                jobs.remove(id);
             }
         }
         removeNext();
@@ -81,7 +81,7 @@
     }
 
     private void removeNext() {
-        JobProgress job = removing.poll();
+        JobProgress job = removalQueue.poll();
         if (job == null) {
             return;
         }
@@ -95,21 +95,21 @@
                 .thenAccept(
                         result -> {
                             if (result instanceof ReadResult.Found found) {
-                                int parts = JobCodec.header(found.object().value()).parts();
+                                int parts = JobCodec.decodeHeader(found.object().value()).parts();
                                 for (int i = 0; i < parts; i++) {
                                     objects.add(new JobObject.Part(id, i));
                                 }
                                 objects.add(new JobObject.Header(id));
-                                remove(id, objects, 0);
+                                removeObjects(id, objects, 0);
                             } else if (result instanceof ReadResult.Absent) {
-                                book.remove(id);
+                                jobs.remove(id);
                             }
                         });
     }
 
-    private void remove(String id, List<JobObject> objects, int index) {
+    private void removeObjects(String id, List<JobObject> objects, int index) {
         if (index == objects.size()) {
-            book.remove(id);
+            jobs.remove(id);
             Event.of("job.removed").with("job", id).with("objects", objects.size()).info();
             removeNext();
             return;
@@ -124,15 +124,15 @@
                                                 deleted -> onDeleted(id, objects, index, deleted),
                                                 loop);
                             } else if (result instanceof ReadResult.Absent) {
-                                remove(id, objects, index + 1);
+                                removeObjects(id, objects, index + 1);
                             }
                         });
     }
 
-    /** What could not be deleted now is deleted by a later sweep. */
+    /** After a failure a later sweep continues the removal. */
     private void onDeleted(String id, List<JobObject> objects, int index, WriteResult deleted) {
         if (deleted instanceof WriteResult.Written) {
-            remove(id, objects, index + 1);
+            removeObjects(id, objects, index + 1);
         }
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobWorker.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobWorker.java
@@ -18,12 +18,12 @@
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.runtime.ControlThread;
 
-/** Puts together what keeps and runs batch jobs. */
+/** The batch components of a worker, which store, run and serve jobs. */
 public final class JobWorker {
     private final JobService service;
     private final JobFeed feed;
     private final JobSpool spool;
-    private final Duration keep;
+    private final Duration retention;
     private final JobRecorder recorder;
     private final ItemRunner runner;
     private final JobSweeper sweeper;
@@ -37,25 +37,32 @@
             HttpClient targetClient,
             HttpClient storeClient,
             ObjectStore store,
-            StoreAvailability contact,
+            StoreAvailability storeAvailability,
             TargetTable table,
             PeerNetwork network,
             PlanFeed plans) {
         NodeSettings node = settings.node();
-        JobApi jobs = adapter.jobs();
-        keep = settings.jobRetention();
-        JobRegistry book = new JobRegistry(jobs);
-        JobStorage storage = new JobStorage(store, loop, contact);
-        feed = new JobFeed(book, store, loop, contact);
+        JobApi jobApi = adapter.jobs();
+        retention = settings.jobRetention();
+        JobRegistry jobs = new JobRegistry(jobApi);
+        JobStorage storage = new JobStorage(store, loop, storeAvailability);
+        feed = new JobFeed(jobs, store, loop, storeAvailability);
         spool =
                 new JobSpool(
-                        settings.spool(), jobs, book, storage, contact, network, storeClient, loop);
-        recorder = new JobRecorder(storage, book, loop, spool::isPending);
+                        settings.spool(),
+                        jobApi,
+                        jobs,
+                        storage,
+                        storeAvailability,
+                        network,
+                        storeClient,
+                        loop);
+        recorder = new JobRecorder(storage, jobs, loop, spool::isPending);
         runner =
                 new ItemRunner(
                         node.instance(),
                         node.zone(),
-                        book,
+                        jobs,
                         recorder,
                         table,
                         network,
@@ -65,8 +72,16 @@
                         adapter.headerNames());
         service =
                 new JobService(
-                        jobs, book, feed, storage, spool, contact, network, loop, runner::claim);
-        sweeper = new JobSweeper(node.instance(), book, storage, network, loop, keep);
+                        jobApi,
+                        jobs,
+                        feed,
+                        storage,
+                        spool,
+                        storeAvailability,
+                        network,
+                        loop,
+                        runner::claim);
+        sweeper = new JobSweeper(node.instance(), jobs, storage, network, loop, retention);
         retirement =
                 new RetirementWatch(
                         adapter,
@@ -74,27 +89,27 @@
                         store,
                         storeClient,
                         control,
-                        contact,
-                        new Retiring(loop, network));
-        book.setStoredListener(spool::onJobStored);
-        book.setChangeListener(this::onJobChanged);
+                        storeAvailability,
+                        new JobWorkload(loop, network));
+        jobs.setStoredListener(spool::onJobStored);
+        jobs.setChangeListener(this::onJobChanged);
         network.addListener(runner);
         network.addListener(spool);
         network.setAssignedJobsSupplier(runner::assignedJobHashes);
     }
 
-    /** Hands the jobs of this worker over before its instance is taken away. */
-    private final class Retiring implements RetirementWatch.Workload {
+    /** The jobs of this worker, which are handed over before its instance is retired. */
+    private final class JobWorkload implements RetirementWatch.Workload {
         private final EventLoop loop;
         private final PeerNetwork network;
 
-        Retiring(EventLoop loop, PeerNetwork network) {
+        JobWorkload(EventLoop loop, PeerNetwork network) {
             this.loop = loop;
             this.network = network;
         }
 
         @Override
-        public CompletableFuture<SuccessorState> succession() {
+        public CompletableFuture<SuccessorState> successorState() {
             return CompletableFuture.supplyAsync(
                     () -> network.peers().successorState(PeerRole.WORKER, System.nanoTime()), loop);
         }
@@ -129,16 +144,16 @@
     }
 
     /**
-     * Puts the parts together.
+     * Creates the components.
      *
-     * @param settings who and where this instance is, and what it keeps
-     * @param adapter names of headers and calls
+     * @param settings settings of the worker
+     * @param adapter the platform's headers, jobs and calls
      * @param loop the event loop of traffic
      * @param control the control thread
      * @param targetClient sends items to targets
      * @param storeClient sends reports to the store
-     * @param store keeps the jobs
-     * @param contact notes whether the store answers
+     * @param store where jobs are stored
+     * @param storeAvailability whether the store answers
      * @param table the targets
      * @param network the other instances
      * @param plans the configuration in force
@@ -152,7 +167,7 @@
             HttpClient targetClient,
             HttpClient storeClient,
             ObjectStore store,
-            StoreAvailability contact,
+            StoreAvailability storeAvailability,
             TargetTable table,
             PeerNetwork network,
             PlanFeed plans) {
@@ -164,7 +179,7 @@
                 targetClient,
                 storeClient,
                 store,
-                contact,
+                storeAvailability,
                 table,
                 network,
                 plans);
@@ -172,7 +187,7 @@
 
     /** Starts to read and run jobs. */
     public void start() {
-        spool.start(keep);
+        spool.start(retention);
         feed.start();
         sweeper.start();
         retirement.start();
@@ -182,26 +197,26 @@
      * Answers a gateway's call about a job.
      *
      * @param exchange the call
-     * @return whether it was one
+     * @return whether it was such a call
      */
     public boolean handle(HttpExchange exchange) {
         return spool.handle(exchange) || service.handle(exchange);
     }
 
-    /** Something changed that may let items start. */
+    /** The configuration or the targets have changed, so that items may start or must stop. */
     public void onPlanOrTargetsChanged() {
         runner.reschedule();
     }
 
-    /** Hands all jobs to other workers; on the event loop. */
+    /** Hands all jobs over to other workers; on the event loop. */
     public void handOverJobs() {
         runner.handOverJobs();
     }
 
     /**
-     * Whether nothing runs and nothing waits to be recorded.
+     * Whether no item runs and nothing waits to be recorded or stored.
      *
-     * @return true where the process may stop
+     * @return true if the process may stop
      */
     public boolean isIdle() {
         return runner.isIdle() && recorder.isIdle() && spool.isEmpty();
--- a/gateway/src/main/java/org/sardinelift/gateway/job/RetirementWatch.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/RetirementWatch.java
@@ -20,13 +20,13 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * Looks for operators' requests to empty this instance, hands its work to others and reports when
- * it is done. The last instance that could do the work stays until another one has come. Works on
- * the control thread.
+ * Polls for an operator's request to retire this instance, hands its work over to other instances
+ * and reports when that is done. The last instance that can do the work keeps it until another one
+ * joins. Works on the control thread.
  */
 final class RetirementWatch {
-    private static final Duration INTERVAL = Duration.ofMillis(2_500);
-    private static final Duration RETRY = Duration.ofMillis(400);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(2_500);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(400);
     private static final int OK = 200;
 
     private final PlatformAdapter adapter;
@@ -34,24 +34,24 @@
     private final ObjectStore store;
     private final HttpClient client;
     private final ControlThread control;
-    private final StoreAvailability contact;
-    private final Workload work;
-    private boolean asked;
-    private boolean handedOver;
-    private boolean startReported;
+    private final StoreAvailability storeAvailability;
+    private final Workload workload;
+    private boolean isRequested;
+    private boolean isHandedOver;
+    private boolean isStartReported;
 
-    /** What is to be handed over. */
+    /** The work to hand over. */
     interface Workload {
-        /** Who can take the work. */
-        CompletableFuture<SuccessorState> succession();
+        /** Whether another instance can take the work over. */
+        CompletableFuture<SuccessorState> successorState();
 
-        /** Leaves the work to others. */
+        /** Hands the work over to other instances. */
         void handOver();
 
-        /** Takes work again, since nobody else would. */
+        /** Resumes work, since no other instance is left to do it. */
         void resume();
 
-        /** Whether nothing is left here that must last. */
+        /** Whether nothing is left here that must not be lost. */
         boolean isEmpty();
     }
 
@@ -61,70 +61,70 @@
             ObjectStore store,
             HttpClient client,
             ControlThread control,
-            StoreAvailability contact,
-            Workload work) {
+            StoreAvailability storeAvailability,
+            Workload workload) {
         this.adapter = adapter;
         this.settings = settings;
         this.store = store;
         this.client = client;
         this.control = control;
-        this.contact = contact;
-        this.work = work;
+        this.storeAvailability = storeAvailability;
+        this.workload = workload;
     }
 
     void start() {
-        adapter.retirementKind().ifPresent(kind -> control.execute(() -> look(kind)));
+        adapter.retirementKind().ifPresent(kind -> control.execute(() -> poll(kind)));
     }
 
-    private void look(String kind) {
+    private void poll(String kind) {
         ObjectKey key = new ObjectKey(kind, settings.instance());
         store.read(key)
                 .thenAcceptAsync(
                         result -> {
-                            contact.onResult(result);
+                            storeAvailability.onResult(result);
                             if (result instanceof ReadResult.Found) {
-                                onAsked(key);
+                                onRequested(key);
                             } else {
-                                control.schedule(INTERVAL, () -> look(kind));
+                                control.schedule(POLL_INTERVAL, () -> poll(kind));
                             }
                         },
                         control::execute);
     }
 
-    private void onAsked(ObjectKey key) {
-        if (!asked) {
-            asked = true;
+    private void onRequested(ObjectKey key) {
+        if (!isRequested) {
+            isRequested = true;
             Event.of("retirement.asked").with("role", PeerRole.WORKER.label()).info();
         }
-        work.succession().thenAcceptAsync(found -> step(key, found), control::execute);
+        workload.successorState().thenAcceptAsync(state -> proceed(key, state), control::execute);
     }
 
-    private void step(ObjectKey key, SuccessorState succession) {
-        boolean wasHandedOver = handedOver;
-        handedOver =
-                handedOver
-                        ? succession != SuccessorState.NONE
-                        : succession == SuccessorState.PRESENT;
-        if (handedOver != wasHandedOver) {
-            Event.of(handedOver ? "retirement.handing_over" : "retirement.stays").info();
-            if (handedOver) {
-                work.handOver();
+    private void proceed(ObjectKey key, SuccessorState successor) {
+        boolean wasHandedOver = isHandedOver;
+        isHandedOver =
+                isHandedOver
+                        ? successor != SuccessorState.NONE
+                        : successor == SuccessorState.PRESENT;
+        if (isHandedOver != wasHandedOver) {
+            Event.of(isHandedOver ? "retirement.handing_over" : "retirement.stays").info();
+            if (isHandedOver) {
+                workload.handOver();
             } else {
-                work.resume();
+                workload.resume();
             }
         }
-        boolean isDone = wasHandedOver && succession == SuccessorState.PRESENT && work.isEmpty();
-        if (!startReported) {
+        boolean isDone = wasHandedOver && successor == SuccessorState.PRESENT && workload.isEmpty();
+        if (!isStartReported) {
             report(key, false);
         } else if (isDone) {
             report(key, true);
         } else {
-            control.schedule(RETRY, () -> onAsked(key));
+            control.schedule(RETRY_DELAY, () -> onRequested(key));
         }
     }
 
-    private void report(ObjectKey key, boolean done) {
-        var request = adapter.retirementStatusRequest(key, done);
+    private void report(ObjectKey key, boolean isDone) {
+        var request = adapter.retirementStatusRequest(key, isDone);
         HttpCall call =
                 HttpCall.of(
                         settings.storeAddress().host(),
@@ -136,23 +136,23 @@
                         settings.storeTimeout());
         client.call(call)
                 .handle((answer, error) -> Optional.ofNullable(answer))
-                .thenAcceptAsync(answer -> onReported(key, done, answer), control::execute);
+                .thenAcceptAsync(answer -> onReported(key, isDone, answer), control::execute);
     }
 
-    private void onReported(ObjectKey key, boolean done, Optional<HttpAnswer> answer) {
-        boolean reported = answer.filter(it -> it.status() == OK).isPresent();
+    private void onReported(ObjectKey key, boolean isDone, Optional<HttpAnswer> answer) {
+        boolean isReported = answer.filter(response -> response.status() == OK).isPresent();
         Event.of("retirement.reported")
-                .with("done", done)
+                .with("done", isDone)
                 .with("status", answer.map(HttpAnswer::status).orElse(0))
                 .with(
                         "answer",
-                        answer.map(it -> new String(it.body(), StandardCharsets.UTF_8))
-                                .filter(text -> !reported)
+                        answer.map(response -> new String(response.body(), StandardCharsets.UTF_8))
+                                .filter(text -> !isReported)
                                 .orElse(null))
                 .info();
-        startReported |= reported;
-        if (!reported || !done) {
-            control.schedule(RETRY, () -> onAsked(key));
+        isStartReported |= isReported;
+        if (!isReported || !isDone) {
+            control.schedule(RETRY_DELAY, () -> onRequested(key));
         }
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/SpoolFolder.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/SpoolFolder.java
@@ -17,8 +17,8 @@
 import org.sardinelift.runtime.log.Event;
 
 /**
- * Files of jobs on a small disk, one for each, written and synced by a thread of its own. A file
- * begins with the checksum of the rest, since a power loss may tear it.
+ * A folder on a small disk with one file for each job, written and synced by a thread of its own. A
+ * file begins with the checksum of the rest, since a power loss may leave it incomplete.
  */
 final class SpoolFolder implements AutoCloseable {
     private static final String SUFFIX = ".job";
@@ -40,7 +40,7 @@
         return new SpoolFolder(folder);
     }
 
-    /** The documents of the jobs that were kept before; files that can't be read are left out. */
+    /** Reads the documents of all files; unreadable and incomplete ones are skipped. */
     List<String> load() {
         List<String> documents = new ArrayList<>();
         try {
@@ -61,9 +61,9 @@
     private static void load(Path file, List<String> documents) {
         try {
             String text = Files.readString(file);
-            int line = text.indexOf('\n');
-            String document = text.substring(line + 1);
-            if (line < 1 || !text.substring(0, line).equals(checksum(document))) {
+            int lineEnd = text.indexOf('\n');
+            String document = text.substring(lineEnd + 1);
+            if (lineEnd < 1 || !text.substring(0, lineEnd).equals(checksum(document))) {
                 Event.of("spool.torn").with("file", file.getFileName().toString()).warn();
                 return;
             }
@@ -82,16 +82,16 @@
         return Long.toHexString(crc.getValue());
     }
 
-    /** Keeps a job; true once it would outlast a power loss. */
+    /** Writes a job's file; completes with true once the file would survive a power loss. */
     CompletableFuture<Boolean> write(String job, String document) {
         byte[] bytes = (checksum(document) + "\n" + document).getBytes(StandardCharsets.UTF_8);
-        return CompletableFuture.supplyAsync(() -> writeNow(job, bytes), writer);
+        return CompletableFuture.supplyAsync(() -> writeAndSync(job, bytes), writer);
     }
 
-    private boolean writeNow(String job, byte[] bytes) {
+    private boolean writeAndSync(String job, byte[] bytes) {
         try (FileChannel file =
                 FileChannel.open(
-                        file(job),
+                        fileOf(job),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -107,18 +107,18 @@
         }
     }
 
-    /** Names of jobs come from callers and are no file names. */
-    private Path file(String job) {
+    /** Encodes the job's name, since it comes from a caller and need not be a file name. */
+    private Path fileOf(String job) {
         String name = java.util.HexFormat.of().formatHex(job.getBytes(StandardCharsets.UTF_8));
         return folder.resolve(name + SUFFIX);
     }
 
-    /** A name that comes back after a power loss does no harm: its job is found to be stored. */
+    /** Deletes a file. If it reappears after a power loss, its job is found in the store. */
     void delete(String job) {
         writer.execute(
                 () -> {
                     try {
-                        Files.deleteIfExists(file(job));
+                        Files.deleteIfExists(fileOf(job));
                     } catch (IOException e) {
                         Event.of("spool.not_deleted")
                                 .with("job", job)
--- a/gateway/src/main/java/org/sardinelift/gateway/job/WorkerMetrics.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/WorkerMetrics.java
@@ -4,11 +4,11 @@
 import io.prometheus.metrics.core.metrics.Gauge;
 import io.prometheus.metrics.core.metrics.Histogram;
 
-/** Metrics of the jobs of a worker. */
+/** Metrics of a worker's batch jobs. */
 final class WorkerMetrics {
     private static final double MILLIS_PER_SECOND = 1e3;
 
-    private static final Gauge RUNNING =
+    private static final Gauge ITEMS_RUNNING =
             Gauge.builder()
                     .name("sardinelift_worker_items_running")
                     .help("Items that targets run for this worker")
@@ -19,13 +19,13 @@
                     .help("Runs of items, by how they ended")
                     .labelNames("end")
                     .register();
-    private static final Counter JOBS =
+    private static final Counter SUBMISSIONS =
             Counter.builder()
                     .name("sardinelift_worker_submissions_total")
                     .help("Submissions of jobs, by what became of them")
                     .labelNames("stored")
                     .register();
-    private static final Histogram RECORDED =
+    private static final Histogram RESULT_AGE =
             Histogram.builder()
                     .name("sardinelift_worker_result_age_seconds")
                     .help("Time from the submission of a job to the record of a result")
@@ -35,7 +35,7 @@
     private WorkerMetrics() {}
 
     static void setRunningItems(int items) {
-        RUNNING.set(items);
+        ITEMS_RUNNING.set(items);
     }
 
     static void countRun(String end) {
@@ -43,10 +43,10 @@
     }
 
     static void countSubmission(String stored) {
-        JOBS.labelValues(stored).inc();
+        SUBMISSIONS.labelValues(stored).inc();
     }
 
     static void observeResultAge(long ageMs) {
-        RECORDED.observe(ageMs / MILLIS_PER_SECOND);
+        RESULT_AGE.observe(ageMs / MILLIS_PER_SECOND);
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/package-info.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/package-info.java
@@ -1,4 +1,4 @@
-/** Batch jobs: their storage, their runs and their interface. */
+/** Batch jobs: storage, execution and HTTP interfaces. */
 @NullMarked
 package org.sardinelift.gateway.job;
 
--- a/gateway/src/main/java/org/sardinelift/gateway/peer/PeerNetwork.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/peer/PeerNetwork.java
@@ -140,9 +140,9 @@
          * A report was received.
          *
          * @param peer its sender
-         * @param joined whether the peer was unknown, lost or has restarted
+         * @param hasJoined whether the peer was unknown, lost or has restarted
          */
-        default void onReport(Peer peer, boolean joined) {}
+        default void onReport(Peer peer, boolean hasJoined) {}
 
         /**
          * A peer reports that a target died.
@@ -490,8 +490,8 @@
         if (result == PeerTable.ReportResult.STALE) {
             return Optional.empty();
         }
-        boolean joined = result == PeerTable.ReportResult.JOINED;
-        if (livePeerNames.add(peer.name()) || joined) {
+        boolean hasJoined = result == PeerTable.ReportResult.JOINED;
+        if (livePeerNames.add(peer.name()) || hasJoined) {
             Event.of("peer.joined")
                     .with("peer", peer.name())
                     .with("incarnation", peer.incarnation())
@@ -504,7 +504,7 @@
         if (peer.role() == PeerRole.GATEWAY) {
             onTeamCounts(peer, report, now);
         }
-        if (joined || report.isIntroduce()) {
+        if (hasJoined || report.isIntroduce()) {
             introduceTo(peer.host(), peer.port());
         }
         if (report.isSetDeaths()) {
@@ -520,7 +520,7 @@
         if (peer.zone().equals(settings.zone())) {
             updateStoreReaders(now);
         }
-        listeners.forEach(listener -> listener.onReport(peer, joined));
+        listeners.forEach(listener -> listener.onReport(peer, hasJoined));
         return Optional.of(peer);
     }
 
--- a/gateway/src/test/java/org/sardinelift/gateway/job/SpoolFolderTest.java
+++ b/gateway/src/test/java/org/sardinelift/gateway/job/SpoolFolderTest.java
@@ -12,6 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Guards against jobs that are missing after a restart, restored from files that a power loss left
+ * incomplete, or reported as written though the disk can't be written.
+ */
 class SpoolFolderTest {
     @TempDir private Path disk;
 
@@ -38,7 +42,7 @@
     }
 
     @Test
-    void aTornFileIsLeftOut() throws IOException {
+    void anIncompleteFileIsSkipped() throws IOException {
         try (SpoolFolder folder = open()) {
             folder.load();
             folder.write("whole", "a document").join();
@@ -56,7 +60,7 @@
     }
 
     @Test
-    void aDiskThatCanNotBeWrittenHoldsNothing() throws IOException {
+    void aWriteFailsWhereTheFolderIsAFile() throws IOException {
         Path file = disk.resolve("file");
         Files.writeString(file, "no folder");
         try (SpoolFolder folder = SpoolFolder.open(file)) {
