--- a/bench/src/main/java/org/sardinelift/bench/slope/AdmissionSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/AdmissionSlopes.java
@@ -68,7 +68,7 @@
 
     private static double shareBytes(int entries) {
         LimitFleet fleet = LimitFleet.settled(entries, plan("team-0", 1, 1));
-        return SharesCodec.write(fleet.shares()).length();
+        return SharesCodec.encode(fleet.shares()).length();
     }
 
     private static double entryBytes(int entries) {
--- a/bench/src/main/java/org/sardinelift/bench/slope/BatchSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/BatchSlopes.java
@@ -59,7 +59,7 @@
 
     private static JobState committed(int chunks, int done) {
         JobState claimed =
-                JobState.accepted("team-1", chunks * ITEMS_PER_CHUNK, chunks)
+                JobState.initial("team-1", chunks * ITEMS_PER_CHUNK, chunks)
                         .claim(new Holder("entry-1", INCARNATION));
         Map<Integer, ChunkResult> results = new HashMap<>();
         IntStream.range(0, done).forEach(chunk -> results.put(chunk, result(chunk)));
--- a/bench/src/main/java/org/sardinelift/bench/slope/CompanionFleet.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/CompanionFleet.java
@@ -112,7 +112,7 @@
     }
 
     private static <T> T defaults(SettingsResult<T> result) {
-        if (result instanceof SettingsResult.Sound<T> sound) {
+        if (result instanceof SettingsResult.Valid<T> sound) {
             return sound.settings();
         }
         throw new IllegalStateException("empty settings must give the defaults");
--- a/companion/src/main/java/org/sardinelift/companion/order/OrderGuard.java
+++ b/companion/src/main/java/org/sardinelift/companion/order/OrderGuard.java
@@ -105,7 +105,7 @@
             highest = Math.max(highest, fence(found.object().value()));
             decide(pending, tries, found.object().version());
         } else if (read instanceof ReadResult.Absent) {
-            decide(pending, tries, ObjectStore.ABSENT);
+            decide(pending, tries, ObjectStore.ABSENT_VERSION);
         } else {
             refuse(
                     pending,
--- a/companion/src/test/java/org/sardinelift/companion/CompanionRig.java
+++ b/companion/src/test/java/org/sardinelift/companion/CompanionRig.java
@@ -56,7 +56,7 @@
                         .formatted(extraSettings, target.port(), extraTarget);
         SettingsResult<CompanionSettings> result =
                 SettingsFile.parse(text, CompanionSettings::read);
-        if (result instanceof SettingsResult.Sound<CompanionSettings> sound) {
+        if (result instanceof SettingsResult.Valid<CompanionSettings> sound) {
             return sound.settings();
         }
         throw new IllegalArgumentException(result.toString());
--- a/companion/src/test/java/org/sardinelift/companion/CompanionSettingsTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/CompanionSettingsTest.java
@@ -25,7 +25,7 @@
     @Test
     void aPlaintextPeerPortBeyondLoopbackIsAnError() {
         var unsound =
-                assertInstanceOf(SettingsResult.Unsound.class, parse("{\"host\":\"10.0.0.7\"}"));
+                assertInstanceOf(SettingsResult.Invalid.class, parse("{\"host\":\"10.0.0.7\"}"));
         assertEquals(1, unsound.errors().size(), unsound.errors().toString());
         SettingsError error = (SettingsError) unsound.errors().get(0);
         assertEquals("/peer/tls", error.path());
@@ -35,9 +35,9 @@
 
     @Test
     void aPeerPortOnLoopbackOrWithTlsIsSound() {
-        assertInstanceOf(SettingsResult.Sound.class, parse("{\"host\":\"127.0.0.1\"}"));
+        assertInstanceOf(SettingsResult.Valid.class, parse("{\"host\":\"127.0.0.1\"}"));
         assertInstanceOf(
-                SettingsResult.Sound.class,
+                SettingsResult.Valid.class,
                 parse(
                         "{\"host\":\"10.0.0.7\",\"tls\":{\"certificate\":\"c\",\"key\":\"k\","
                                 + "\"trust\":\"t\"}}"));
@@ -53,7 +53,7 @@
     }
 
     private static String onlyError(String target, String more) {
-        var unsound = assertInstanceOf(SettingsResult.Unsound.class, parseFields(target, more));
+        var unsound = assertInstanceOf(SettingsResult.Invalid.class, parseFields(target, more));
         assertEquals(1, unsound.errors().size(), unsound.errors().toString());
         return ((SettingsError) unsound.errors().get(0)).path();
     }
@@ -62,7 +62,7 @@
     void thePortOfTheTargetAndThePlatformMustBeSet() {
         assertEquals("/target/port", onlyError("", ""));
         assertEquals("/platform/port", onlyError(", \"port\": 9", ", \"platform\": {}"));
-        assertInstanceOf(SettingsResult.Sound.class, parseFields(", \"port\": 9", ""));
+        assertInstanceOf(SettingsResult.Valid.class, parseFields(", \"port\": 9", ""));
     }
 
     @Test
@@ -74,7 +74,7 @@
 
     @Test
     void theShareOfTracesHasTheDefaultOfTheEntries() {
-        var sound = assertInstanceOf(SettingsResult.Sound.class, parseFields(", \"port\": 9", ""));
+        var sound = assertInstanceOf(SettingsResult.Valid.class, parseFields(", \"port\": 9", ""));
         assertEquals(0.01, ((CompanionSettings) sound.settings()).traces().sampleRatio());
     }
 }
--- a/companion/src/test/java/org/sardinelift/companion/target/ModelWatchTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/target/ModelWatchTest.java
@@ -47,7 +47,7 @@
                         + server.port()
                         + ",\"models\":[\"m\",\"n\"]}";
         SettingsResult<TargetSettings> settings = SettingsFile.parse(text, TargetSettings::read);
-        TargetSettings target = ((SettingsResult.Sound<TargetSettings>) settings).settings();
+        TargetSettings target = ((SettingsResult.Valid<TargetSettings>) settings).settings();
         HttpClient client = HttpClient.create(group, Duration.ofSeconds(5), null);
         watch =
                 new ModelWatch(
--- a/core/src/main/java/org/sardinelift/core/batch/JobState.java
+++ b/core/src/main/java/org/sardinelift/core/batch/JobState.java
@@ -46,7 +46,7 @@
      * @param chunkCount number of chunks of the input
      * @return the initial state
      */
-    public static JobState accepted(String team, int items, int chunkCount) {
+    public static JobState initial(String team, int items, int chunkCount) {
         return new JobState(
                 team,
                 items,
--- a/core/src/main/java/org/sardinelift/core/batch/LaneShares.java
+++ b/core/src/main/java/org/sardinelift/core/batch/LaneShares.java
@@ -55,7 +55,7 @@
      *
      * @param live names of live entries
      */
-    public void retain(Collection<String> live) {
+    public void retainEntries(Collection<String> live) {
         others.keySet().retainAll(live);
     }
 
--- a/core/src/main/java/org/sardinelift/core/explain/TeamRequestCounter.java
+++ b/core/src/main/java/org/sardinelift/core/explain/TeamRequestCounter.java
@@ -61,7 +61,7 @@
      *
      * @param existing names of the existing teams
      */
-    public void retain(Set<String> existing) {
+    public void retainTeams(Set<String> existing) {
         teams.keySet().retainAll(existing);
     }
 
--- a/core/src/main/java/org/sardinelift/core/joblog/JobAssignment.java
+++ b/core/src/main/java/org/sardinelift/core/joblog/JobAssignment.java
@@ -75,7 +75,7 @@
      *
      * @param job name of the job
      */
-    public void forget(String job) {
+    public void remove(String job) {
         unclaimedSince.remove(job);
     }
 }
--- a/core/src/main/java/org/sardinelift/core/outcome/AttemptStep.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/AttemptAction.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /** Action that an event of an attempt requires. */
-public sealed interface AttemptStep {
+public sealed interface AttemptAction {
 
     /** No action: the event was late, belongs to another attempt or contains nothing new. */
-    record NoAction() implements AttemptStep {}
+    record NoAction() implements AttemptAction {}
 
     /**
      * Pass the status and headers on to the caller.
@@ -15,24 +15,24 @@
      * @param status HTTP status code
      * @param headers answer headers
      */
-    record ResponseHead(int status, Map<String, String> headers) implements AttemptStep {}
+    record ResponseHead(int status, Map<String, String> headers) implements AttemptAction {}
 
     /**
      * Pass the next part of the body on to the caller.
      *
      * @param part body bytes that were not passed on before
      */
-    record BodyPart(byte[] part) implements AttemptStep {}
+    record BodyPart(byte[] part) implements AttemptAction {}
 
     /**
      * Query the companion for the state of the attempt.
      *
      * @param offset number of body bytes received
      */
-    record QueryState(long offset) implements AttemptStep {}
+    record QueryState(long offset) implements AttemptAction {}
 
     /** The complete answer has arrived. */
-    record Completed() implements AttemptStep {}
+    record Completed() implements AttemptAction {}
 
     /**
      * The attempt ended without a complete answer.
@@ -43,5 +43,5 @@
      * @param retryAfter time after which to retry; zero if unknown
      */
     record Failed(RunOutcome outcome, FailureCause cause, String detail, Duration retryAfter)
-            implements AttemptStep {}
+            implements AttemptAction {}
 }
--- a/core/src/main/java/org/sardinelift/core/outcome/CallAttempt.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/CallAttempt.java
@@ -9,7 +9,7 @@
  * offset does not match, so that late, duplicate and out-of-order frames change nothing.
  */
 public final class CallAttempt {
-    private static final AttemptStep NO_ACTION = new AttemptStep.NoAction();
+    private static final AttemptAction NO_ACTION = new AttemptAction.NoAction();
 
     private final int number;
     private final String incarnation;
@@ -78,12 +78,12 @@
      * @param headers answer headers
      * @return the action required
      */
-    public AttemptStep onHead(int attempt, int status, Map<String, String> headers) {
+    public AttemptAction onHead(int attempt, int status, Map<String, String> headers) {
         if (isIgnored(attempt) || hasHead) {
             return NO_ACTION;
         }
         hasHead = true;
-        return new AttemptStep.ResponseHead(status, headers);
+        return new AttemptAction.ResponseHead(status, headers);
     }
 
     /**
@@ -94,16 +94,16 @@
      * @param part body bytes
      * @return the action required; a part after a gap is dropped and queried again
      */
-    public AttemptStep onData(int attempt, long offset, byte[] part) {
+    public AttemptAction onData(int attempt, long offset, byte[] part) {
         if (isIgnored(attempt) || offset + part.length <= receivedBytes) {
             return NO_ACTION;
         }
         if (offset > receivedBytes || !hasHead) {
-            return new AttemptStep.QueryState(receivedBytes);
+            return new AttemptAction.QueryState(receivedBytes);
         }
         byte[] unseen = Arrays.copyOfRange(part, (int) (receivedBytes - offset), part.length);
         receivedBytes += unseen.length;
-        return new AttemptStep.BodyPart(unseen);
+        return new AttemptAction.BodyPart(unseen);
     }
 
     /**
@@ -117,7 +117,7 @@
      * @param retryAfter time after which to retry; zero if unknown
      * @return the action required; an end after a gap is dropped and queried again
      */
-    public AttemptStep onFinish(
+    public AttemptAction onFinish(
             int attempt,
             long length,
             RunOutcome outcome,
@@ -128,12 +128,12 @@
             return NO_ACTION;
         }
         if (cause != FailureCause.NONE) {
-            return end(new AttemptStep.Failed(outcome, cause, detail, retryAfter));
+            return end(new AttemptAction.Failed(outcome, cause, detail, retryAfter));
         }
         if (length != receivedBytes || !hasHead) {
-            return new AttemptStep.QueryState(receivedBytes);
+            return new AttemptAction.QueryState(receivedBytes);
         }
-        return end(new AttemptStep.Completed());
+        return end(new AttemptAction.Completed());
     }
 
     /** The connection was closed or has become silent. */
@@ -148,13 +148,13 @@
      * @return the action required; a restarted companion cannot know the attempt, so the attempt
      *     fails
      */
-    public AttemptStep onConnected(String peerIncarnation) {
+    public AttemptAction onConnected(String peerIncarnation) {
         if (isEnded || isAttached) {
             return NO_ACTION;
         }
         isAttached = true;
         return peerIncarnation.equals(incarnation)
-                ? new AttemptStep.QueryState(receivedBytes)
+                ? new AttemptAction.QueryState(receivedBytes)
                 : failLost("the companion was restarted while the call was with it");
     }
 
@@ -165,14 +165,14 @@
      * @param state the state
      * @return the action required
      */
-    public AttemptStep onStateAnswer(int attempt, AttemptState state) {
+    public AttemptAction onStateAnswer(int attempt, AttemptState state) {
         if (isIgnored(attempt)) {
             return NO_ACTION;
         }
         return switch (state) {
             case NOT_STARTED ->
                     end(
-                            new AttemptStep.Failed(
+                            new AttemptAction.Failed(
                                     receivedBytes > 0 || hasHead
                                             ? RunOutcome.UNKNOWN
                                             : RunOutcome.NOT_RUN,
@@ -189,7 +189,7 @@
      *
      * @return the action required
      */
-    public AttemptStep onReattachTimeout() {
+    public AttemptAction onReattachTimeout() {
         return isEnded || isAttached
                 ? NO_ACTION
                 : failLost("the connection to the companion was lost");
@@ -202,27 +202,27 @@
      * @param detail description of this case
      * @return the action required
      */
-    public AttemptStep onAbandoned(FailureCause cause, String detail) {
+    public AttemptAction onAbandoned(FailureCause cause, String detail) {
         return isEnded
                 ? NO_ACTION
                 : end(
-                        new AttemptStep.Failed(
+                        new AttemptAction.Failed(
                                 hasHead ? RunOutcome.RUN : RunOutcome.UNKNOWN,
                                 cause,
                                 detail,
                                 Duration.ZERO));
     }
 
-    private AttemptStep failLost(String detail) {
+    private AttemptAction failLost(String detail) {
         return end(
-                new AttemptStep.Failed(
+                new AttemptAction.Failed(
                         hasHead ? RunOutcome.RUN : RunOutcome.UNKNOWN,
                         FailureCause.CONNECTION_LOST,
                         detail,
                         Duration.ZERO));
     }
 
-    private AttemptStep end(AttemptStep finalStep) {
+    private AttemptAction end(AttemptAction finalStep) {
         isEnded = true;
         return finalStep;
     }
--- a/core/src/main/java/org/sardinelift/core/outcome/RetryPolicy.java
+++ b/core/src/main/java/org/sardinelift/core/outcome/RetryPolicy.java
@@ -26,7 +26,7 @@
      * @return the backoff before the next attempt, or empty for no retry
      */
     public Optional<Duration> backoff(
-            AttemptStep.Failed failed,
+            AttemptAction.Failed failed,
             int attempt,
             boolean isIdempotent,
             boolean hasDelivered,
@@ -48,7 +48,7 @@
      * Calls that were on a target when it died are retried one at a time, which limits them without
      * a budget.
      */
-    private static boolean isWithinBudget(AttemptStep.Failed failed, RetryBudget budget) {
+    private static boolean isWithinBudget(AttemptAction.Failed failed, RetryBudget budget) {
         return failed.cause() == FailureCause.TARGET_DIED || budget.tryAcquire();
     }
 
@@ -59,7 +59,7 @@
         };
     }
 
-    private Duration pause(AttemptStep.Failed failed, int attempt, double jitter) {
+    private Duration pause(AttemptAction.Failed failed, int attempt, double jitter) {
         long exponential = firstBackoff.toNanos() << Math.min(20, attempt - 1);
         long bounded = Math.min(longestBackoff.toNanos(), exponential);
         Duration backoff = Duration.ofNanos((long) (bounded * (0.5 + jitter / 2)));
--- a/core/src/test/java/org/sardinelift/core/batch/ItemRetryTest.java
+++ b/core/src/test/java/org/sardinelift/core/batch/ItemRetryPolicyTest.java
@@ -15,7 +15,7 @@
 import org.sardinelift.core.outcome.ProblemKind;
 import org.sardinelift.core.outcome.RunOutcome;
 
-class ItemRetryTest {
+class ItemRetryPolicyTest {
     private final ItemRetryPolicy retryPolicy =
             new ItemRetryPolicy(3, 5, Duration.ofMillis(100), Duration.ofSeconds(1));
 
--- a/core/src/test/java/org/sardinelift/core/batch/JobStateTest.java
+++ b/core/src/test/java/org/sardinelift/core/batch/JobStateTest.java
@@ -19,7 +19,7 @@
     private static final Holder SECOND = new Holder("e2", "b");
 
     private static JobState accepted() {
-        return JobState.accepted("compliance", CHUNKS * CHUNK_ITEMS, CHUNKS);
+        return JobState.initial("compliance", CHUNKS * CHUNK_ITEMS, CHUNKS);
     }
 
     private static ChunkResult result(String writeId) {
--- a/core/src/test/java/org/sardinelift/core/catalog/CatalogLogTest.java
+++ b/core/src/test/java/org/sardinelift/core/catalog/CatalogMergerTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class CatalogLogTest {
+class CatalogMergerTest {
     private static final ConfigRef KEY = new ConfigRef(ConfigKind.KEY, "k1");
 
     @Property(seed = "41")
--- a/core/src/test/java/org/sardinelift/core/explain/TeamTallyTest.java
+++ b/core/src/test/java/org/sardinelift/core/explain/TeamRequestCounterTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class TeamTallyTest {
+class TeamRequestCounterTest {
     private final TeamRequestCounter counter = TeamRequestCounter.create();
 
     @Test
@@ -32,7 +32,7 @@
 
         assertEquals(
                 new TeamRequestCounter.Traffic(0, 2, 0), counter.traffic(nanos(2)).get("patrol"));
-        counter.retain(Set.of("depot"));
+        counter.retainTeams(Set.of("depot"));
         assertEquals(Set.of("depot"), counter.traffic(nanos(2)).keySet());
     }
 
--- a/core/src/test/java/org/sardinelift/core/outcome/CallAttemptTest.java
+++ b/core/src/test/java/org/sardinelift/core/outcome/CallAttemptTest.java
@@ -55,8 +55,8 @@
     }
 
     private static void reconnect(CallAttempt attempt, Wire wire, Caller caller) {
-        AttemptStep step = attempt.onConnected("i1");
-        assertInstanceOf(AttemptStep.QueryState.class, step);
+        AttemptAction step = attempt.onConnected("i1");
+        assertInstanceOf(AttemptAction.QueryState.class, step);
         caller.take(step, wire);
         caller.take(attempt.onStateAnswer(ATTEMPT, AttemptState.RUNNING), wire);
     }
@@ -68,11 +68,11 @@
             attempt.onHead(1, 200, Map.of());
         }
         attempt.onDisconnected();
-        AttemptStep step = attempt.onConnected(answersUnknown ? "i1" : "i2");
+        AttemptAction step = attempt.onConnected(answersUnknown ? "i1" : "i2");
         if (answersUnknown) {
             step = attempt.onStateAnswer(1, AttemptState.UNKNOWN);
         }
-        AttemptStep.Failed failed = assertInstanceOf(AttemptStep.Failed.class, step);
+        AttemptAction.Failed failed = assertInstanceOf(AttemptAction.Failed.class, step);
         assertEquals(head ? RunOutcome.RUN : RunOutcome.UNKNOWN, failed.outcome());
         assertFalse(failed.outcome().mayRetry(false));
     }
@@ -82,9 +82,9 @@
         CallAttempt attempt = CallAttempt.begin(1, "i1");
         attempt.onDisconnected();
         attempt.onConnected("i1");
-        AttemptStep.Failed failed =
+        AttemptAction.Failed failed =
                 assertInstanceOf(
-                        AttemptStep.Failed.class,
+                        AttemptAction.Failed.class,
                         attempt.onStateAnswer(1, AttemptState.NOT_STARTED));
         assertTrue(failed.outcome().mayRetry(false));
     }
@@ -92,9 +92,9 @@
     @Example
     void aLateEndOfAnEarlierAttemptChangesNothing() {
         CallAttempt attempt = CallAttempt.begin(2, "i1");
-        AttemptStep step =
+        AttemptAction step =
                 attempt.onFinish(1, 0, RunOutcome.RUN, FailureCause.NONE, "", Duration.ZERO);
-        assertInstanceOf(AttemptStep.NoAction.class, step);
+        assertInstanceOf(AttemptAction.NoAction.class, step);
         assertFalse(attempt.isEnded());
     }
 
@@ -120,9 +120,9 @@
             frames.add(new int[] {-2, 0});
         }
 
-        AttemptStep deliverOne(CallAttempt attempt) {
+        AttemptAction deliverOne(CallAttempt attempt) {
             if (frames.isEmpty()) {
-                return new AttemptStep.QueryState(attempt.receivedBytes());
+                return new AttemptAction.QueryState(attempt.receivedBytes());
             }
             boolean isOldAttempt = random.nextInt(10) == 0;
             int number = isOldAttempt ? ATTEMPT - 1 : ATTEMPT;
@@ -150,14 +150,14 @@
         int headCount;
         boolean isComplete;
 
-        void take(AttemptStep step, Wire wire) {
-            if (step instanceof AttemptStep.ResponseHead) {
+        void take(AttemptAction step, Wire wire) {
+            if (step instanceof AttemptAction.ResponseHead) {
                 headCount++;
-            } else if (step instanceof AttemptStep.BodyPart deliver) {
+            } else if (step instanceof AttemptAction.BodyPart deliver) {
                 received.writeBytes(deliver.part());
-            } else if (step instanceof AttemptStep.Completed) {
+            } else if (step instanceof AttemptAction.Completed) {
                 isComplete = true;
-            } else if (step instanceof AttemptStep.QueryState ask) {
+            } else if (step instanceof AttemptAction.QueryState ask) {
                 wire.restart((int) ask.offset());
             }
         }
--- a/core/src/test/java/org/sardinelift/core/outcome/RetryPolicyTest.java
+++ b/core/src/test/java/org/sardinelift/core/outcome/RetryPolicyTest.java
@@ -105,7 +105,7 @@
                 RetryBudget.of(0.1, 10));
     }
 
-    private static AttemptStep.Failed failed(RunOutcome outcome, FailureCause cause) {
-        return new AttemptStep.Failed(outcome, cause, "", Duration.ZERO);
+    private static AttemptAction.Failed failed(RunOutcome outcome, FailureCause cause) {
+        return new AttemptAction.Failed(outcome, cause, "", Duration.ZERO);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
@@ -15,10 +15,10 @@
 import org.sardinelift.http.HttpHandler;
 import org.sardinelift.http.HttpLimits;
 import org.sardinelift.http.HttpServer;
-import org.sardinelift.objects.CountedObjectStore;
 import org.sardinelift.objects.HttpObjectStore;
+import org.sardinelift.objects.MeteredObjectStore;
 import org.sardinelift.objects.ObjectStore;
-import org.sardinelift.objects.PacedObjectStore;
+import org.sardinelift.objects.RateLimitedObjectStore;
 import org.sardinelift.protocol.FrameServer;
 import org.sardinelift.protocol.generated.Lane;
 import org.sardinelift.runtime.ControlThread;
@@ -49,7 +49,7 @@
         this.group = group;
         services =
                 new EntryServices(
-                        settings, group, CountedObjectStore.over(store), certificates.links());
+                        settings, group, MeteredObjectStore.wrap(store), certificates.links());
         peerServer =
                 FrameServer.start(
                         group,
@@ -111,7 +111,7 @@
                         settings.platform().host(),
                         settings.platform().port(),
                         settings.platformTimeout());
-        return PacedObjectStore.over(store, settings.platformBudget(), group);
+        return RateLimitedObjectStore.wrap(store, settings.platformBudget(), group);
     }
 
     /**
--- a/entry/src/main/java/org/sardinelift/entry/EntryServices.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryServices.java
@@ -192,7 +192,7 @@
         config.listen((before, after) -> calls.onCatalog(after));
         config.listen(limiter);
         config.listen(ConfigDecisions.of(decisions));
-        config.listen((before, after) -> tally.retain(teams(after)));
+        config.listen((before, after) -> tally.retainTeams(teams(after)));
         limiter.listen(shares);
         limiter.start();
         config.start(readiness::accepting);
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchSettings.java
@@ -178,21 +178,21 @@
 
     private static void check(BatchSettings read, SettingsNode node) {
         if (read.watchWait.compareTo(read.leaseTimeout) >= 0) {
-            node.error(
+            node.addError(
                     "watchWaitMs",
                     "less than leaseTimeoutMs",
                     String.valueOf(read.watchWait.toMillis()),
                     "Lower it, so that a lapsed lease is noticed.");
         }
         if (read.leaseValid.compareTo(read.leaseTimeout) >= 0) {
-            node.error(
+            node.addError(
                     "leaseValidMs",
                     "less than leaseTimeoutMs",
                     String.valueOf(read.leaseValid.toMillis()),
                     "Lower it, so that a holder stops before others claim.");
         }
         if (read.retention.retentionMs() < 2 * read.retention.stepDelayMs()) {
-            node.error(
+            node.addError(
                     "retentionMinutes",
                     "at least twice removalHoldMs",
                     String.valueOf(read.retention.retentionMs() / MS_PER_MINUTE),
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobCancel.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobCancel.java
@@ -107,7 +107,7 @@
                         long version =
                                 read instanceof ReadResult.Found found
                                         ? found.object().version()
-                                        : ObjectStore.ABSENT;
+                                        : ObjectStore.ABSENT_VERSION;
                         store.write(
                                 OpenJobs.Marker.key(header.id()),
                                 version,
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobClaims.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobClaims.java
@@ -61,7 +61,7 @@
 
     /** Looks for jobs to claim; reads nothing of jobs that fall to others. */
     void look() {
-        shares.retain(leases.liveInstances(store.control().nanos()));
+        shares.retainEntries(leases.liveInstances(store.control().nanos()));
         heldBy.keySet().retainAll(jobs.markers().keySet());
         if (draining || !lease.hold().isValid(store.control().nanos())) {
             return;
@@ -133,7 +133,7 @@
     }
 
     static JobState accepted(JobHeader header) {
-        return JobState.accepted(header.team(), header.items(), header.chunkItems().size());
+        return JobState.initial(header.team(), header.items(), header.chunkItems().size());
     }
 
     private void onClaim(JobHeader header, StateCell cell, JobState state, boolean claimed) {
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobRemoval.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobRemoval.java
@@ -236,7 +236,7 @@
 
     private void confirm(
             ObjectKey key, Optional<StoredObject> read, Consumer<Optional<StoredObject>> next) {
-        long version = read.map(StoredObject::version).orElse(ObjectStore.ABSENT);
+        long version = read.map(StoredObject::version).orElse(ObjectStore.ABSENT_VERSION);
         pace(
                 () ->
                         store.delete(
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobStore.java
@@ -80,7 +80,7 @@
             Consumer<Creation> done) {
         write(
                 key,
-                ObjectStore.ABSENT,
+                ObjectStore.ABSENT_VERSION,
                 value,
                 result -> {
                     if (result instanceof WriteResult.Written) {
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobSweeper.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobSweeper.java
@@ -187,7 +187,10 @@
                                         .orElse(now);
                         Logger.info(
                                 "Shard {} of the ended jobs is swept for the first time", shard);
-                        begin(shard, Math.min(first, now) / Expiry.BUCKET_MS, ObjectStore.ABSENT);
+                        begin(
+                                shard,
+                                Math.min(first, now) / Expiry.BUCKET_MS,
+                                ObjectStore.ABSENT_VERSION);
                     } else {
                         busy = false;
                     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/LeaseKeeper.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/LeaseKeeper.java
@@ -19,7 +19,7 @@
     private final OwnLease hold;
     private final Supplier<ObjectNode> loads;
     private final Runnable onRegained;
-    private long version = ObjectStore.ABSENT;
+    private long version = ObjectStore.ABSENT_VERSION;
     private long renewals;
     private boolean known;
     private boolean stopped;
--- a/entry/src/main/java/org/sardinelift/entry/call/CallProblems.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallProblems.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.Optional;
-import org.sardinelift.core.outcome.AttemptStep;
+import org.sardinelift.core.outcome.AttemptAction;
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.ProblemKind;
 import org.sardinelift.core.outcome.RunOutcome;
@@ -13,7 +13,7 @@
 
     private CallProblems() {}
 
-    static Problem of(AttemptStep.Failed last, RunOutcome overall) {
+    static Problem of(AttemptAction.Failed last, RunOutcome overall) {
         Duration after = last.retryAfter().isZero() ? COME_BACK : last.retryAfter();
         return of(last.cause().problemKind(overall), overall, last.detail(), after);
     }
--- a/entry/src/main/java/org/sardinelift/entry/call/CallRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallRun.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.ScheduledFuture;
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.core.explain.DecisionAction;
+import org.sardinelift.core.outcome.AttemptAction;
 import org.sardinelift.core.outcome.AttemptState;
-import org.sardinelift.core.outcome.AttemptStep;
 import org.sardinelift.core.outcome.CallAttempt;
 import org.sardinelift.core.outcome.FailureCause;
 import org.sardinelift.core.outcome.Problem;
@@ -39,7 +39,7 @@
     private @Nullable CompanionLink companion;
     private @Nullable CallAttempt attempt;
     private @Nullable AttemptSpan span;
-    private AttemptStep.@Nullable ResponseHead head;
+    private AttemptAction.@Nullable ResponseHead head;
     private RunOutcome overall = RunOutcome.NOT_RUN;
     private String targetIncarnation = "";
     private @Nullable Long firstAskedNanos;
@@ -249,17 +249,17 @@
         }
     }
 
-    private void act(AttemptStep step) {
-        if (step instanceof AttemptStep.ResponseHead answered) {
+    private void act(AttemptAction step) {
+        if (step instanceof AttemptAction.ResponseHead answered) {
             head = answered;
-        } else if (step instanceof AttemptStep.BodyPart deliver) {
+        } else if (step instanceof AttemptAction.BodyPart deliver) {
             passHead();
             listener.onData(deliver.part());
-        } else if (step instanceof AttemptStep.QueryState ask) {
+        } else if (step instanceof AttemptAction.QueryState ask) {
             send(Frame.query(new Query(requestId(), attempts, ask.offset())));
-        } else if (step instanceof AttemptStep.Completed) {
+        } else if (step instanceof AttemptAction.Completed) {
             onWhole();
-        } else if (step instanceof AttemptStep.Failed failed) {
+        } else if (step instanceof AttemptAction.Failed failed) {
             onFailed(failed);
         }
     }
@@ -291,7 +291,7 @@
         }
     }
 
-    private void onFailed(AttemptStep.Failed failed) {
+    private void onFailed(AttemptAction.Failed failed) {
         CompanionLink failedOn = companion;
         tried.add(failedOn.name());
         overall = overall.combine(failed.outcome());
@@ -313,7 +313,7 @@
         }
     }
 
-    private Problem problem(AttemptStep.Failed failed) {
+    private Problem problem(AttemptAction.Failed failed) {
         return dispatcher.guard().verdict(spec.fingerprint()) == CrashVerdict.REFUSED
                 ? CallProblems.crashes(overall)
                 : CallProblems.of(failed, overall);
--- a/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
@@ -159,7 +159,8 @@
                 fingerprint,
                 Instant.ofEpochMilli(until));
         peers.broadcast(Frame.crashEvidence(new CrashEvidence(fingerprint, "", "", false, true)));
-        store.write(new ObjectKey(KIND, fingerprint), ObjectStore.ABSENT, Long.toString(until));
+        store.write(
+                new ObjectKey(KIND, fingerprint), ObjectStore.ABSENT_VERSION, Long.toString(until));
     }
 
     private void refresh() {
--- a/entry/src/main/java/org/sardinelift/entry/call/FrameDispatcher.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/FrameDispatcher.java
@@ -17,7 +17,7 @@
 import org.sardinelift.core.explain.DecisionRecord;
 import org.sardinelift.core.fleet.FleetView;
 import org.sardinelift.core.order.TargetView;
-import org.sardinelift.core.outcome.AttemptStep;
+import org.sardinelift.core.outcome.AttemptAction;
 import org.sardinelift.core.outcome.FailureCause;
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.RetryBudget;
@@ -281,7 +281,7 @@
     void onAttemptFailed(
             CallRun run,
             CompanionLink on,
-            AttemptStep.Failed failed,
+            AttemptAction.Failed failed,
             String targetIncarnation,
             boolean suspect) {
         if (!failed.cause().isTargetFault()) {
@@ -301,7 +301,7 @@
 
     Optional<Duration> backoff(
             CallRun run,
-            AttemptStep.Failed failed,
+            AttemptAction.Failed failed,
             int attempts,
             boolean delivered,
             Duration left) {
@@ -324,7 +324,10 @@
     }
 
     void noteAnswered(
-            CallRun run, CompanionLink by, AttemptStep.@Nullable ResponseHead head, boolean letIn) {
+            CallRun run,
+            CompanionLink by,
+            AttemptAction.@Nullable ResponseHead head,
+            boolean letIn) {
         String answer = head == null ? "without a head" : "status " + head.status();
         note(run, DecisionAction.ANSWERED, answer, by.name());
         if (letIn) {
--- a/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
@@ -30,7 +30,7 @@
 import org.sardinelift.objects.WatchResult;
 import org.sardinelift.objects.WriteResult;
 import org.sardinelift.objects.kinds.ConfigCodec;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.protocol.FrameConnection;
 import org.sardinelift.protocol.FrameListener;
 import org.sardinelift.protocol.generated.Frame;
@@ -176,7 +176,7 @@
     }
 
     private void writeBarrier(long number) {
-        store.write(barrier, ObjectStore.ABSENT, "{}")
+        store.write(barrier, ObjectStore.ABSENT_VERSION, "{}")
                 .thenCompose(this::removeLeftBarrier)
                 .thenAccept(result -> onControl(() -> onBarrier(number, result)));
     }
@@ -257,13 +257,13 @@
     }
 
     private @Nullable ConfigItem item(ConfigRef ref, String value) {
-        KindResult<ConfigItem> result = ConfigCodec.read(ref, value);
-        if (result instanceof KindResult.Unsound<ConfigItem> unsound) {
+        DecodeResult<ConfigItem> result = ConfigCodec.decode(ref, value);
+        if (result instanceof DecodeResult.Invalid<ConfigItem> unsound) {
             unsound.problems()
                     .forEach(problem -> Logger.error("{} The object is not in force.", problem));
             return null;
         }
-        return ((KindResult.Sound<ConfigItem>) result).item();
+        return ((DecodeResult.Valid<ConfigItem>) result).item();
     }
 
     private void publish(boolean changed) {
--- a/entry/src/main/java/org/sardinelift/entry/control/LimitSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/LimitSettings.java
@@ -39,7 +39,7 @@
                         millis(node, "balanceIntervalMs", standard.balanceInterval()),
                         node.number("balanceThreshold", standard.balanceThreshold(), 0, 1));
         if (!bounds.isReclaimSafe()) {
-            node.error(
+            node.addError(
                     "reclaimDelayMs",
                     "more than " + bounds.longestUseAfterContactLoss().toMillis(),
                     String.valueOf(bounds.reclaimDelay().toMillis()),
--- a/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
@@ -141,6 +141,6 @@
                 instance.host(),
                 instance.port(),
                 instance.target(),
-                instance.leaving());
+                instance.isLeaving());
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/control/ShareStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ShareStore.java
@@ -8,7 +8,7 @@
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.objects.WriteResult;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.SharesCodec;
 import org.sardinelift.runtime.ControlThread;
 import org.tinylog.Logger;
@@ -41,7 +41,7 @@
     }
 
     private void read(long number) {
-        store.read(SharesCodec.KEY)
+        store.read(SharesCodec.OBJECT_KEY)
                 .thenAccept(result -> control.execute(() -> onRead(number, result)));
     }
 
@@ -50,7 +50,7 @@
         if (result instanceof ReadResult.Found found) {
             onFound(number, found.object(), now);
         } else if (result instanceof ReadResult.Absent) {
-            ledger.onRead(number, ObjectStore.ABSENT, Shares.initial(), now);
+            ledger.onRead(number, ObjectStore.ABSENT_VERSION, Shares.initial(), now);
         } else {
             ledger.onFailed(number, now);
         }
@@ -58,11 +58,11 @@
     }
 
     private void onFound(long number, StoredObject object, long now) {
-        KindResult<Shares> result = SharesCodec.read(object.value());
-        if (result instanceof KindResult.Sound<Shares> sound) {
+        DecodeResult<Shares> result = SharesCodec.decode(object.value());
+        if (result instanceof DecodeResult.Valid<Shares> sound) {
             listener.onRead(sound.item());
             ledger.onRead(number, object.version(), sound.item(), now);
-        } else if (result instanceof KindResult.Unsound<Shares> unsound) {
+        } else if (result instanceof DecodeResult.Invalid<Shares> unsound) {
             for (ConfigProblem problem : unsound.problems()) {
                 Logger.error("{} This entry's share of the limits stays as it is.", problem);
             }
@@ -71,7 +71,10 @@
     }
 
     private void write(ShareCall.Write write) {
-        store.write(SharesCodec.KEY, write.expectedVersion(), SharesCodec.write(write.shares()))
+        store.write(
+                        SharesCodec.OBJECT_KEY,
+                        write.expectedVersion(),
+                        SharesCodec.encode(write.shares()))
                 .thenAccept(result -> control.execute(() -> onWritten(write, result)));
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/filter/IntentStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/IntentStore.java
@@ -55,7 +55,7 @@
             withdraw(key, intent.intentId());
             return CompletableFuture.completedFuture(new Unavailable());
         }
-        return store.write(key, ObjectStore.ABSENT, IdempotencyCodec.write(intent))
+        return store.write(key, ObjectStore.ABSENT_VERSION, IdempotencyCodec.write(intent))
                 .thenCompose(
                         result -> {
                             if (result instanceof WriteResult.Written) {
@@ -190,7 +190,7 @@
 
     private static long version(ReadResult result) {
         StoredObject object = object(result);
-        return object == null ? ObjectStore.ABSENT : object.version();
+        return object == null ? ObjectStore.ABSENT_VERSION : object.version();
     }
 
     private static @Nullable StoredObject object(ReadResult result) {
--- a/entry/src/main/java/org/sardinelift/entry/order/OrderSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/OrderSettings.java
@@ -31,14 +31,14 @@
                         millis(node, "goneAfterMs", standard.goneTimeout()),
                         node.integer("maxTargets", standard.maxTargets(), 1, MAX_TARGETS));
         if (bounds.leaseValid().compareTo(bounds.leaseTimeout()) >= 0) {
-            node.error(
+            node.addError(
                     "leaseValidMs",
                     "less than leaseTimeoutMs, " + bounds.leaseTimeout().toMillis(),
                     String.valueOf(bounds.leaseValid().toMillis()),
                     "Lower it, or raise leaseTimeoutMs.");
         }
         if (bounds.pollInterval().isZero()) {
-            node.error("periodMs", "at least 1", "0", "Set a positive time.");
+            node.addError("periodMs", "at least 1", "0", "Set a positive time.");
         }
         return bounds;
     }
--- a/entry/src/main/java/org/sardinelift/entry/order/RolloutStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/RolloutStore.java
@@ -19,7 +19,7 @@
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.objects.WriteResult;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.RolloutCodec;
 import org.tinylog.Logger;
 
@@ -49,19 +49,19 @@
 
     private Optional<Lease> lease(ReadResult result) {
         if (result instanceof ReadResult.Absent) {
-            return Optional.of(new Lease(LeaseRecord.NONE, ObjectStore.ABSENT));
+            return Optional.of(new Lease(LeaseRecord.NONE, ObjectStore.ABSENT_VERSION));
         }
         if (!(result instanceof ReadResult.Found found)) {
             return Optional.empty();
         }
-        return sound(found.object(), RolloutCodec.readLease(found.object().value()))
+        return sound(found.object(), RolloutCodec.decodeLease(found.object().value()))
                 .map(value -> new Lease(value, found.object().version()));
     }
 
     /** Writes the lease over a version; true where it certainly took effect. */
     void writeLease(LeaseRecord value, long version, Consumer<Boolean> done) {
         hop(
-                store.write(LEASE, version, RolloutCodec.writeLease(value)),
+                store.write(LEASE, version, RolloutCodec.encodeLease(value)),
                 result -> done.accept(result instanceof WriteResult.Written));
     }
 
@@ -71,7 +71,7 @@
      */
     void specs(Consumer<Optional<List<RolloutSpec>>> done) {
         hop(
-                store.list(RolloutCodec.KIND, ""),
+                store.list(RolloutCodec.SPEC_KIND, ""),
                 result ->
                         done.accept(
                                 each(result, RolloutStore::spec)
@@ -82,8 +82,8 @@
                                                                 .toList())));
     }
 
-    private static KindResult<RolloutSpec> spec(StoredObject object) {
-        return RolloutCodec.readSpec(object.key().name(), object.revision(), object.value());
+    private static DecodeResult<RolloutSpec> spec(StoredObject object) {
+        return RolloutCodec.decodeSpec(object.key().name(), object.revision(), object.value());
     }
 
     private boolean readable(RolloutSpec spec) {
@@ -102,8 +102,8 @@
                 });
     }
 
-    private static KindResult<RolloutState> state(StoredObject object) {
-        return RolloutCodec.readState(object.key().name(), object.value());
+    private static DecodeResult<RolloutState> state(StoredObject object) {
+        return RolloutCodec.decodeState(object.key().name(), object.value());
     }
 
     private void note(List<StoredObject> states) {
@@ -111,7 +111,7 @@
         unreadable.clear();
         for (StoredObject object : states) {
             stateVersions.put(object.key().name(), object.version());
-            if (!(state(object) instanceof KindResult.Sound<RolloutState>)) {
+            if (!(state(object) instanceof DecodeResult.Valid<RolloutState>)) {
                 unreadable.add(object.key().name());
             }
         }
@@ -120,12 +120,12 @@
     /** Writes a state over the version last seen; true where it certainly took effect. */
     void write(RolloutState state, Consumer<Boolean> done) {
         String name = state.spec().name();
-        long version = stateVersions.getOrDefault(name, ObjectStore.ABSENT);
+        long version = stateVersions.getOrDefault(name, ObjectStore.ABSENT_VERSION);
         hop(
                 store.write(
                         new ObjectKey(RolloutCodec.STATUS_KIND, name),
                         version,
-                        RolloutCodec.writeState(state)),
+                        RolloutCodec.encodeState(state)),
                 result -> {
                     if (result instanceof WriteResult.Written written) {
                         stateVersions.put(name, written.version());
@@ -135,7 +135,7 @@
     }
 
     private <T> Optional<List<T>> each(
-            ListResult result, Function<StoredObject, KindResult<T>> reader) {
+            ListResult result, Function<StoredObject, DecodeResult<T>> reader) {
         return result instanceof ListResult.Listed listed
                 ? Optional.of(
                         listed.objects().stream()
@@ -144,8 +144,8 @@
                 : Optional.empty();
     }
 
-    private <T> Optional<T> sound(StoredObject object, KindResult<T> result) {
-        if (result instanceof KindResult.Sound<T> sound) {
+    private <T> Optional<T> sound(StoredObject object, DecodeResult<T> result) {
+        if (result instanceof DecodeResult.Valid<T> sound) {
             return Optional.of(sound.item());
         }
         if (unsound.add(object.key() + " " + object.version())) {
@@ -153,7 +153,7 @@
                     "{}/{} is left out: {}",
                     object.key().kind(),
                     object.key().name(),
-                    ((KindResult.Unsound<T>) result).problems());
+                    ((DecodeResult.Invalid<T>) result).problems());
         }
         return Optional.empty();
     }
--- a/entry/src/test/java/org/sardinelift/entry/EntryFixture.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryFixture.java
@@ -59,7 +59,7 @@
 
     void put(ConfigItem item) {
         ConfigRef ref = ConfigCodec.refOf(item);
-        write(ref.kind().label(), ref.name(), ConfigCodec.write(item));
+        write(ref.kind().label(), ref.name(), ConfigCodec.encode(item));
     }
 
     void write(String kind, String name, String value) {
@@ -70,7 +70,7 @@
         platform.write(
                 new ObjectKey("key", "k1"),
                 1,
-                ConfigCodec.write(
+                ConfigCodec.encode(
                         new KeyEntry("k1", "blue", KeyDigest.of(PEPPER).digest(KEY), true)));
     }
 
@@ -120,7 +120,7 @@
                 """
                         .formatted(name, more);
         SettingsResult<EntrySettings> result = SettingsFile.parse(text, EntrySettings::read);
-        EntrySettings settings = ((SettingsResult.Sound<EntrySettings>) result).settings();
+        EntrySettings settings = ((SettingsResult.Valid<EntrySettings>) result).settings();
         EntryProcess entry = EntryProcess.start(settings, loops -> platform);
         entries.add(entry);
         listedEntries.add(
--- a/entry/src/test/java/org/sardinelift/entry/EntrySettingsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntrySettingsTest.java
@@ -19,7 +19,7 @@
     }
 
     private static List<SettingsError> errors(String ports) {
-        return assertInstanceOf(SettingsResult.Unsound.class, parse(ports)).errors();
+        return assertInstanceOf(SettingsResult.Invalid.class, parse(ports)).errors();
     }
 
     @ParameterizedTest
@@ -39,7 +39,7 @@
     @ValueSource(strings = {"127.0.0.1", "127.9.9.9", "::1", "localhost"})
     void aPlaintextPortOnLoopbackIsSound(String host) {
         assertInstanceOf(
-                SettingsResult.Sound.class,
+                SettingsResult.Valid.class,
                 parse(
                         "\"caller\":{\"host\":\"%s\"},\"peer\":{\"host\":\"%s\"}"
                                 .formatted(host, host)));
@@ -54,27 +54,27 @@
                   "host": "0.0.0.0", "tls": {"certificate": "c", "key": "k", "trust": "t"}
                 }
                 """;
-        assertInstanceOf(SettingsResult.Sound.class, parse(ports));
+        assertInstanceOf(SettingsResult.Valid.class, parse(ports));
     }
 
     @Test
     void anEmptyDataFolderMayBeWrittenOut() {
-        assertInstanceOf(SettingsResult.Sound.class, parse("\"batch\":{\"dataFolder\":\"\"}"));
+        assertInstanceOf(SettingsResult.Valid.class, parse("\"batch\":{\"dataFolder\":\"\"}"));
         assertEquals("/batch/dataFolder", errors("\"batch\":{\"dataFolder\":7}").get(0).path());
     }
 
     @Test
     void theShareOfTracesHasTheNameAndDefaultOfTheCompanions() {
-        var sound = assertInstanceOf(SettingsResult.Sound.class, parse("\"traces\":{}"));
+        var sound = assertInstanceOf(SettingsResult.Valid.class, parse("\"traces\":{}"));
         assertEquals(0.01, ((EntrySettings) sound.settings()).traceRatio());
         sound =
                 assertInstanceOf(
-                        SettingsResult.Sound.class, parse("\"traces\":{\"sampleRatio\":0.5}"));
+                        SettingsResult.Valid.class, parse("\"traces\":{\"sampleRatio\":0.5}"));
         assertEquals(0.5, ((EntrySettings) sound.settings()).traceRatio());
     }
 
     @Test
     void theOperatorsPortIsNotChecked() {
-        assertInstanceOf(SettingsResult.Sound.class, parse("\"operators\":{\"host\":\"0.0.0.0\"}"));
+        assertInstanceOf(SettingsResult.Valid.class, parse("\"operators\":{\"host\":\"0.0.0.0\"}"));
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
@@ -20,7 +20,7 @@
 import org.sardinelift.core.limit.Shares;
 import org.sardinelift.http.HttpAnswer;
 import org.sardinelift.objects.ReadResult;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.SharesCodec;
 import org.sardinelift.protocol.generated.Start;
 
@@ -118,11 +118,12 @@
     }
 
     private Shares shares() {
-        return fixture.platform.read(SharesCodec.KEY).join() instanceof ReadResult.Found found
+        return fixture.platform.read(SharesCodec.OBJECT_KEY).join()
+                        instanceof ReadResult.Found found
                 ? (Shares)
                         assertInstanceOf(
-                                        KindResult.Sound.class,
-                                        SharesCodec.read(found.object().value()))
+                                        DecodeResult.Valid.class,
+                                        SharesCodec.decode(found.object().value()))
                                 .item()
                 : Shares.initial();
     }
--- a/entry/src/test/java/org/sardinelift/entry/batch/FolderCacheTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/FolderCacheTest.java
@@ -73,7 +73,7 @@
     void readsGoOnWhenTheFolderIsRemovedAndAreServedFromItWhenThePlatformIsDown()
             throws IOException {
         FakeObjectStore platform = new FakeObjectStore();
-        platform.write(CHUNK, ObjectStore.ABSENT, "a\nb").join();
+        platform.write(CHUNK, ObjectStore.ABSENT_VERSION, "a\nb").join();
         CachedObjectStore store = new CachedObjectStore(platform, cache(1_000), Runnable::run);
         assertTrue(store.read(CHUNK).join() instanceof ReadResult.Found);
         platform.down(true);
--- a/entry/src/test/java/org/sardinelift/entry/batch/JobDecisionsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/JobDecisionsTest.java
@@ -35,7 +35,7 @@
                     "job-1/digest",
                     RemovalStage.LIVE,
                     0);
-    private final JobState claimed = JobState.accepted("patrol", 5, 1).claim(SELF);
+    private final JobState claimed = JobState.initial("patrol", 5, 1).claim(SELF);
 
     @Test
     void aJobWithoutHolderIsClaimedAndOneWhoseHolderWasLostIsTakenOver() {
--- a/entry/src/test/java/org/sardinelift/entry/batch/Settings.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/Settings.java
@@ -20,7 +20,7 @@
                                 .append("\":")
                                 .append(value));
         var result = SettingsFile.parse(json.append('}').toString(), BatchSettings::read);
-        return ((SettingsResult.Sound<BatchSettings>) result).settings();
+        return ((SettingsResult.Valid<BatchSettings>) result).settings();
     }
 
     static BatchSettings withPacker(ChunkPacker packer) {
--- a/entry/src/test/java/org/sardinelift/entry/batch/StateAudit.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/StateAudit.java
@@ -50,7 +50,7 @@
             expected =
                     store.read(key).join() instanceof ReadResult.Found found
                             ? found.object().version()
-                            : ObjectStore.ABSENT;
+                            : ObjectStore.ABSENT_VERSION;
         }
         WriteResult result = store.write(key, expected, value).join();
         if (result instanceof WriteResult.Written) {
--- a/entry/src/test/java/org/sardinelift/entry/call/PreemptedItemTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/call/PreemptedItemTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.sardinelift.core.batch.ItemRetryPolicy;
-import org.sardinelift.core.outcome.AttemptStep;
+import org.sardinelift.core.outcome.AttemptAction;
 import org.sardinelift.core.outcome.FailureCause;
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.RunOutcome;
@@ -20,8 +20,8 @@
     @ParameterizedTest
     @EnumSource(RunOutcome.class)
     void preemptionCountsAsNoFailureOfTheItem(RunOutcome outcome) {
-        AttemptStep.Failed cut =
-                new AttemptStep.Failed(
+        AttemptAction.Failed cut =
+                new AttemptAction.Failed(
                         outcome,
                         FailureCause.PREEMPTED,
                         "an online call took the slot",
--- a/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
@@ -63,6 +63,6 @@
         ObjectKey key =
                 new ObjectKey(
                         ConfigCodec.refOf(item).kind().label(), ConfigCodec.refOf(item).name());
-        store.write(key, version, ConfigCodec.write(item));
+        store.write(key, version, ConfigCodec.encode(item));
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
@@ -24,7 +24,7 @@
 import org.sardinelift.core.limit.Shares;
 import org.sardinelift.entry.peer.Peers;
 import org.sardinelift.objects.ReadResult;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.SharesCodec;
 import org.sardinelift.protocol.FrameConnection;
 import org.sardinelift.protocol.FrameListener;
@@ -137,10 +137,10 @@
     }
 
     private Shares shares() {
-        ReadResult read = store.read(SharesCodec.KEY).join();
+        ReadResult read = store.read(SharesCodec.OBJECT_KEY).join();
         return read instanceof ReadResult.Found found
-                        && SharesCodec.read(found.object().value())
-                                instanceof KindResult.Sound<Shares> sound
+                        && SharesCodec.decode(found.object().value())
+                                instanceof DecodeResult.Valid<Shares> sound
                 ? sound.item()
                 : Shares.initial();
     }
--- a/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
@@ -21,7 +21,7 @@
 import org.sardinelift.core.order.TargetView;
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.ReadResult;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.RolloutCodec;
 import org.sardinelift.protocol.generated.Order;
 import org.sardinelift.protocol.generated.OrderResult;
@@ -101,13 +101,13 @@
         RolloutSpec spec =
                 new RolloutSpec("r", id, 0, "s", RolloutGoal.version("m", "2"), 0.5, false);
         platform.write(
-                new ObjectKey(RolloutCodec.KIND, "r"), version, RolloutCodec.writeSpec(spec));
+                new ObjectKey(RolloutCodec.SPEC_KIND, "r"), version, RolloutCodec.encodeSpec(spec));
     }
 
     private RolloutState state() {
         ReadResult read = platform.read(new ObjectKey(RolloutCodec.STATUS_KIND, "r")).join();
         String value = ((ReadResult.Found) read).object().value();
-        return ((KindResult.Sound<RolloutState>) RolloutCodec.readState("r", value)).item();
+        return ((DecodeResult.Valid<RolloutState>) RolloutCodec.decodeState("r", value)).item();
     }
 
     private void look(int periods, OrderController... controllers) {
--- a/gateway/src/main/java/org/sardinelift/gateway/Endpoint.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/Endpoint.java
@@ -23,7 +23,7 @@
         int colon = text.lastIndexOf(':');
         int port = colon < 1 ? -1 : port(text.substring(colon + 1));
         if (port < 0 || port > MAX_PORT) {
-            node.error(name, "an address such as 10.0.0.1:8080", text, "Correct it.");
+            node.addError(name, "an address such as 10.0.0.1:8080", text, "Correct it.");
             return new Endpoint("127.0.0.1", 0);
         }
         return new Endpoint(text.substring(0, colon), port);
--- a/gateway/src/main/java/org/sardinelift/gateway/Node.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/Node.java
@@ -24,10 +24,10 @@
 import org.sardinelift.http.HttpLimits;
 import org.sardinelift.http.HttpServer;
 import org.sardinelift.objects.CallBudget;
-import org.sardinelift.objects.CountedObjectStore;
 import org.sardinelift.objects.HttpObjectStore;
+import org.sardinelift.objects.MeteredObjectStore;
 import org.sardinelift.objects.ObjectStore;
-import org.sardinelift.objects.PacedObjectStore;
+import org.sardinelift.objects.RateLimitedObjectStore;
 import org.sardinelift.runtime.ControlThread;
 import org.sardinelift.runtime.Metrics;
 import org.sardinelift.runtime.log.Event;
@@ -58,7 +58,7 @@
     private final ControlThread control;
     private final HttpClient client;
     private final StoreAvailability storeAvailability = new StoreAvailability();
-    private final CountedObjectStore store;
+    private final MeteredObjectStore store;
     private final PlanFeed plans;
     private final TargetFeed targets;
     private final PeerNetwork network;
@@ -153,7 +153,7 @@
         }
     }
 
-    private CountedObjectStore createStore(PlatformAdapter adapter) {
+    private MeteredObjectStore createStore(PlatformAdapter adapter) {
         ObjectStore httpStore =
                 HttpObjectStore.create(
                         client,
@@ -162,14 +162,14 @@
                         settings.storeTimeout(),
                         adapter.objectDialect());
         int rate = settings.storeCallsPerSecond();
-        return CountedObjectStore.over(
-                PacedObjectStore.over(
+        return MeteredObjectStore.wrap(
+                RateLimitedObjectStore.wrap(
                         httpStore, new CallBudget(rate, rate, MAX_QUEUED_STORE_CALLS), loop));
     }
 
     private void logStoreCalls() {
         Event event = Event.of("store.calls");
-        store.counts().forEach((name, count) -> event.with(name, count));
+        store.callCounts().forEach((name, count) -> event.with(name, count));
         event.info();
     }
 
--- a/gateway/src/main/java/org/sardinelift/gateway/StatusReport.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/StatusReport.java
@@ -53,10 +53,10 @@
                             TargetCalls calls = network.targetLoads().knownCalls(target.id(), now);
                             targets.addObject()
                                     .put("id", target.id())
-                                    .put("zone", target.entry().zone())
-                                    .put("leaving", target.entry().isLeaving())
+                                    .put("zone", target.registration().zone())
+                                    .put("leaving", target.registration().isLeaving())
                                     .put("usable", target.health().isUsable(now))
-                                    .put("slots", target.entry().slots())
+                                    .put("slots", target.registration().slots())
                                     .put("online", calls.online())
                                     .put("batch", calls.batch())
                                     .put(
--- a/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedCall.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedCall.java
@@ -196,8 +196,8 @@
             headers.add(Map.entry(names.team(), call.team()));
         }
         return new HttpCall(
-                target.entry().host(),
-                target.entry().port(),
+                target.registration().host(),
+                target.registration().port(),
                 exchange.method(),
                 exchange.uri(),
                 headers,
--- a/gateway/src/main/java/org/sardinelift/gateway/call/ForwardingContext.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ForwardingContext.java
@@ -47,7 +47,7 @@
                         .filter(target -> target.health().isUsable(now))
                         .mapToDouble(
                                 target ->
-                                        (double) target.entry().slots()
+                                        (double) target.registration().slots()
                                                 / Math.max(1, target.health().callNanos()))
                         .sum();
         long gateways = 1 + network.peers().livePeers(PeerRole.GATEWAY, now).count();
--- a/gateway/src/main/java/org/sardinelift/gateway/call/TargetTable.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/TargetTable.java
@@ -52,7 +52,7 @@
 
     /** A target with its registration and health. */
     public static final class Target {
-        private RegisteredTarget entry;
+        private RegisteredTarget registration;
         private final TargetHealth health;
         private final Map<Long, Long> brokenAt = new HashMap<>();
         private boolean isMisdirected;
@@ -60,7 +60,7 @@
         private long lastBytesAt;
 
         private Target(RegisteredTarget entry, TargetHealth health) {
-            this.entry = entry;
+            this.registration = entry;
             this.health = health;
         }
 
@@ -69,8 +69,8 @@
          *
          * @return its registration
          */
-        public RegisteredTarget entry() {
-            return entry;
+        public RegisteredTarget registration() {
+            return registration;
         }
 
         /**
@@ -79,7 +79,7 @@
          * @return the id
          */
         public String id() {
-            return entry.id();
+            return registration.id();
         }
 
         /**
@@ -170,11 +170,11 @@
         Target known = targets.get(entry.id());
         boolean isSameIncarnation =
                 known != null
-                        && known.entry.startedAtMs() == entry.startedAtMs()
-                        && known.entry.host().equals(entry.host())
-                        && known.entry.port() == entry.port();
+                        && known.registration.startedAtMs() == entry.startedAtMs()
+                        && known.registration.host().equals(entry.host())
+                        && known.registration.port() == entry.port();
         if (isSameIncarnation) {
-            known.entry = entry;
+            known.registration = entry;
         } else {
             targets.put(entry.id(), new Target(entry, newHealth()));
         }
@@ -218,7 +218,7 @@
      */
     public List<TargetLoad> usableLoads(String service, Set<String> excluded, long now) {
         return targets.values().stream()
-                .filter(target -> target.entry.service().equals(service))
+                .filter(target -> target.registration.service().equals(service))
                 .filter(target -> !excluded.contains(target.id()))
                 .filter(target -> isAvailable(target, now))
                 .map(target -> load(target, now))
@@ -239,7 +239,9 @@
     }
 
     private static boolean isAvailable(Target target, long now) {
-        return !target.entry.isLeaving() && !target.isMisdirected && target.health.isUsable(now);
+        return !target.registration.isLeaving()
+                && !target.isMisdirected
+                && target.health.isUsable(now);
     }
 
     /**
@@ -252,8 +254,8 @@
     public TargetLoad load(Target target, long now) {
         return new TargetLoad(
                 target.id(),
-                target.entry.zone(),
-                target.entry.slots(),
+                target.registration.zone(),
+                target.registration.slots(),
                 loadTracker.knownCalls(target.id(), now),
                 target.health.callNanos(),
                 target.health.timeToFirstEventNanos());
@@ -266,7 +268,7 @@
      */
     public void onMisdirected(Target target) {
         target.isMisdirected = true;
-        client.closeIdle(target.entry.host(), target.entry.port());
+        client.closeIdle(target.registration.host(), target.registration.port());
         Event.of("target.misdirected").with("target", target.id()).warn();
     }
 
@@ -281,7 +283,7 @@
             return;
         }
         Event.of("target.silent").with("target", target.id()).with("reason", reason).warn();
-        client.closeIdle(target.entry.host(), target.entry.port());
+        client.closeIdle(target.registration.host(), target.registration.port());
         long now = System.nanoTime();
         target.brokenAt.values().removeIf(at -> now - at >= DEATH_DETECTION_WINDOW.toNanos());
         target.brokenAt.keySet().forEach(request -> deathListener.onDeath(request, target.id()));
@@ -327,8 +329,8 @@
 
     private HttpCall probeCall(Target target) {
         return new HttpCall(
-                target.entry.host(),
-                target.entry.port(),
+                target.registration.host(),
+                target.registration.port(),
                 "GET",
                 probePath,
                 List.of(),
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/InstanceFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/InstanceFeed.java
@@ -114,7 +114,7 @@
         if (ownObject.map(StoredObject::value).filter(registrationJson()::equals).isPresent()) {
             control.schedule(LIST_INTERVAL, this::list);
         } else {
-            register(ownObject.map(StoredObject::version).orElse(ObjectStore.ABSENT));
+            register(ownObject.map(StoredObject::version).orElse(ObjectStore.ABSENT_VERSION));
         }
     }
 
--- a/gateway/src/main/java/org/sardinelift/gateway/job/ItemRunner.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/ItemRunner.java
@@ -205,7 +205,7 @@
             String id = job.spec().id();
             if (job.isClosed()) {
                 assignedJobIds.remove(id);
-                assignment.forget(id);
+                assignment.remove(id);
                 continue;
             }
             Map<String, Boolean> claims =
@@ -304,7 +304,7 @@
             Target target = each.getKey();
             int excess =
                     network.targetLoads().knownCalls(target.id(), now).total()
-                            - target.entry().slots();
+                            - target.registration().slots();
             int count =
                     PreemptionShare.itemsToPreempt(
                             instance,
@@ -408,8 +408,8 @@
                 .lastEventId()
                 .ifPresent(id -> fields.add(Map.entry(headers.lastEventId(), Long.toString(id))));
         return new HttpCall(
-                run.target().entry().host(),
-                run.target().entry().port(),
+                run.target().registration().host(),
+                run.target().registration().port(),
                 "POST",
                 item.path(),
                 fields,
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobStorage.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobStorage.java
@@ -104,7 +104,7 @@
             long deadline,
             boolean wasUnclear,
             CompletableFuture<CreateResult> done) {
-        store.write(key, ObjectStore.ABSENT, value)
+        store.write(key, ObjectStore.ABSENT_VERSION, value)
                 .thenAcceptAsync(
                         result -> {
                             storeAvailability.onResult(result);
@@ -133,7 +133,7 @@
     CompletableFuture<WriteResult> createRecord(String job, int number, List<ItemResult> results) {
         return store.write(
                         new JobObject.Record(job, number).key(),
-                        ObjectStore.ABSENT,
+                        ObjectStore.ABSENT_VERSION,
                         JobCodec.encodeRecord(results))
                 .thenApplyAsync(
                         result -> {
--- a/objects/src/main/java/org/sardinelift/objects/CallClass.java
+++ b/objects/src/main/java/org/sardinelift/objects/CallPriority.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /** Classes of calls, the first goes first. */
-enum CallClass {
+enum CallPriority {
     /** Configuration, leases, shares, job states and the list of instances. */
     CONTROL,
     /** Chunks of items, results and what is to be removed. */
@@ -11,7 +11,7 @@
 
     private static final Set<String> BULK_KINDS = Set.of("job-chunk", "job-result", "job-expiry");
 
-    static CallClass ofKind(String kind) {
+    static CallPriority ofKind(String kind) {
         return BULK_KINDS.contains(kind) ? BULK : CONTROL;
     }
 }
--- a/objects/src/main/java/org/sardinelift/objects/OwnDialect.java
+++ b/objects/src/main/java/org/sardinelift/objects/DefaultObjectDialect.java
@@ -9,7 +9,7 @@
 import org.sardinelift.http.HttpAnswer;
 
 /** The object API that docs/PLATFORM.md describes and the stand-in serves. */
-final class OwnDialect implements ObjectDialect {
+final class DefaultObjectDialect implements ObjectDialect {
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
@@ -18,18 +18,18 @@
     private static final String APPLIED_HEADER = "Applied";
 
     @Override
-    public Request read(ObjectKey key) {
+    public Request readRequest(ObjectKey key) {
         return Request.of("GET", ObjectPath.of(key));
     }
 
     @Override
-    public ReadResult readResult(ObjectKey key, HttpAnswer answer, JsonNode body) {
+    public ReadResult parseReadResult(ObjectKey key, HttpAnswer answer, JsonNode body) {
         if (answer.status() == NOT_FOUND) {
             return absent(key, answer);
         }
         return answer.status() == OK
                 ? ObjectJson.found(body)
-                : new ReadResult.Unavailable(ObjectDialect.refusal(answer));
+                : new ReadResult.Unavailable(ObjectDialect.refusalReason(answer));
     }
 
     private static ReadResult absent(ObjectKey key, HttpAnswer answer) {
@@ -43,13 +43,13 @@
     }
 
     @Override
-    public Request write(ObjectKey key, long expectedVersion, String value) {
+    public Request writeRequest(ObjectKey key, long expectedVersion, String value) {
         return new Request(
                 "PUT", conditional(key, expectedVersion), value.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
-    public Request delete(ObjectKey key, long expectedVersion) {
+    public Request deleteRequest(ObjectKey key, long expectedVersion) {
         return Request.of("DELETE", conditional(key, expectedVersion));
     }
 
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public WriteResult writeResult(HttpAnswer answer, JsonNode body) {
+    public WriteResult parseWriteResult(HttpAnswer answer, JsonNode body) {
         if (answer.status() == OK) {
             return ObjectJson.written(body);
         }
@@ -69,24 +69,24 @@
                 "no".equalsIgnoreCase(answer.header(APPLIED_HEADER))
                         || answer.status() == TOO_MANY_REQUESTS
                         || answer.status() < FIRST_SERVER_ERROR;
-        String reason = ObjectDialect.refusal(answer);
+        String reason = ObjectDialect.refusalReason(answer);
         return notApplied ? new WriteResult.NotWritten(reason) : new WriteResult.Unclear(reason);
     }
 
     @Override
-    public Request list(String kind, String namePrefix, String from) {
+    public Request listRequest(String kind, String namePrefix, String from) {
         return Request.of(
                 "GET",
                 "/objects/" + ObjectPath.encode(kind) + "?prefix=" + ObjectPath.encode(namePrefix));
     }
 
     @Override
-    public Page page(String kind, String namePrefix, JsonNode body) {
+    public Page parsePage(String kind, String namePrefix, JsonNode body) {
         return new Page(ObjectJson.listed(body), Optional.empty());
     }
 
     @Override
-    public Request watch(Set<String> kinds, long afterRevision, Duration wait) {
+    public Request watchRequest(Set<String> kinds, long afterRevision, Duration wait) {
         String names =
                 kinds.stream().sorted().map(ObjectPath::encode).collect(Collectors.joining(","));
         return Request.of(
@@ -95,17 +95,17 @@
     }
 
     @Override
-    public WatchResult changes(Set<String> kinds, JsonNode body) {
+    public WatchResult parseChanges(Set<String> kinds, JsonNode body) {
         return ObjectJson.changes(body);
     }
 
     @Override
-    public Optional<Request> instances() {
+    public Optional<Request> instancesRequest() {
         return Optional.of(Request.of("GET", "/instances"));
     }
 
     @Override
-    public InstancesResult instancesResult(JsonNode body) {
+    public InstancesResult parseInstances(JsonNode body) {
         return ObjectJson.instances(body);
     }
 }
--- a/objects/src/main/java/org/sardinelift/objects/HttpObjectStore.java
+++ b/objects/src/main/java/org/sardinelift/objects/HttpObjectStore.java
@@ -49,7 +49,7 @@
      */
     public static HttpObjectStore create(
             HttpClient client, String host, int port, Duration timeout) {
-        return create(client, host, port, timeout, new OwnDialect());
+        return create(client, host, port, timeout, new DefaultObjectDialect());
     }
 
     /**
@@ -69,14 +69,14 @@
 
     @Override
     public CompletableFuture<ReadResult> read(ObjectKey key) {
-        return send(dialect.read(key), timeout)
+        return send(dialect.readRequest(key), timeout)
                 .handle(
                         (answer, error) ->
                                 answer == null
                                         ? new ReadResult.Unavailable(reason(error))
                                         : parsed(
                                                 answer,
-                                                body -> dialect.readResult(key, answer, body),
+                                                body -> dialect.parseReadResult(key, answer, body),
                                                 ReadResult.Unavailable::new));
     }
 
@@ -93,12 +93,12 @@
                                     + " bytes; split it to at most "
                                     + MAX_VALUE_BYTES));
         }
-        return change(dialect.write(key, expectedVersion, value));
+        return change(dialect.writeRequest(key, expectedVersion, value));
     }
 
     @Override
     public CompletableFuture<WriteResult> delete(ObjectKey key, long expectedVersion) {
-        return change(dialect.delete(key, expectedVersion));
+        return change(dialect.deleteRequest(key, expectedVersion));
     }
 
     private CompletableFuture<WriteResult> change(ObjectDialect.Request request) {
@@ -109,7 +109,7 @@
                                         ? unanswered(error)
                                         : parsed(
                                                 answer,
-                                                body -> dialect.writeResult(answer, body),
+                                                body -> dialect.parseWriteResult(answer, body),
                                                 WriteResult.Unclear::new));
     }
 
@@ -127,7 +127,7 @@
     /** Reads the page that begins at a place, and those after it. */
     private CompletableFuture<ListResult> pages(
             String kind, String namePrefix, String from, ListResult.@Nullable Listed before) {
-        return send(dialect.list(kind, namePrefix, from), timeout)
+        return send(dialect.listRequest(kind, namePrefix, from), timeout)
                 .handle((answer, error) -> page(kind, namePrefix, answer, error))
                 .thenCompose(
                         page -> {
@@ -136,7 +136,7 @@
                                 return done(new ListResult.Unavailable(reason));
                             }
                             ListResult.Listed all = joined(before, read.page().listed());
-                            Optional<String> next = read.page().next();
+                            Optional<String> next = read.page().nextPageStart();
                             return next.isPresent()
                                     ? pages(kind, namePrefix, next.get(), all)
                                     : done(all);
@@ -155,7 +155,7 @@
         return decode(
                 answer,
                 error,
-                body -> new PageResult.Read(dialect.page(kind, prefix, body)),
+                body -> new PageResult.Read(dialect.parsePage(kind, prefix, body)),
                 PageResult.Failed::new);
     }
 
@@ -173,7 +173,7 @@
     @Override
     public CompletableFuture<WatchResult> watch(
             Set<String> kinds, long afterRevision, Duration wait) {
-        return send(dialect.watch(kinds, afterRevision, wait), timeout.plus(wait))
+        return send(dialect.watchRequest(kinds, afterRevision, wait), timeout.plus(wait))
                 .handle(
                         (answer, error) ->
                                 answer != null && answer.status() == GONE
@@ -181,13 +181,13 @@
                                         : decode(
                                                 answer,
                                                 error,
-                                                body -> dialect.changes(kinds, body),
+                                                body -> dialect.parseChanges(kinds, body),
                                                 WatchResult.Unavailable::new));
     }
 
     @Override
     public CompletableFuture<InstancesResult> instances() {
-        Optional<ObjectDialect.Request> request = dialect.instances();
+        Optional<ObjectDialect.Request> request = dialect.instancesRequest();
         if (request.isEmpty()) {
             return done(new InstancesResult.Unavailable("this store has no list of instances"));
         }
@@ -197,7 +197,7 @@
                                 decode(
                                         answer,
                                         error,
-                                        dialect::instancesResult,
+                                        dialect::parseInstances,
                                         InstancesResult.Unavailable::new));
     }
 
@@ -225,7 +225,7 @@
         }
         return answer.status() == OK
                 ? parsed(answer, decoder, unavailable)
-                : unavailable.apply(ObjectDialect.refusal(answer));
+                : unavailable.apply(ObjectDialect.refusalReason(answer));
     }
 
     private static <T> T parsed(
--- a/objects/src/main/java/org/sardinelift/objects/InstancesResult.java
+++ b/objects/src/main/java/org/sardinelift/objects/InstancesResult.java
@@ -14,7 +14,7 @@
      * @param host IP address
      * @param port port of the process protocol
      * @param target name of the target beside a companion, empty for an entry
-     * @param leaving whether the platform is taking the instance away
+     * @param isLeaving whether the platform is taking the instance away
      */
     record Instance(
             String name,
@@ -23,7 +23,7 @@
             String host,
             int port,
             String target,
-            boolean leaving) {}
+            boolean isLeaving) {}
 
     /**
      * The list.
--- a/objects/src/main/java/org/sardinelift/objects/CountedObjectStore.java
+++ b/objects/src/main/java/org/sardinelift/objects/MeteredObjectStore.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Counts the calls of the platform by what they were for and what came of them. */
-public final class CountedObjectStore implements ObjectStore {
+public final class MeteredObjectStore implements ObjectStore {
     private static final Counter CALLS =
             Counter.builder()
                     .name("sardinelift_platform_calls_total")
@@ -19,9 +19,9 @@
                     .register();
 
     private final ObjectStore store;
-    private final Map<String, LongAdder> counts = new ConcurrentHashMap<>();
+    private final Map<String, LongAdder> callCounts = new ConcurrentHashMap<>();
 
-    private CountedObjectStore(ObjectStore store) {
+    private MeteredObjectStore(ObjectStore store) {
         this.store = store;
     }
 
@@ -31,8 +31,8 @@
      * @param store where the calls go
      * @return the counted store
      */
-    public static CountedObjectStore over(ObjectStore store) {
-        return new CountedObjectStore(store);
+    public static MeteredObjectStore wrap(ObjectStore store) {
+        return new MeteredObjectStore(store);
     }
 
     @Override
@@ -71,15 +71,15 @@
      *
      * @return their number by call and kind
      */
-    public Map<String, Long> counts() {
+    public Map<String, Long> callCounts() {
         Map<String, Long> sums = new TreeMap<>();
-        counts.forEach((name, count) -> sums.put(name, count.sum()));
+        callCounts.forEach((name, count) -> sums.put(name, count.sum()));
         return sums;
     }
 
     private <T> CompletableFuture<T> counted(
             String call, String kind, CompletableFuture<T> result) {
-        counts.computeIfAbsent(call + " " + kind, key -> new LongAdder()).increment();
+        callCounts.computeIfAbsent(call + " " + kind, key -> new LongAdder()).increment();
         return result.whenComplete(
                 (value, error) ->
                         CALLS.labelValues(
--- a/objects/src/main/java/org/sardinelift/objects/ObjectDialect.java
+++ b/objects/src/main/java/org/sardinelift/objects/ObjectDialect.java
@@ -36,9 +36,9 @@
      * One page of a list.
      *
      * @param listed its objects
-     * @param next where the next page begins, or empty after the last
+     * @param nextPageStart where the next page begins, or empty after the last
      */
-    record Page(ListResult.Listed listed, Optional<String> next) {}
+    record Page(ListResult.Listed listed, Optional<String> nextPageStart) {}
 
     /**
      * A call that reads an object.
@@ -46,7 +46,7 @@
      * @param key its name
      * @return the call
      */
-    Request read(ObjectKey key);
+    Request readRequest(ObjectKey key);
 
     /**
      * The outcome of a read.
@@ -56,17 +56,18 @@
      * @param body its body as JSON, a missing node where it is none
      * @return what was read
      */
-    ReadResult readResult(ObjectKey key, HttpAnswer answer, JsonNode body);
+    ReadResult parseReadResult(ObjectKey key, HttpAnswer answer, JsonNode body);
 
     /**
      * A call that writes an object under a condition.
      *
      * @param key its name
-     * @param expectedVersion the version that must be there, {@link ObjectStore#ABSENT} to create
+     * @param expectedVersion the version that must be there, {@link ObjectStore#ABSENT_VERSION} to
+     *     create
      * @param value new value
      * @return the call
      */
-    Request write(ObjectKey key, long expectedVersion, String value);
+    Request writeRequest(ObjectKey key, long expectedVersion, String value);
 
     /**
      * A call that deletes an object under a condition.
@@ -75,7 +76,7 @@
      * @param expectedVersion the version that must be there
      * @return the call
      */
-    Request delete(ObjectKey key, long expectedVersion);
+    Request deleteRequest(ObjectKey key, long expectedVersion);
 
     /**
      * The outcome of a write or a deletion.
@@ -84,7 +85,7 @@
      * @param body its body as JSON, a missing node where it is none
      * @return what became of it
      */
-    WriteResult writeResult(HttpAnswer answer, JsonNode body);
+    WriteResult parseWriteResult(HttpAnswer answer, JsonNode body);
 
     /**
      * A call that lists objects.
@@ -94,7 +95,7 @@
      * @param from where the page begins, empty for the first
      * @return the call
      */
-    Request list(String kind, String namePrefix, String from);
+    Request listRequest(String kind, String namePrefix, String from);
 
     /**
      * One page of a list, from an answer with status 200.
@@ -104,7 +105,7 @@
      * @param body the body as JSON
      * @return the page
      */
-    Page page(String kind, String namePrefix, JsonNode body);
+    Page parsePage(String kind, String namePrefix, JsonNode body);
 
     /**
      * A call that waits for changes.
@@ -114,7 +115,7 @@
      * @param wait longest time to wait
      * @return the call
      */
-    Request watch(Set<String> kinds, long afterRevision, Duration wait);
+    Request watchRequest(Set<String> kinds, long afterRevision, Duration wait);
 
     /**
      * The outcome of a watch, from an answer with status 200.
@@ -123,14 +124,14 @@
      * @param body the body as JSON
      * @return the changes
      */
-    WatchResult changes(Set<String> kinds, JsonNode body);
+    WatchResult parseChanges(Set<String> kinds, JsonNode body);
 
     /**
      * A call that reads the lagging list of instances.
      *
      * @return the call, or empty where the store has no such list
      */
-    Optional<Request> instances();
+    Optional<Request> instancesRequest();
 
     /**
      * The list of instances, from an answer with status 200.
@@ -138,7 +139,7 @@
      * @param body the body as JSON
      * @return the list
      */
-    InstancesResult instancesResult(JsonNode body);
+    InstancesResult parseInstances(JsonNode body);
 
     /**
      * Why the store refused a call.
@@ -146,7 +147,7 @@
      * @param answer what the store answered
      * @return the reason in words
      */
-    static String refusal(HttpAnswer answer) {
+    static String refusalReason(HttpAnswer answer) {
         String retryAfter = answer.header("Retry-After");
         return "the platform answered "
                 + answer.status()
--- a/objects/src/main/java/org/sardinelift/objects/ObjectStore.java
+++ b/objects/src/main/java/org/sardinelift/objects/ObjectStore.java
@@ -13,7 +13,7 @@
     int MAX_VALUE_BYTES = 1_000_000;
 
     /** Expected version that means the object must not exist yet. */
-    long ABSENT = 0;
+    long ABSENT_VERSION = 0;
 
     /**
      * Reads one object.
@@ -27,7 +27,7 @@
      * Writes one object where it still has the expected version.
      *
      * @param key its name
-     * @param expectedVersion the version that must be there, {@link #ABSENT} to create
+     * @param expectedVersion the version that must be there, {@link #ABSENT_VERSION} to create
      * @param value new value
      * @return what became of the write
      */
--- a/objects/src/main/java/org/sardinelift/objects/CallPacer.java
+++ b/objects/src/main/java/org/sardinelift/objects/PriorityRateLimiter.java
@@ -8,28 +8,28 @@
 import java.util.stream.Stream;
 
 /** Token bucket with a queue for each class of calls; time is given by the caller. */
-final class CallPacer {
+final class PriorityRateLimiter {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final CallBudget budget;
-    private final Map<CallClass, Deque<Runnable>> queues = new EnumMap<>(CallClass.class);
+    private final Map<CallPriority, Deque<Runnable>> queues = new EnumMap<>(CallPriority.class);
     private double tokens;
     private long refilledNanos;
 
-    private CallPacer(CallBudget budget, long nowNanos) {
+    private PriorityRateLimiter(CallBudget budget, long nowNanos) {
         this.budget = budget;
         this.tokens = budget.burst();
         this.refilledNanos = nowNanos;
-        Stream.of(CallClass.values()).forEach(each -> queues.put(each, new ArrayDeque<>()));
+        Stream.of(CallPriority.values()).forEach(each -> queues.put(each, new ArrayDeque<>()));
     }
 
-    static CallPacer create(CallBudget budget, long nowNanos) {
-        return new CallPacer(budget, nowNanos);
+    static PriorityRateLimiter create(CallBudget budget, long nowNanos) {
+        return new PriorityRateLimiter(budget, nowNanos);
     }
 
     /** Queues a call; returns false where the queue is full. */
-    boolean offer(CallClass callClass, Runnable call) {
-        if (queued() >= budget.maxQueued()) {
+    boolean enqueue(CallPriority callClass, Runnable call) {
+        if (queuedCalls() >= budget.maxQueued()) {
             return false;
         }
         queues.get(callClass).add(call);
@@ -37,7 +37,7 @@
     }
 
     /** Takes the next call that the budget allows now. */
-    Optional<Runnable> poll(long nowNanos) {
+    Optional<Runnable> dequeue(long nowNanos) {
         refill(nowNanos);
         if (tokens < 1) {
             return Optional.empty();
@@ -49,13 +49,13 @@
     }
 
     /** Time until a token is there, nanoseconds; 0 where one is. */
-    long nanosToToken(long nowNanos) {
+    long nanosUntilNextToken(long nowNanos) {
         refill(nowNanos);
         double missing = Math.max(0, 1 - tokens);
         return (long) Math.ceil(missing / budget.callsPerSecond() * NANOS_PER_SECOND);
     }
 
-    int queued() {
+    int queuedCalls() {
         return queues.values().stream().mapToInt(Deque::size).sum();
     }
 
--- a/objects/src/main/java/org/sardinelift/objects/PacedObjectStore.java
+++ b/objects/src/main/java/org/sardinelift/objects/RateLimitedObjectStore.java
@@ -16,14 +16,14 @@
  * Keeps one instance's calls within its budget: control kinds go before bulk kinds, and each
  * waiting watch counts as a call.
  */
-public final class PacedObjectStore implements ObjectStore {
+public final class RateLimitedObjectStore implements ObjectStore {
     private final ObjectStore store;
     private final ScheduledExecutorService timer;
     private final LongSupplier clockNanos;
-    private final CallPacer pacer;
+    private final PriorityRateLimiter pacer;
     private boolean wakeScheduled;
 
-    private PacedObjectStore(
+    private RateLimitedObjectStore(
             ObjectStore store,
             CallBudget budget,
             ScheduledExecutorService timer,
@@ -31,7 +31,7 @@
         this.store = store;
         this.timer = timer;
         this.clockNanos = clockNanos;
-        this.pacer = CallPacer.create(budget, clockNanos.getAsLong());
+        this.pacer = PriorityRateLimiter.create(budget, clockNanos.getAsLong());
     }
 
     /**
@@ -42,9 +42,9 @@
      * @param timer runs calls that had to wait
      * @return the paced store
      */
-    public static PacedObjectStore over(
+    public static RateLimitedObjectStore wrap(
             ObjectStore store, CallBudget budget, ScheduledExecutorService timer) {
-        return over(store, budget, timer, System::nanoTime);
+        return wrap(store, budget, timer, System::nanoTime);
     }
 
     /**
@@ -56,12 +56,12 @@
      * @param clockNanos monotonic clock, nanoseconds
      * @return the paced store
      */
-    public static PacedObjectStore over(
+    public static RateLimitedObjectStore wrap(
             ObjectStore store,
             CallBudget budget,
             ScheduledExecutorService timer,
             LongSupplier clockNanos) {
-        return new PacedObjectStore(store, budget, timer, clockNanos);
+        return new RateLimitedObjectStore(store, budget, timer, clockNanos);
     }
 
     /**
@@ -69,8 +69,8 @@
      *
      * @return their number
      */
-    public synchronized int queued() {
-        return pacer.queued();
+    public synchronized int queuedCalls() {
+        return pacer.queuedCalls();
     }
 
     @Override
@@ -145,7 +145,7 @@
                                                                 : failed.apply(error.toString())));
         boolean queued;
         synchronized (this) {
-            queued = pacer.offer(CallClass.ofKind(kind), sent);
+            queued = pacer.enqueue(CallPriority.ofKind(kind), sent);
         }
         if (!queued) {
             result.complete(
@@ -160,14 +160,14 @@
         List<Runnable> allowed = new ArrayList<>();
         synchronized (this) {
             long now = clockNanos.getAsLong();
-            Optional<Runnable> next = pacer.poll(now);
+            Optional<Runnable> next = pacer.dequeue(now);
             while (next.isPresent()) {
                 allowed.add(next.get());
-                next = pacer.poll(now);
+                next = pacer.dequeue(now);
             }
-            if (pacer.queued() > 0 && !wakeScheduled) {
+            if (pacer.queuedCalls() > 0 && !wakeScheduled) {
                 wakeScheduled = true;
-                timer.schedule(this::onWake, pacer.nanosToToken(now), TimeUnit.NANOSECONDS);
+                timer.schedule(this::onWake, pacer.nanosUntilNextToken(now), TimeUnit.NANOSECONDS);
             }
         }
         allowed.forEach(Runnable::run);
--- a/objects/src/main/java/org/sardinelift/objects/kinds/ConfigCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/ConfigCodec.java
@@ -25,7 +25,7 @@
  */
 public final class ConfigCodec {
     /** Field that names the write which left the value; its writer finds its own write by it. */
-    public static final String MARK_FIELD = "mark";
+    public static final String WRITE_MARK_FIELD = "mark";
 
     private static final double MAX_RATE_PER_SECOND = 10_000_000;
 
@@ -44,11 +44,11 @@
      * @param json its value
      * @return the object, or everything that is wrong with it
      */
-    public static KindResult<ConfigItem> read(ConfigRef ref, String json) {
+    public static DecodeResult<ConfigItem> decode(ConfigRef ref, String json) {
         Function<SettingsNode, ConfigItem> reader = node -> item(ref, node);
         SettingsResult<ConfigItem> result = SettingsFile.parse(json, reader);
-        if (result instanceof SettingsResult.Unsound<ConfigItem> unsound) {
-            return new KindResult.Unsound<>(
+        if (result instanceof SettingsResult.Invalid<ConfigItem> unsound) {
+            return new DecodeResult.Invalid<>(
                     unsound.errors().stream()
                             .map(
                                     error ->
@@ -59,7 +59,7 @@
                                                     error.remedy()))
                             .toList());
         }
-        return new KindResult.Sound<>(((SettingsResult.Sound<ConfigItem>) result).settings());
+        return new DecodeResult.Valid<>(((SettingsResult.Valid<ConfigItem>) result).settings());
     }
 
     /**
@@ -68,7 +68,7 @@
      * @param item the object
      * @return its value, one line of JSON
      */
-    public static String write(ConfigItem item) {
+    public static String encode(ConfigItem item) {
         ObjectNode node = MAPPER.createObjectNode();
         if (item instanceof TeamTemplate template) {
             node.put("ratePerSecond", template.ratePerSecond());
@@ -119,7 +119,7 @@
     }
 
     private static ConfigItem item(ConfigRef ref, SettingsNode node) {
-        node.optionalText(MARK_FIELD);
+        node.optionalText(WRITE_MARK_FIELD);
         return switch (ref.kind()) {
             case TEMPLATE -> template(ref.name(), node);
             case TEAM -> team(ref.name(), node);
@@ -179,7 +179,7 @@
     }
 
     private static double missing(SettingsNode node, String field) {
-        node.error(field, "a number from 0", "nothing", "Set it.");
+        node.addError(field, "a number from 0", "nothing", "Set it.");
         return 0;
     }
 
--- a/objects/src/main/java/org/sardinelift/objects/kinds/KindResult.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/DecodeResult.java
@@ -4,19 +4,19 @@
 import org.sardinelift.core.catalog.ConfigProblem;
 
 /** Outcome of reading the value of an object. */
-public sealed interface KindResult<T> {
+public sealed interface DecodeResult<T> {
 
     /**
      * The value is sound.
      *
      * @param item what it holds
      */
-    record Sound<T>(T item) implements KindResult<T> {}
+    record Valid<T>(T item) implements DecodeResult<T> {}
 
     /**
      * The value can't be used.
      *
      * @param problems everything that is wrong with it
      */
-    record Unsound<T>(List<ConfigProblem> problems) implements KindResult<T> {}
+    record Invalid<T>(List<ConfigProblem> problems) implements DecodeResult<T> {}
 }
--- a/objects/src/main/java/org/sardinelift/objects/kinds/RolloutCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/RolloutCodec.java
@@ -28,7 +28,7 @@
  */
 public final class RolloutCodec {
     /** Kind of what an operator wants. */
-    public static final String KIND = "rollout";
+    public static final String SPEC_KIND = "rollout";
 
     /** Kind of what the controller has decided. */
     public static final String STATUS_KIND = "rollout-status";
@@ -52,8 +52,8 @@
      * @param json its value
      * @return the wanted state, or everything that is wrong with it
      */
-    public static KindResult<RolloutSpec> readSpec(String name, long revision, String json) {
-        return parse(KIND + "/" + name, json, node -> spec(name, revision, node));
+    public static DecodeResult<RolloutSpec> decodeSpec(String name, long revision, String json) {
+        return parse(SPEC_KIND + "/" + name, json, node -> spec(name, revision, node));
     }
 
     /**
@@ -62,7 +62,7 @@
      * @param spec the wanted state
      * @return one line of JSON
      */
-    public static String writeSpec(RolloutSpec spec) {
+    public static String encodeSpec(RolloutSpec spec) {
         return specNode(spec).toString();
     }
 
@@ -73,7 +73,7 @@
      * @param json its value
      * @return the state, or everything that is wrong with it
      */
-    public static KindResult<RolloutState> readState(String name, String json) {
+    public static DecodeResult<RolloutState> decodeState(String name, String json) {
         return parse(STATUS_KIND + "/" + name, json, node -> state(name, node));
     }
 
@@ -83,7 +83,7 @@
      * @param state the state
      * @return one line of JSON
      */
-    public static String writeState(RolloutState state) {
+    public static String encodeState(RolloutState state) {
         ObjectNode node = MAPPER.createObjectNode();
         node.set("spec", specNode(state.spec()));
         node.put("revision", String.valueOf(state.spec().revision()));
@@ -108,7 +108,7 @@
      * @param json the object's value
      * @return the lease, or everything that is wrong with it
      */
-    public static KindResult<LeaseRecord> readLease(String json) {
+    public static DecodeResult<LeaseRecord> decodeLease(String json) {
         return parse(
                 LEASE_KIND + "/" + LEASE_NAME,
                 json,
@@ -125,7 +125,7 @@
      * @param lease the lease
      * @return one line of JSON
      */
-    public static String writeLease(LeaseRecord lease) {
+    public static String encodeLease(LeaseRecord lease) {
         ObjectNode node = MAPPER.createObjectNode();
         text(node, "instance", lease.holder().instance());
         text(node, "incarnation", lease.holder().incarnation());
@@ -195,7 +195,7 @@
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
-            node.error(field, "a whole number as a text", text, "Delete the object.");
+            node.addError(field, "a whole number as a text", text, "Delete the object.");
             return 0;
         }
     }
@@ -206,10 +206,10 @@
         }
     }
 
-    private static <T> KindResult<T> parse(
+    private static <T> DecodeResult<T> parse(
             String where, String json, Function<SettingsNode, T> reader) {
         SettingsResult<T> result = SettingsFile.parse(json, reader);
-        if (result instanceof SettingsResult.Unsound<T> unsound) {
+        if (result instanceof SettingsResult.Invalid<T> unsound) {
             List<ConfigProblem> problems =
                     unsound.errors().stream()
                             .map(
@@ -220,8 +220,8 @@
                                                     error.found(),
                                                     error.remedy()))
                             .toList();
-            return new KindResult.Unsound<>(problems);
+            return new DecodeResult.Invalid<>(problems);
         }
-        return new KindResult.Sound<>(((SettingsResult.Sound<T>) result).settings());
+        return new DecodeResult.Valid<>(((SettingsResult.Valid<T>) result).settings());
     }
 }
--- a/objects/src/main/java/org/sardinelift/objects/kinds/SharesCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/SharesCodec.java
@@ -17,7 +17,7 @@
 /** Reads and writes the division of the limits between entries. */
 public final class SharesCodec {
     /** The one object of its kind. */
-    public static final ObjectKey KEY = new ObjectKey("shares", "limits");
+    public static final ObjectKey OBJECT_KEY = new ObjectKey("shares", "limits");
 
     private static final String REMEDY =
             "Delete the object while every entry is stopped, and start them after the longest time"
@@ -33,7 +33,7 @@
      * @param shares the shares
      * @return one line of JSON
      */
-    public static String write(Shares shares) {
+    public static String encode(Shares shares) {
         ObjectNode node = MAPPER.createObjectNode();
         node.put("pool", shares.pool());
         node.put("fresh", shares.fresh());
@@ -55,10 +55,10 @@
      * @param json the object's value
      * @return the shares, or everything that is wrong with them
      */
-    public static KindResult<Shares> read(String json) {
+    public static DecodeResult<Shares> decode(String json) {
         SettingsResult<Value> result = SettingsFile.parse(json, Value::read);
-        if (result instanceof SettingsResult.Unsound<Value> unsound) {
-            return new KindResult.Unsound<>(
+        if (result instanceof SettingsResult.Invalid<Value> unsound) {
+            return new DecodeResult.Invalid<>(
                     unsound.errors().stream()
                             .map(
                                     error ->
@@ -69,7 +69,7 @@
                                                     error.remedy()))
                             .toList());
         }
-        Value value = ((SettingsResult.Sound<Value>) result).settings();
+        Value value = ((SettingsResult.Valid<Value>) result).settings();
         if (value.total() != Shares.TOTAL_UNITS) {
             return unsound("", Shares.TOTAL_UNITS + " units in all", value.total() + " units");
         }
@@ -79,11 +79,11 @@
                     "at most the " + value.pool() + " units of the pool",
                     value.fresh() + " units");
         }
-        return new KindResult.Sound<>(value.shares());
+        return new DecodeResult.Valid<>(value.shares());
     }
 
-    private static KindResult<Shares> unsound(String path, String expected, String found) {
-        return new KindResult.Unsound<>(
+    private static DecodeResult<Shares> unsound(String path, String expected, String found) {
+        return new DecodeResult.Invalid<>(
                 List.of(new ConfigProblem("shares/limits" + path, expected, found, REMEDY)));
     }
 
--- a/objects/src/test/java/org/sardinelift/objects/CallPacerTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/CallPacerTest.java
@@ -22,14 +22,15 @@
             @ForAll @IntRange(min = 1, max = 50) int rate,
             @ForAll @IntRange(min = 1, max = 5) int burst,
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 400) Integer> pausesMs) {
-        CallPacer pacer = CallPacer.create(new CallBudget(rate, burst, 1_000), 0);
+        PriorityRateLimiter pacer =
+                PriorityRateLimiter.create(new CallBudget(rate, burst, 1_000), 0);
         List<Long> sent = new ArrayList<>();
         long now = 0;
         for (int pauseMs : pausesMs) {
             now += pauseMs * 1_000_000L;
-            pacer.offer(CallClass.CONTROL, NOTHING);
-            pacer.offer(CallClass.BULK, NOTHING);
-            while (pacer.poll(now).isPresent()) {
+            pacer.enqueue(CallPriority.CONTROL, NOTHING);
+            pacer.enqueue(CallPriority.BULK, NOTHING);
+            while (pacer.dequeue(now).isPresent()) {
                 sent.add(now);
             }
         }
@@ -43,33 +44,33 @@
 
     @Test
     void controlGoesBeforeBulk() {
-        CallPacer pacer = CallPacer.create(new CallBudget(1, 1, 10), 0);
+        PriorityRateLimiter pacer = PriorityRateLimiter.create(new CallBudget(1, 1, 10), 0);
         List<String> sent = new ArrayList<>();
-        pacer.poll(0);
-        pacer.offer(CallClass.ofKind("job-result"), () -> sent.add("bulk"));
-        pacer.offer(CallClass.ofKind("lease"), () -> sent.add("control"));
-        pacer.poll(0).ifPresent(Runnable::run);
-        pacer.poll(SECOND_NANOS).ifPresent(Runnable::run);
+        pacer.dequeue(0);
+        pacer.enqueue(CallPriority.ofKind("job-result"), () -> sent.add("bulk"));
+        pacer.enqueue(CallPriority.ofKind("lease"), () -> sent.add("control"));
+        pacer.dequeue(0).ifPresent(Runnable::run);
+        pacer.dequeue(SECOND_NANOS).ifPresent(Runnable::run);
         assertEquals(List.of("control", "bulk"), sent);
     }
 
     @Test
     void aFullQueueTakesNoMore() {
-        CallPacer pacer = CallPacer.create(new CallBudget(1, 1, 2), 0);
-        assertTrue(pacer.offer(CallClass.BULK, NOTHING));
-        assertTrue(pacer.offer(CallClass.BULK, NOTHING));
-        assertFalse(pacer.offer(CallClass.CONTROL, NOTHING));
+        PriorityRateLimiter pacer = PriorityRateLimiter.create(new CallBudget(1, 1, 2), 0);
+        assertTrue(pacer.enqueue(CallPriority.BULK, NOTHING));
+        assertTrue(pacer.enqueue(CallPriority.BULK, NOTHING));
+        assertFalse(pacer.enqueue(CallPriority.CONTROL, NOTHING));
     }
 
     @Test
     void tellsWhenTheNextTokenIsThere() {
-        CallPacer pacer = CallPacer.create(new CallBudget(4, 1, 10), 0);
-        pacer.offer(CallClass.BULK, NOTHING);
-        assertTrue(pacer.poll(0).isPresent());
-        pacer.offer(CallClass.BULK, NOTHING);
-        long wait = pacer.nanosToToken(0);
+        PriorityRateLimiter pacer = PriorityRateLimiter.create(new CallBudget(4, 1, 10), 0);
+        pacer.enqueue(CallPriority.BULK, NOTHING);
+        assertTrue(pacer.dequeue(0).isPresent());
+        pacer.enqueue(CallPriority.BULK, NOTHING);
+        long wait = pacer.nanosUntilNextToken(0);
         assertEquals(SECOND_NANOS / 4, wait);
-        assertEquals(Optional.empty(), pacer.poll(wait - 2));
-        assertTrue(pacer.poll(wait).isPresent());
+        assertEquals(Optional.empty(), pacer.dequeue(wait - 2));
+        assertTrue(pacer.dequeue(wait).isPresent());
     }
 }
--- a/objects/src/test/java/org/sardinelift/objects/PacedObjectStoreTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/PacedObjectStoreTest.java
@@ -24,7 +24,7 @@
     private final List<String> calls = new ArrayList<>();
     private final VirtualTimer timer = new VirtualTimer();
     private final ObjectStore store =
-            PacedObjectStore.over(
+            RateLimitedObjectStore.wrap(
                     new Recording(), new CallBudget(1, 1, 3), timer, () -> timer.nowNanos);
 
     @AfterEach
--- a/objects/src/test/java/org/sardinelift/objects/kinds/ConfigCodecTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/kinds/ConfigCodecTest.java
@@ -39,17 +39,17 @@
     @MethodSource("items")
     void whatIsWrittenIsReadBack(ConfigItem item) {
         assertEquals(
-                new KindResult.Sound<>(item),
-                ConfigCodec.read(ConfigCodec.refOf(item), ConfigCodec.write(item)));
+                new DecodeResult.Valid<>(item),
+                ConfigCodec.decode(ConfigCodec.refOf(item), ConfigCodec.encode(item)));
     }
 
     @Test
     void everyErrorIsNamedWithItsPath() {
-        KindResult<ConfigItem> result =
-                ConfigCodec.read(
+        DecodeResult<ConfigItem> result =
+                ConfigCodec.decode(
                         new ConfigRef(ConfigKind.TEMPLATE, "standard"),
                         "{\"burst\": \"many\", \"colour\": 1}");
-        KindResult.Unsound<?> unsound = assertInstanceOf(KindResult.Unsound.class, result);
+        DecodeResult.Invalid<?> unsound = assertInstanceOf(DecodeResult.Invalid.class, result);
         assertEquals(
                 List.of(
                         "template/standard/burst",
--- a/objects/src/test/java/org/sardinelift/objects/kinds/RolloutCodecTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/kinds/RolloutCodecTest.java
@@ -22,8 +22,8 @@
     @Test
     void whatIsWrittenIsReadBack() {
         assertEquals(
-                new KindResult.Sound<>(SPEC),
-                RolloutCodec.readSpec("r", 7, RolloutCodec.writeSpec(SPEC)));
+                new DecodeResult.Valid<>(SPEC),
+                RolloutCodec.decodeSpec("r", 7, RolloutCodec.encodeSpec(SPEC)));
         RolloutState state =
                 new RolloutState(
                         SPEC,
@@ -36,19 +36,19 @@
                                         "t1", new RolloutStep("", StepState.MOVED),
                                         "t2", new RolloutStep("1", StepState.DOUBTFUL))));
         assertEquals(
-                new KindResult.Sound<>(state),
-                RolloutCodec.readState("r", RolloutCodec.writeState(state)));
+                new DecodeResult.Valid<>(state),
+                RolloutCodec.decodeState("r", RolloutCodec.encodeState(state)));
         LeaseRecord lease = new LeaseRecord(new Holder("e1", "x"), 1L << 40, 9);
         assertEquals(
-                new KindResult.Sound<>(lease),
-                RolloutCodec.readLease(RolloutCodec.writeLease(lease)));
+                new DecodeResult.Valid<>(lease),
+                RolloutCodec.decodeLease(RolloutCodec.encodeLease(lease)));
     }
 
     @Test
     void errorsNameTheirPathAndRemedy() {
-        KindResult<RolloutSpec> result =
-                RolloutCodec.readSpec("r", 1, "{\"action\":\"load\",\"leastServing\":2,\"x\":1}");
-        String text = ((KindResult.Unsound<RolloutSpec>) result).problems().toString();
+        DecodeResult<RolloutSpec> result =
+                RolloutCodec.decodeSpec("r", 1, "{\"action\":\"load\",\"leastServing\":2,\"x\":1}");
+        String text = ((DecodeResult.Invalid<RolloutSpec>) result).problems().toString();
         assertTrue(text.contains("rollout/r/leastServing: expected a number from 0"), text);
         assertTrue(text.contains("rollout/r/model"), text);
         assertTrue(text.contains("rollout/r/x"), text);
--- a/objects/src/test/java/org/sardinelift/objects/kinds/SharesCodecTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/kinds/SharesCodecTest.java
@@ -13,20 +13,21 @@
     void whatIsWrittenIsReadBack() {
         MemberId id = new MemberId("e/1", "i-1");
         Shares shares = Shares.initial().addMember(id, 3).transferFromPool(id, 1_000);
-        assertEquals(new KindResult.Sound<>(shares), SharesCodec.read(SharesCodec.write(shares)));
+        assertEquals(
+                new DecodeResult.Valid<>(shares), SharesCodec.decode(SharesCodec.encode(shares)));
     }
 
     @Test
     void unitsAreNotFreshWhereNothingSaysSo() {
-        KindResult<Shares> read = SharesCodec.read("{\"pool\": 720720, \"members\": []}");
-        assertEquals(new KindResult.Sound<>(new Shares(Shares.TOTAL_UNITS, 0, Map.of())), read);
+        DecodeResult<Shares> read = SharesCodec.decode("{\"pool\": 720720, \"members\": []}");
+        assertEquals(new DecodeResult.Valid<>(new Shares(Shares.TOTAL_UNITS, 0, Map.of())), read);
     }
 
     @Test
     void moreFreshUnitsThanThePoolHoldsAreRefused() {
         assertInstanceOf(
-                KindResult.Unsound.class,
-                SharesCodec.read(
+                DecodeResult.Invalid.class,
+                SharesCodec.decode(
                         "{\"pool\": 0, \"fresh\": 1, \"members\": [{\"instance\": \"e\","
                                 + " \"incarnation\": \"i\", \"units\": 720720}]}"));
     }
@@ -34,6 +35,6 @@
     @Test
     void unitsThatDoNotAddUpAreRefused() {
         assertInstanceOf(
-                KindResult.Unsound.class, SharesCodec.read("{\"pool\": 5, \"members\": []}"));
+                DecodeResult.Invalid.class, SharesCodec.decode("{\"pool\": 5, \"members\": []}"));
     }
 }
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/PlaintextCheck.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/PlaintextCheck.java
@@ -20,7 +20,7 @@
      */
     public static void check(SettingsNode port, String host, boolean tls) {
         if (!tls && !host.isEmpty() && !isLoopback(host)) {
-            port.error(
+            port.addError(
                     "tls",
                     "TLS, since " + host + " is not a loopback address",
                     "nothing",
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/GetCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/GetCommand.java
@@ -70,7 +70,7 @@
 
     private static ObjectNode entry(StoredObject object) {
         ObjectNode value = StoredConfig.value(object);
-        value.remove(ConfigCodec.MARK_FIELD);
+        value.remove(ConfigCodec.WRITE_MARK_FIELD);
         ObjectNode node =
                 Json.object()
                         .put("kind", object.key().kind())
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/KeysIssueCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/KeysIssueCommand.java
@@ -82,7 +82,7 @@
     }
 
     private static WriteOutcome write(ObjectStore store, KeyEntry entry) {
-        ObjectNode value = (ObjectNode) Json.parseOrMissing(ConfigCodec.write(entry));
+        ObjectNode value = (ObjectNode) Json.parseOrMissing(ConfigCodec.encode(entry));
         ConfigRef ref = new ConfigRef(ConfigKind.KEY, entry.id());
         return ConfigWriter.of(store, () -> UUID.randomUUID().toString())
                 .write(new ConfigEntry(ref, OptionalLong.empty(), false, value), Optional.empty());
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutObjects.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutObjects.java
@@ -14,7 +14,7 @@
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.objects.WriteResult;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.RolloutCodec;
 
 /** The objects of one roll-out at the platform. */
@@ -42,38 +42,38 @@
 
     Reading<RolloutSpec> spec() {
         return read(
-                RolloutCodec.KIND,
-                object -> RolloutCodec.readSpec(name, object.revision(), object.value()));
+                RolloutCodec.SPEC_KIND,
+                object -> RolloutCodec.decodeSpec(name, object.revision(), object.value()));
     }
 
     Reading<RolloutState> state() {
         return read(
-                RolloutCodec.STATUS_KIND, object -> RolloutCodec.readState(name, object.value()));
+                RolloutCodec.STATUS_KIND, object -> RolloutCodec.decodeState(name, object.value()));
     }
 
-    private <T> Reading<T> read(String kind, Function<StoredObject, KindResult<T>> reader) {
+    private <T> Reading<T> read(String kind, Function<StoredObject, DecodeResult<T>> reader) {
         ReadResult result = store.read(new ObjectKey(kind, name)).join();
         if (result instanceof ReadResult.Unavailable unavailable) {
             return new Reading.Failed<>(StoreOutcomes.unavailable(unavailable.reason()));
         }
         if (!(result instanceof ReadResult.Found found)) {
-            return new Reading.Read<>(Optional.empty(), ObjectStore.ABSENT);
+            return new Reading.Read<>(Optional.empty(), ObjectStore.ABSENT_VERSION);
         }
-        KindResult<T> value = reader.apply(found.object());
-        return value instanceof KindResult.Sound<T> sound
+        DecodeResult<T> value = reader.apply(found.object());
+        return value instanceof DecodeResult.Valid<T> sound
                 ? new Reading.Read<>(Optional.of(sound.item()), found.object().version())
                 : new Reading.Failed<>(
-                        StoreOutcomes.invalid(((KindResult.Unsound<T>) value).problems()));
+                        StoreOutcomes.invalid(((DecodeResult.Invalid<T>) value).problems()));
     }
 
     /** Writes what is wanted over a version; its own write is known again by what it holds. */
     Outcome write(RolloutSpec wanted, long version, String done) {
-        String value = RolloutCodec.writeSpec(wanted);
-        KindResult<RolloutSpec> checked = RolloutCodec.readSpec(name, 0, value);
-        if (checked instanceof KindResult.Unsound<RolloutSpec> unsound) {
+        String value = RolloutCodec.encodeSpec(wanted);
+        DecodeResult<RolloutSpec> checked = RolloutCodec.decodeSpec(name, 0, value);
+        if (checked instanceof DecodeResult.Invalid<RolloutSpec> unsound) {
             return StoreOutcomes.invalid(unsound.problems());
         }
-        ObjectKey key = new ObjectKey(RolloutCodec.KIND, name);
+        ObjectKey key = new ObjectKey(RolloutCodec.SPEC_KIND, name);
         String reason = "";
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             WriteResult result = store.write(key, version, value).join();
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStartCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStartCommand.java
@@ -18,7 +18,7 @@
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.kinds.ConfigCodec;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 
 /** Starts a roll-out: writes what every target of a service is to hold. */
 public final class RolloutStartCommand extends Command {
@@ -131,12 +131,12 @@
                             service,
                             "List them with get service, or apply it first."));
         }
-        KindResult<ConfigItem> item =
-                ConfigCodec.read(
+        DecodeResult<ConfigItem> item =
+                ConfigCodec.decode(
                         new ConfigRef(ConfigKind.SERVICE, service), found.object().value());
-        if (!(item instanceof KindResult.Sound<ConfigItem> sound)) {
+        if (!(item instanceof DecodeResult.Valid<ConfigItem> sound)) {
             return Optional.of(
-                    StoreOutcomes.invalid(((KindResult.Unsound<ConfigItem>) item).problems()));
+                    StoreOutcomes.invalid(((DecodeResult.Invalid<ConfigItem>) item).problems()));
         }
         ServiceSpec spec = (ServiceSpec) sound.item();
         if (!spec.isEngine()) {
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStatusCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStatusCommand.java
@@ -23,7 +23,7 @@
 import org.sardinelift.objects.ListResult;
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.StoredObject;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.RolloutCodec;
 
 /** Shows how far roll-outs are, and why they went back. */
@@ -43,7 +43,7 @@
     public Outcome run(CommandContext context) throws ParseException {
         List<String> names = context.line().getArgList();
         ObjectStore store = context.platform();
-        ListResult specs = store.list(RolloutCodec.KIND, "").join();
+        ListResult specs = store.list(RolloutCodec.SPEC_KIND, "").join();
         ListResult states = store.list(RolloutCodec.STATUS_KIND, "").join();
         if (specs instanceof ListResult.Unavailable unavailable) {
             return StoreOutcomes.unavailable(unavailable.reason());
@@ -84,10 +84,10 @@
         String name = wanted.key().name();
         ObjectNode node = Json.object().put("name", name);
         Optional<RolloutSpec> spec =
-                sound(RolloutCodec.readSpec(name, wanted.revision(), wanted.value()));
+                sound(RolloutCodec.decodeSpec(name, wanted.revision(), wanted.value()));
         Optional<RolloutState> state =
                 Optional.ofNullable(decided)
-                        .flatMap(object -> sound(RolloutCodec.readState(name, object.value())));
+                        .flatMap(object -> sound(RolloutCodec.decodeState(name, object.value())));
         spec.ifPresent(known -> node.put("wanted", text(known)).put("stopped", known.isStopped()));
         Optional<RolloutState> own =
                 state.filter(
@@ -119,8 +119,8 @@
         return state.steps().values().stream().filter(step -> step.state() == at).count();
     }
 
-    private static <T> Optional<T> sound(KindResult<T> result) {
-        return result instanceof KindResult.Sound<T> sound
+    private static <T> Optional<T> sound(DecodeResult<T> result) {
+        return result instanceof DecodeResult.Valid<T> sound
                 ? Optional.of(sound.item())
                 : Optional.empty();
     }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/TeamsCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/TeamsCommand.java
@@ -22,7 +22,7 @@
 import org.sardinelift.ctl.config.StoredConfig;
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.objects.kinds.ConfigCodec;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 
 /** Shows what each team is due: its template with its own values laid over it. */
 public final class TeamsCommand extends Command {
@@ -99,7 +99,8 @@
 
     private static <T> Optional<T> item(ConfigKind kind, StoredObject object, Class<T> type) {
         ConfigRef ref = new ConfigRef(kind, object.key().name());
-        return ConfigCodec.read(ref, object.value()) instanceof KindResult.Sound<ConfigItem> sound
+        return ConfigCodec.decode(ref, object.value())
+                        instanceof DecodeResult.Valid<ConfigItem> sound
                 ? Optional.of(sound.item()).filter(type::isInstance).map(type::cast)
                 : Optional.empty();
     }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigFile.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigFile.java
@@ -17,7 +17,7 @@
 import org.sardinelift.core.catalog.ConfigRef;
 import org.sardinelift.ctl.Json;
 import org.sardinelift.objects.kinds.ConfigCodec;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 
 /**
  * A configuration file: {@code {"objects": [{"kind", "name", "value"}, ...]}} or one such object,
@@ -106,8 +106,8 @@
     }
 
     private static void check(ConfigRef ref, ObjectNode value, List<ConfigProblem> problems) {
-        if (ConfigCodec.read(ref, value.toString())
-                instanceof KindResult.Unsound<ConfigItem> unsound) {
+        if (ConfigCodec.decode(ref, value.toString())
+                instanceof DecodeResult.Invalid<ConfigItem> unsound) {
             problems.addAll(unsound.problems());
         }
     }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigWriter.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigWriter.java
@@ -48,7 +48,7 @@
      */
     public WriteOutcome write(ConfigEntry entry, Optional<StoredObject> before) {
         ObjectNode held = before.map(StoredConfig::value).orElseGet(Json::object);
-        long heldVersion = before.map(StoredObject::version).orElse(ObjectStore.ABSENT);
+        long heldVersion = before.map(StoredObject::version).orElse(ObjectStore.ABSENT_VERSION);
         boolean same =
                 entry.delete()
                         ? before.isEmpty()
@@ -72,7 +72,7 @@
     private WriteOutcome put(ConfigEntry entry, long expected, ObjectNode held) {
         ObjectKey key = key(entry.ref());
         String mark = marks.get();
-        String value = entry.value().deepCopy().put(ConfigCodec.MARK_FIELD, mark).toString();
+        String value = entry.value().deepCopy().put(ConfigCodec.WRITE_MARK_FIELD, mark).toString();
         String reason = "";
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             WriteResult result = store.write(key, expected, value).join();
@@ -89,11 +89,11 @@
             }
             Optional<StoredObject> object = found(now);
             ObjectNode actual = object.map(StoredConfig::value).orElseGet(Json::object);
-            if (mark.equals(actual.path(ConfigCodec.MARK_FIELD).asText())) {
+            if (mark.equals(actual.path(ConfigCodec.WRITE_MARK_FIELD).asText())) {
                 StoredObject ours = object.orElseThrow();
                 return written(entry, ours.version(), ours.revision(), held);
             }
-            long version = object.map(StoredObject::version).orElse(ObjectStore.ABSENT);
+            long version = object.map(StoredObject::version).orElse(ObjectStore.ABSENT_VERSION);
             if (version != expected) {
                 return overtaken(entry, expected, version, held, actual);
             }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/ObjectDiff.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/ObjectDiff.java
@@ -36,7 +36,7 @@
         TreeSet<String> fields = new TreeSet<>();
         before.fieldNames().forEachRemaining(fields::add);
         after.fieldNames().forEachRemaining(fields::add);
-        fields.remove(ConfigCodec.MARK_FIELD);
+        fields.remove(ConfigCodec.WRITE_MARK_FIELD);
         return new ObjectDiff(
                 fields.stream()
                         .map(name -> new FieldChange(name, before.path(name), after.path(name)))
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/StoredConfig.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/StoredConfig.java
@@ -21,7 +21,7 @@
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.objects.kinds.ConfigCodec;
-import org.sardinelift.objects.kinds.KindResult;
+import org.sardinelift.objects.kinds.DecodeResult;
 
 /** Configuration as the platform holds it. */
 public final class StoredConfig {
@@ -143,8 +143,8 @@
     }
 
     private static String template(String value, String team) {
-        return ConfigCodec.read(new ConfigRef(ConfigKind.TEAM, team), value)
-                                instanceof KindResult.Sound<ConfigItem> sound
+        return ConfigCodec.decode(new ConfigRef(ConfigKind.TEAM, team), value)
+                                instanceof DecodeResult.Valid<ConfigItem> sound
                         && sound.item() instanceof TeamSpec spec
                 ? spec.template()
                 : "";
--- a/sardinelift/src/main/java/org/sardinelift/server/ReloadSignal.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/ReloadSignal.java
@@ -20,7 +20,7 @@
 
     private static void check(Path file) {
         SettingsResult<ServerSettings> result = SettingsFile.load(file, ServerSettings::read);
-        if (result instanceof SettingsResult.Unsound<ServerSettings> unsound) {
+        if (result instanceof SettingsResult.Invalid<ServerSettings> unsound) {
             Event.of("settings.unsound")
                     .with("file", file.toString())
                     .with("first_error", unsound.errors().get(0).toString())
--- a/sardinelift/src/main/java/org/sardinelift/server/Sardinelift.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/Sardinelift.java
@@ -64,10 +64,10 @@
 
     private ExitCode load(Path file, boolean checkOnly) {
         SettingsResult<ServerSettings> result = SettingsFile.load(file, ServerSettings::read);
-        if (result instanceof SettingsResult.Sound<ServerSettings> sound) {
+        if (result instanceof SettingsResult.Valid<ServerSettings> sound) {
             return checkOnly ? sound(file) : serve(file, sound.settings());
         }
-        return refuse(file, (SettingsResult.Unsound<ServerSettings>) result);
+        return refuse(file, (SettingsResult.Invalid<ServerSettings>) result);
     }
 
     private static Options options() {
@@ -109,7 +109,7 @@
         return ExitCode.OK;
     }
 
-    private ExitCode refuse(Path file, SettingsResult.Unsound<ServerSettings> unsound) {
+    private ExitCode refuse(Path file, SettingsResult.Invalid<ServerSettings> unsound) {
         unsound.errors().forEach(error -> err.println(file + ": " + error));
         return ExitCode.BAD_SETTINGS;
     }
--- a/settings/src/main/java/org/sardinelift/settings/SettingsFile.java
+++ b/settings/src/main/java/org/sardinelift/settings/SettingsFile.java
@@ -69,11 +69,11 @@
         T settings = reader.apply(node);
         node.refuseUnknownFields();
         return errors.isEmpty()
-                ? new SettingsResult.Sound<>(settings)
-                : new SettingsResult.Unsound<>(List.copyOf(errors));
+                ? new SettingsResult.Valid<>(settings)
+                : new SettingsResult.Invalid<>(List.copyOf(errors));
     }
 
     private static <T> SettingsResult<T> unsound(SettingsError error) {
-        return new SettingsResult.Unsound<>(List.of(error));
+        return new SettingsResult.Invalid<>(List.of(error));
     }
 }
--- a/settings/src/main/java/org/sardinelift/settings/SettingsNode.java
+++ b/settings/src/main/java/org/sardinelift/settings/SettingsNode.java
@@ -28,7 +28,7 @@
         this.path = path;
         this.errors = errors;
         if (!node.isObject() && !node.isMissingNode()) {
-            error("", "an object", node.toString(), "Write { ... } here.");
+            addError("", "an object", node.toString(), "Write { ... } here.");
         }
     }
 
@@ -55,7 +55,7 @@
     public String text(String name) {
         JsonNode value = field(name);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            error(name, "a non-empty string", show(value), "Set it.");
+            addError(name, "a non-empty string", show(value), "Set it.");
             return "";
         }
         return value.asText();
@@ -91,7 +91,7 @@
     public String textOrEmpty(String name) {
         JsonNode value = field(name);
         if (!value.isMissingNode() && !value.isTextual()) {
-            error(name, "a string", show(value), "Write \"...\", or leave it out for none.");
+            addError(name, "a string", show(value), "Write \"...\", or leave it out for none.");
             return "";
         }
         return value.asText();
@@ -107,7 +107,7 @@
     public String choice(String name, String... choices) {
         String value = text(name, choices[0]);
         if (!List.of(choices).contains(value)) {
-            error(name, "one of " + String.join(", ", choices), value, "Choose one of these.");
+            addError(name, "one of " + String.join(", ", choices), value, "Choose one of these.");
             return choices[0];
         }
         return value;
@@ -128,7 +128,7 @@
             return fallback;
         }
         if (!value.isIntegralNumber() || value.asLong() < min || value.asLong() > max) {
-            error(name, "a whole number from " + min + " to " + max, show(value), "Correct it.");
+            addError(name, "a whole number from " + min + " to " + max, show(value), "Correct it.");
             return fallback;
         }
         return value.asInt();
@@ -144,7 +144,7 @@
      */
     public int integer(String name, int min, int max) {
         if (field(name).isMissingNode()) {
-            error(name, "a whole number from " + min + " to " + max, "nothing", "Set it.");
+            addError(name, "a whole number from " + min + " to " + max, "nothing", "Set it.");
             return min;
         }
         return integer(name, min, min, max);
@@ -165,7 +165,7 @@
             return fallback;
         }
         if (!value.isNumber() || value.asDouble() < min || value.asDouble() > max) {
-            error(name, "a number from " + min + " to " + max, show(value), "Correct it.");
+            addError(name, "a number from " + min + " to " + max, show(value), "Correct it.");
             return fallback;
         }
         return value.asDouble();
@@ -195,7 +195,7 @@
             return fallback;
         }
         if (!value.isBoolean()) {
-            error(name, "true or false", show(value), "Correct it.");
+            addError(name, "true or false", show(value), "Correct it.");
             return fallback;
         }
         return value.asBoolean();
@@ -213,7 +213,7 @@
             return List.of();
         }
         if (!value.isArray() || !elements(value).allMatch(JsonNode::isTextual)) {
-            error(name, "a list of strings", show(value), "Write [\"...\"].");
+            addError(name, "a list of strings", show(value), "Write [\"...\"].");
             return List.of();
         }
         return elements(value).map(JsonNode::asText).toList();
@@ -257,7 +257,7 @@
             return List.of();
         }
         if (!value.isArray()) {
-            error(name, "a list of objects", show(value), "Write [{ ... }].");
+            addError(name, "a list of objects", show(value), "Write [{ ... }].");
             return List.of();
         }
         List<T> values = new ArrayList<>();
@@ -275,7 +275,7 @@
      * @param found what was found
      * @param remedy what to do
      */
-    public void error(String name, String expected, String found, String remedy) {
+    public void addError(String name, String expected, String found, String remedy) {
         String where = name.isEmpty() ? path : path + "/" + name;
         errors.add(new SettingsError(where.isEmpty() ? "/" : where, expected, found, remedy));
     }
@@ -285,7 +285,7 @@
                 .forEachRemaining(
                         name -> {
                             if (!known.contains(name)) {
-                                error(
+                                addError(
                                         name,
                                         "one of " + known.stream().sorted().toList(),
                                         "an unknown field",
--- a/settings/src/main/java/org/sardinelift/settings/SettingsResult.java
+++ b/settings/src/main/java/org/sardinelift/settings/SettingsResult.java
@@ -10,12 +10,12 @@
      *
      * @param settings the settings
      */
-    record Sound<T>(T settings) implements SettingsResult<T> {}
+    record Valid<T>(T settings) implements SettingsResult<T> {}
 
     /**
      * The settings are not sound; nothing may be started with them.
      *
      * @param errors everything that is wrong
      */
-    record Unsound<T>(List<SettingsError> errors) implements SettingsResult<T> {}
+    record Invalid<T>(List<SettingsError> errors) implements SettingsResult<T> {}
 }
--- a/settings/src/test/java/org/sardinelift/settings/SettingsFileTest.java
+++ b/settings/src/test/java/org/sardinelift/settings/SettingsFileTest.java
@@ -20,7 +20,7 @@
 
     private static List<String> paths(String text) {
         SettingsResult<Sample> result = SettingsFile.parse(text, Sample::read);
-        var unsound = assertInstanceOf(SettingsResult.Unsound.class, result);
+        var unsound = assertInstanceOf(SettingsResult.Invalid.class, result);
         List<?> errors = unsound.errors();
         return errors.stream().map(error -> ((SettingsError) error).path()).toList();
     }
@@ -30,7 +30,7 @@
         String text = "{ // who\n \"name\": \"e1\", /* port */ \"caller\": {\"port\": 80,}, }";
 
         assertEquals(
-                new SettingsResult.Sound<>(new Sample("e1", 80, Duration.ofMillis(250))),
+                new SettingsResult.Valid<>(new Sample("e1", 80, Duration.ofMillis(250))),
                 SettingsFile.parse(text, Sample::read));
     }
 
@@ -55,6 +55,6 @@
     void reportsMissingFile() {
         var result = SettingsFile.load(Path.of("no-such-file.json"), Sample::read);
 
-        assertInstanceOf(SettingsResult.Unsound.class, result);
+        assertInstanceOf(SettingsResult.Invalid.class, result);
     }
 }
--- a/standins/src/test/java/org/sardinelift/standins/platform/HttpObjectStoreTest.java
+++ b/standins/src/test/java/org/sardinelift/standins/platform/HttpObjectStoreTest.java
@@ -202,7 +202,7 @@
             administer(standin, register + soon);
             await().until(() -> instances(lister).size() == 1);
             administer(standin, "{\"leaving\":[\"e1\"]" + soon);
-            await().until(() -> instances(lister).get(0).leaving());
+            await().until(() -> instances(lister).get(0).isLeaving());
             administer(standin, "{\"deregister\":[\"e1\"]}");
             assertEquals(1, instances(lister).size());
             administer(standin, "{\"deregister\":[\"e1\"]" + soon);
--- a/testkit/src/main/java/org/sardinelift/testkit/FakeObjectStore.java
+++ b/testkit/src/main/java/org/sardinelift/testkit/FakeObjectStore.java
@@ -139,7 +139,7 @@
         }
         String id = id(key);
         StoredObject current = objects.get(id);
-        long actual = current == null ? ABSENT : current.version();
+        long actual = current == null ? ABSENT_VERSION : current.version();
         if (actual != expected) {
             return done(new WriteResult.Conflict(actual));
         }
