--- a/bench/src/main/java/org/sardinelift/bench/slope/CompanionFleet.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/CompanionFleet.java
@@ -13,10 +13,10 @@
 import org.sardinelift.core.fleet.InstanceInfo;
 import org.sardinelift.core.route.Candidate;
 import org.sardinelift.entry.call.CallBounds;
+import org.sardinelift.entry.call.CompanionListener;
 import org.sardinelift.entry.call.CrashGuard;
 import org.sardinelift.entry.call.FrameDispatcher;
 import org.sardinelift.entry.call.LinkOpener;
-import org.sardinelift.entry.call.MembershipEvidence;
 import org.sardinelift.entry.call.PoisonBounds;
 import org.sardinelift.entry.peer.PeerMesh;
 import org.sardinelift.http.HttpClient;
@@ -41,8 +41,8 @@
     private static final int SLOTS = 64;
     private static final String LOOPBACK = "127.0.0.1";
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
-    private static final MembershipEvidence IGNORED =
-            new MembershipEvidence() {
+    private static final CompanionListener IGNORED =
+            new CompanionListener() {
                 @Override
                 public void onConnection(String instance, boolean up) {}
 
@@ -83,7 +83,7 @@
     }
 
     List<Candidate> candidates() {
-        return dispatcher.targets();
+        return dispatcher.candidates();
     }
 
     int freeBatchSlots(String model) {
--- a/entry/src/main/java/org/sardinelift/entry/EntryServices.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryServices.java
@@ -27,10 +27,10 @@
 import org.sardinelift.entry.batch.BatchHttp;
 import org.sardinelift.entry.batch.BatchService;
 import org.sardinelift.entry.batch.JobDecisions;
+import org.sardinelift.entry.call.CompanionListener;
 import org.sardinelift.entry.call.CrashGuard;
 import org.sardinelift.entry.call.FrameDispatcher;
 import org.sardinelift.entry.call.LinkOpener;
-import org.sardinelift.entry.call.MembershipEvidence;
 import org.sardinelift.entry.control.ConfigController;
 import org.sardinelift.entry.control.ConfigDecisions;
 import org.sardinelift.entry.control.FleetLimiter;
@@ -38,13 +38,13 @@
 import org.sardinelift.entry.control.ShareWatch;
 import org.sardinelift.entry.filter.CallContext;
 import org.sardinelift.entry.filter.CallFilter;
-import org.sardinelift.entry.filter.DecisionFilter;
 import org.sardinelift.entry.filter.DispatchFilter;
 import org.sardinelift.entry.filter.DrainFilter;
 import org.sardinelift.entry.filter.IdempotencyFilter;
 import org.sardinelift.entry.filter.KeyFilter;
 import org.sardinelift.entry.filter.LimitFilter;
 import org.sardinelift.entry.filter.PoisonFilter;
+import org.sardinelift.entry.filter.RefusalRecordingFilter;
 import org.sardinelift.entry.filter.RunningCalls;
 import org.sardinelift.entry.filter.ServiceFilter;
 import org.sardinelift.entry.filter.TraceFilter;
@@ -189,7 +189,7 @@
         membership.listen(dispatcher::update);
         membership.listen(peers::update);
         membership.listenList(limiter::onList);
-        config.listen((before, after) -> calls.onCatalog(after));
+        config.listen((before, after) -> calls.onCatalogChanged(after));
         config.listen(limiter);
         config.listen(ConfigDecisions.of(decisions));
         config.listen((before, after) -> tally.retainTeams(teams(after)));
@@ -197,7 +197,7 @@
         limiter.start();
         config.start(readiness::accepting);
         membership.start();
-        guard.onSuspect(dispatcher::takeBack);
+        guard.setSuspectListener(dispatcher::requeueSuspects);
         guard.start(control);
         control.repeat(settings.orders().pollInterval(), orders::look);
         control.repeat(METRICS_INTERVAL, this::measure);
@@ -206,8 +206,8 @@
     private void measure() {
         EntryMetrics.calls(callsUnderWay());
         EntryMetrics.revision(config.catalog().revision());
-        EntryMetrics.targets(dispatcher.targets());
-        EntryMetrics.jobs(jobs.held());
+        EntryMetrics.targets(dispatcher.candidates());
+        EntryMetrics.jobs(jobs.heldJobs());
     }
 
     ControlThread control() {
@@ -232,7 +232,7 @@
 
     /** Online calls and batch items that are not at their end. */
     int callsUnderWay() {
-        return Math.max(calls.size(), dispatcher.callsUnderWay());
+        return Math.max(calls.size(), dispatcher.callsInFlight());
     }
 
     Hello hello(Lane lane) {
@@ -251,7 +251,7 @@
         List<CallFilter> identity =
                 List.of(
                         TraceFilter.of(telemetry),
-                        DecisionFilter.of(decisions, tally),
+                        RefusalRecordingFilter.of(decisions, tally),
                         DrainFilter.of(readiness::refusal),
                         KeyFilter.of(
                                 config::catalog, KeyDigest.of(settings.keyPepper()), openTeam()));
@@ -278,11 +278,11 @@
                         settings.zone(),
                         readiness::notReady,
                         config::catalog,
-                        dispatcher::targets,
+                        dispatcher::candidates,
                         this::callsUnderWay,
                         () -> peers.connected().size(),
                         this::teamStatus,
-                        jobs::held,
+                        jobs::heldJobs,
                         shares::pending,
                         explainer::answer,
                         drain));
@@ -343,7 +343,7 @@
     }
 
     /** Passes on what connections show. */
-    private final class Evidence implements MembershipEvidence {
+    private final class Evidence implements CompanionListener {
         @Override
         public void onConnection(String instance, boolean up) {
             membership.onConnection(instance, up);
@@ -373,7 +373,7 @@
 
         @Override
         public boolean send(String companion, Order order) {
-            return dispatcher.order(companion, order);
+            return dispatcher.sendOrder(companion, order);
         }
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchHttp.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchHttp.java
@@ -48,7 +48,7 @@
     @Override
     public boolean handle(
             HttpExchange exchange, TeamPlan team, String requestId, IntConsumer answered) {
-        Ticket ticket = new Ticket(requestId, answered);
+        ResponseContext ticket = new ResponseContext(requestId, answered);
         String path = exchange.path();
         if (!path.equals(ROOT) && !path.startsWith(ROOT + "/")) {
             return false;
@@ -59,14 +59,15 @@
         if (parts.length > 3) {
             reply.accept(problem(ProblemKind.NOT_FOUND, "there is no route " + path));
         } else if (parts.length == 1) {
-            root(exchange, team, requestId, reply);
+            handleCollection(exchange, team, requestId, reply);
         } else {
-            service.control().execute(() -> job(exchange, team, ticket, parts[1], action, reply));
+            service.control()
+                    .execute(() -> handleJob(exchange, team, ticket, parts[1], action, reply));
         }
         return true;
     }
 
-    private void root(
+    private void handleCollection(
             HttpExchange exchange, TeamPlan team, String requestId, Consumer<Reply> reply) {
         switch (exchange.method()) {
             case "POST" ->
@@ -74,19 +75,20 @@
                             exchange,
                             team,
                             answer -> {
-                                service.decisions().submitted(team.name(), requestId, answer);
+                                service.decisions()
+                                        .onSubmissionAnswered(team.name(), requestId, answer);
                                 reply.accept(answer);
                             });
             case "GET" ->
-                    service.control().execute(() -> service.reader().list(team.name(), reply));
+                    service.control().execute(() -> service.reader().listJobs(team.name(), reply));
             default -> reply.accept(notAllowed(exchange));
         }
     }
 
-    private void job(
+    private void handleJob(
             HttpExchange exchange,
             TeamPlan team,
-            Ticket ticket,
+            ResponseContext ticket,
             String id,
             String action,
             Consumer<Reply> reply) {
@@ -98,7 +100,7 @@
         } else if (action.equals("cancel")) {
             service.cancel().cancel(team.name(), id, reply);
         } else if (action.equals("results")) {
-            service.reader().results(team.name(), id, new ExchangeSink(exchange, ticket));
+            service.reader().streamResults(team.name(), id, new ExchangeSink(exchange, ticket));
         } else {
             service.reader().status(team.name(), id, reply);
         }
@@ -151,7 +153,7 @@
         return Reply.problem(Problem.notRun(kind, detail));
     }
 
-    private static void respond(HttpExchange exchange, Ticket ticket, Reply reply) {
+    private static void respond(HttpExchange exchange, ResponseContext ticket, Reply reply) {
         Map<String, String> headers = new HashMap<>();
         headers.put("x-request-id", ticket.requestId());
         if (reply.isProblem()) {
@@ -165,17 +167,18 @@
                         pause ->
                                 headers.put(
                                         "retry-after",
-                                        String.valueOf(ProblemWriter.wholeSeconds(pause))));
+                                        String.valueOf(ProblemWriter.retryAfterSeconds(pause))));
         ticket.answered().accept(reply.status());
         exchange.respond(
                 reply.status(), headers, reply.body().toString().getBytes(StandardCharsets.UTF_8));
     }
 
     /** What an answer carries and whom its end is told to. */
-    private record Ticket(String requestId, IntConsumer answered) {}
+    private record ResponseContext(String requestId, IntConsumer answered) {}
 
     /** Streams results as JSON lines. */
-    private record ExchangeSink(HttpExchange exchange, Ticket ticket) implements JobReader.Sink {
+    private record ExchangeSink(HttpExchange exchange, ResponseContext ticket)
+            implements JobReader.ResultSink {
         @Override
         public void refuse(Reply reply) {
             respond(exchange, ticket, reply);
@@ -188,12 +191,12 @@
         }
 
         @Override
-        public boolean ready() {
+        public boolean isWritable() {
             return exchange.writable();
         }
 
         @Override
-        public boolean open() {
+        public boolean isOpen() {
             return exchange.open();
         }
 
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchItem.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchItem.java
@@ -12,7 +12,7 @@
  * @param body body as JSON text, empty for none
  * @param repeatable whether the call may be repeated
  * @param group equal for items whose prompts share a prefix on the same model
- * @param line the line as it is stored
+ * @param storedLine the line as it is stored
  */
 record BatchItem(
         String customId,
@@ -22,16 +22,16 @@
         String model,
         String path,
         String body,
-        boolean repeatable,
-        String group,
-        String line) {
+        boolean isRepeatable,
+        String prefixGroup,
+        String storedLine) {
 
     /** A line that was accepted and that no service takes any more. */
     static BatchItem unroutable(String customId, String reason, String line) {
         return new BatchItem(customId, "", "", "", "", "", reason, false, "", line);
     }
 
-    boolean routable() {
+    boolean isRoutable() {
         return !service.isEmpty();
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchJson.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchJson.java
@@ -23,16 +23,16 @@
 
     private BatchJson() {}
 
-    static ObjectNode object() {
+    static ObjectNode newObject() {
         return MAPPER.createObjectNode();
     }
 
-    static JsonNode read(String json) throws JsonProcessingException {
+    static JsonNode parse(String json) throws JsonProcessingException {
         return MAPPER.readTree(json);
     }
 
     static String header(JobHeader header) {
-        ObjectNode node = object();
+        ObjectNode node = newObject();
         node.put("id", header.id()).put("team", header.team()).put("jobKey", header.jobKey());
         node.put("digest", header.digest()).put("createdMs", header.createdMs());
         node.put("dueMs", header.dueMs()).put("chunkSet", header.chunkSet());
@@ -43,7 +43,7 @@
     }
 
     static JobHeader header(String json) {
-        JsonNode node = stored(json);
+        JsonNode node = parseStored(json);
         List<Integer> chunks = new ArrayList<>();
         node.path("chunkItems").forEach(chunk -> chunks.add(chunk.asInt()));
         String id = node.path("id").asText();
@@ -56,7 +56,7 @@
                 chunks,
                 node.path("createdMs").asLong(),
                 node.path("dueMs").asLong(),
-                node.path("chunkSet").asText(JobHeader.firstChunkSet(id, digest)),
+                node.path("chunkSet").asText(JobHeader.defaultChunkSet(id, digest)),
                 RemovalStage.valueOf(node.path("stage").asText(RemovalStage.LIVE.name())),
                 node.path("stageMs").asLong());
     }
@@ -68,7 +68,7 @@
      * @return value of its object of kind {@code job-state}
      */
     public static String state(JobState state) {
-        ObjectNode node = object();
+        ObjectNode node = newObject();
         node.put("team", state.team()).put("items", state.items());
         node.put("chunkCount", state.chunkCount()).put("phase", state.phase().name());
         node.put("fence", state.fence()).put("holder", state.holder().instance());
@@ -83,7 +83,8 @@
     }
 
     private static ObjectNode result(ChunkResult result) {
-        return object().put("mark", result.writeId())
+        return newObject()
+                .put("mark", result.writeId())
                 .put("parts", result.parts())
                 .put("completed", result.completed())
                 .put("failed", result.failed())
@@ -91,7 +92,7 @@
     }
 
     static JobState state(String json) {
-        JsonNode node = stored(json);
+        JsonNode node = parseStored(json);
         SortedMap<Integer, ChunkResult> chunks = new TreeMap<>();
         node.path("chunks")
                 .properties()
@@ -129,7 +130,7 @@
     }
 
     /** Reads an object that this system wrote. */
-    static JsonNode stored(String json) {
+    static JsonNode parseStored(String json) {
         try {
             return MAPPER.readTree(json);
         } catch (JsonProcessingException e) {
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchService.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchService.java
@@ -21,13 +21,13 @@
     private final BatchControl control;
     private final BatchSettings settings;
     private final OpenJobs jobs;
-    private final LeaseKeeper lease;
+    private final LeaseRenewer lease;
     private final BatchWorker worker;
-    private final JobClaims claims;
+    private final JobClaimer claims;
     private final JobSweeper sweeper;
     private final JobAcceptance acceptance;
     private final JobReader reader;
-    private final JobCancel cancel;
+    private final JobCanceller cancel;
     private final JobDecisions decisions;
     private Runnable onClose = () -> {};
 
@@ -52,23 +52,23 @@
         LeaseMonitor leases = LeaseMonitor.of(settings.leaseTimeout());
         LaneShares shares = LaneShares.create();
         jobs = new OpenJobs(store, settings, leases, shares, self.instance(), this::onMarker);
-        lease = new LeaseKeeper(store, settings, self, this::loads, this::onRegained);
+        lease = new LeaseRenewer(store, settings, self, this::loads, this::onRegained);
         worker =
                 new BatchWorker(
                         store, settings, dispatcher, catalog, self, lease, shares, this::onEnded);
-        claims = new JobClaims(store, self, leases, shares, jobs, worker, lease, fleet, decisions);
+        claims = new JobClaimer(store, self, leases, shares, jobs, worker, lease, fleet, decisions);
         sweeper =
                 new JobSweeper(
                         store,
                         settings,
                         self.instance(),
                         () ->
-                                lease.hold().isValid(control.nanos())
-                                        ? claims.eligible()
+                                lease.ownLease().isValid(control.nanos())
+                                        ? claims.eligibleEntries()
                                         : List.of());
         reader = new JobReader(store, settings);
         acceptance = new JobAcceptance(store, settings, catalog, jobs, reader);
-        cancel = new JobCancel(store, settings, reader, jobs);
+        cancel = new JobCanceller(store, settings, reader, jobs);
     }
 
     /**
@@ -137,9 +137,9 @@
         jobs.start();
         worker.start();
         sweeper.start();
-        control.repeat(settings.claimPeriod(), claims::look);
-        control.repeat(settings.claimPeriod(), worker::loadSoon);
-        control.repeat(settings.claimPeriod(), this::noteProgress);
+        control.repeat(settings.claimPeriod(), claims::claimJobs);
+        control.repeat(settings.claimPeriod(), worker::scheduleLoad);
+        control.repeat(settings.claimPeriod(), this::recordProgress);
     }
 
     /**
@@ -153,19 +153,19 @@
                     claims.drain();
                     worker.drain();
                     long deadline = control.nanos() + settings.drainTimeout().toNanos();
-                    drained(deadline, done);
+                    awaitIdle(deadline, done);
                 });
     }
 
-    private void drained(long deadline, Runnable done) {
-        if (worker.idle() || control.nanos() >= deadline) {
+    private void awaitIdle(long deadline, Runnable done) {
+        if (worker.isIdle() || control.nanos() >= deadline) {
             worker.release(
                     () -> {
                         lease.stop();
                         done.run();
                     });
         } else {
-            control.schedule(settings.pumpPeriod(), () -> drained(deadline, done));
+            control.schedule(settings.pumpPeriod(), () -> awaitIdle(deadline, done));
         }
     }
 
@@ -183,7 +183,7 @@
         return reader;
     }
 
-    JobCancel cancel() {
+    JobCanceller cancel() {
         return cancel;
     }
 
@@ -194,25 +194,25 @@
     private void onMarker(OpenJobs.Marker marker) {
         JobRun run = worker.runs().get(marker.id());
         if (run == null) {
-            claims.look();
-        } else if (marker.cancel()) {
-            run.verify();
+            claims.claimJobs();
+        } else if (marker.isCancelRequested()) {
+            run.confirmClaim();
         }
     }
 
     private ObjectNode loads() {
-        return LaneLoads.json(worker.loads());
+        return LaneLoads.toJson(worker.loads());
     }
 
     private void onRegained() {
-        worker.verifyAll();
+        worker.confirmClaims();
     }
 
-    private void noteProgress() {
+    private void recordProgress() {
         worker.runs()
                 .forEach(
                         (id, run) ->
-                                decisions.progressed(
+                                decisions.onProgress(
                                         id,
                                         run.openItems(),
                                         run.expectedEndMs(),
@@ -224,7 +224,7 @@
     }
 
     private void onEnded(JobRun run, JobState state) {
-        decisions.ended(run.header(), state);
-        claims.ended(run, state);
+        decisions.onRunEnded(run.header(), state);
+        claims.onRunEnded(run, state);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchSettings.java
@@ -201,7 +201,7 @@
     }
 
     /** Time between two steps of a job's removal. */
-    Duration removalHold() {
+    Duration removalStepDelay() {
         return Duration.ofMillis(retention.stepDelayMs());
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchWorker.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchWorker.java
@@ -28,7 +28,7 @@
     private final BatchSettings settings;
     private final CallDispatcher dispatcher;
     private final Supplier<Catalog> catalog;
-    private final LeaseKeeper lease;
+    private final LeaseRenewer lease;
     private final LaneShares shares;
     private final JobRunListener listener;
     private final LaneLoads laneLoads = new LaneLoads();
@@ -48,7 +48,7 @@
             CallDispatcher dispatcher,
             Supplier<Catalog> catalog,
             Holder self,
-            LeaseKeeper lease,
+            LeaseRenewer lease,
             LaneShares shares,
             JobRunListener listener) {
         this.store = store;
@@ -63,7 +63,7 @@
 
     /** Hears of runs that are over. */
     interface JobRunListener {
-        void ended(JobRun run, JobState state);
+        void onRunEnded(JobRun run, JobState state);
     }
 
     void start() {
@@ -87,26 +87,26 @@
     }
 
     /** A mark for result objects that no other attempt uses. */
-    String mark(long fence) {
+    String nextWriteId(long fence) {
         marks++;
         return fence + "-" + self.incarnation() + "-" + marks;
     }
 
-    void run(JobHeader header, StateCell cell, JobState claimed) {
+    void startJob(JobHeader header, JobStateUpdater cell, JobState claimed) {
         JobRun run = new JobRun(this, header, cell, claimed);
         runs.put(header.id(), run);
-        run.begin();
+        run.start();
     }
 
-    void ended(JobRun run, JobState state) {
+    void onRunEnded(JobRun run, JobState state) {
         runs.remove(run.header().id(), run);
-        listener.ended(run, state);
-        loadSoon();
+        listener.onRunEnded(run, state);
+        scheduleLoad();
     }
 
     /** Checks every claim again after the lease had lapsed. */
-    void verifyAll() {
-        List.copyOf(runs.values()).forEach(JobRun::verify);
+    void confirmClaims() {
+        List.copyOf(runs.values()).forEach(JobRun::confirmClaim);
     }
 
     /** Loads no further chunk. */
@@ -114,34 +114,34 @@
         draining = true;
     }
 
-    boolean idle() {
+    boolean isIdle() {
         return runs.values().stream().allMatch(run -> run.chunksInMemory() == 0);
     }
 
     /** Reads the lines of a chunk with the services of today, away from the control thread. */
-    void items(JobHeader header, String chunk, Consumer<List<BatchItem>> done) {
+    void parseChunk(JobHeader header, String chunk, Consumer<List<BatchItem>> done) {
         control()
                 .offload(
                         () -> {
-                            List<BatchItem> items = read(header, chunk);
+                            List<BatchItem> items = parseLines(header, chunk);
                             control().execute(() -> done.accept(items));
                         });
     }
 
-    private List<BatchItem> read(JobHeader header, String chunk) {
-        ItemReader reader = new ItemReader(catalog.get(), plan(header.team()));
+    private List<BatchItem> parseLines(JobHeader header, String chunk) {
+        ItemParser reader = new ItemParser(catalog.get(), plan(header.team()));
         return chunk.lines()
                 .map(
                         line -> {
-                            ItemReader.Line read = reader.read(line);
-                            return read instanceof ItemReader.Line.Valid valid
+                            ItemParser.ParsedLine read = reader.parse(line);
+                            return read instanceof ItemParser.ParsedLine.Valid valid
                                     ? valid.item()
-                                    : unroutable((ItemReader.Line.Invalid) read, line);
+                                    : unroutable((ItemParser.ParsedLine.Invalid) read, line);
                         })
                 .toList();
     }
 
-    private static BatchItem unroutable(ItemReader.Line.Invalid invalid, String line) {
+    private static BatchItem unroutable(ItemParser.ParsedLine.Invalid invalid, String line) {
         return BatchItem.unroutable(invalid.customId(), invalid.reason(), line);
     }
 
@@ -150,7 +150,7 @@
                 .orElseGet(() -> new TeamPlan(team, 0, 0, Set.of(), Set.of(), 1, 1));
     }
 
-    void offer(ItemRun item) {
+    void enqueue(ItemRun item) {
         JobHeader header = item.run().header();
         scheduler.add(
                 header.team(),
@@ -158,22 +158,22 @@
                 header.id(),
                 header.dueMs(),
                 lane(item.item()),
-                item.item().group(),
+                item.item().prefixGroup(),
                 item);
     }
 
-    void drop(JobRun run) {
+    void removeQueued(JobRun run) {
         scheduler.removeJob(run.header().team(), run.header().id());
     }
 
-    void loadSoon() {
+    void scheduleLoad() {
         if (!loadScheduled) {
             loadScheduled = true;
-            control().execute(this::load);
+            control().execute(this::loadChunks);
         }
     }
 
-    private void load() {
+    private void loadChunks() {
         loadScheduled = false;
         if (draining || catalog.get().revision() == 0) {
             return;
@@ -190,7 +190,7 @@
                                             Integer::sum));
             Optional<JobRun> next =
                     runs.values().stream()
-                            .filter(run -> run.wantsChunk(settings.chunksPerJob()))
+                            .filter(run -> run.canLoadChunk(settings.chunksPerJob()))
                             .min(
                                     Comparator.comparingDouble((JobRun run) -> loadOf(run, byTeam))
                                             .thenComparingLong(run -> run.header().dueMs())
@@ -210,7 +210,7 @@
     }
 
     /** A chunk's results were committed and leave the memory. */
-    void released(@Nullable ChunkRun chunk) {
+    void onChunkCommitted(@Nullable ChunkRun chunk) {
         if (chunk != null) {
             chunkBytes = Math.max(chunk.resultBytes(), chunkBytes - chunkBytes / DECAY);
         }
@@ -221,7 +221,7 @@
         return (double) byTeam.getOrDefault(team, 0) / Math.max(1, plan(team).batchWeight());
     }
 
-    void pumpSoon() {
+    void schedulePump() {
         if (!pumpScheduled) {
             pumpScheduled = true;
             control()
@@ -235,39 +235,39 @@
 
     private void pump() {
         long now = control().nanos();
-        if (!lease.hold().mayStartRepeatable(now) || scheduler.waitingCount() == 0) {
+        if (!lease.ownLease().mayStartRepeatable(now) || scheduler.waitingCount() == 0) {
             return;
         }
-        Slots slots = new Slots(lease.hold().isValid(now), loads());
+        FreeSlots slots = new FreeSlots(lease.ownLease().isValid(now), loads());
         while (running < settings.maxRunning()) {
-            Optional<ItemRun> next = scheduler.dequeue(slots::startable);
+            Optional<ItemRun> next = scheduler.dequeue(slots::canStart);
             if (next.isEmpty()) {
                 return;
             }
-            slots.taken(next.get());
+            slots.onStarted(next.get());
             start(next.get());
         }
     }
 
     /** Running and waiting calls of this entry, by lane and team. */
     Map<String, Map<String, LaneShares.Load>> loads() {
-        return laneLoads.with(scheduler.waitingByLane());
+        return laneLoads.withWaiting(scheduler.waitingByLane());
     }
 
     /** The free slots as seen at one moment, less those taken since. */
-    private final class Slots {
+    private final class FreeSlots {
         private final boolean leaseValid;
         private final Map<String, Map<String, LaneShares.Load>> loads;
         private final Map<String, Integer> free = new HashMap<>();
 
-        Slots(boolean leaseValid, Map<String, Map<String, LaneShares.Load>> loads) {
+        FreeSlots(boolean leaseValid, Map<String, Map<String, LaneShares.Load>> loads) {
             this.leaseValid = leaseValid;
             this.loads = loads;
         }
 
-        boolean startable(ItemRun item) {
+        boolean canStart(ItemRun item) {
             BatchItem call = item.item();
-            if (!item.run().startsAllowed() || !leaseValid && !call.repeatable()) {
+            if (!item.run().mayStartItems() || !leaseValid && !call.isRepeatable()) {
                 return false;
             }
             if (!catalog.get().services().containsKey(call.service())) {
@@ -287,7 +287,7 @@
                             team -> Math.max(1, plan(team).batchWeight()));
         }
 
-        void taken(ItemRun item) {
+        void onStarted(ItemRun item) {
             free.merge(slotKey(item.item()), -1, Integer::sum);
             loads.getOrDefault(lane(item.item()), new HashMap<>())
                     .computeIfPresent(
@@ -298,7 +298,7 @@
     }
 
     private static String lane(BatchItem item) {
-        return slotKey(item) + "/" + item.repeatable();
+        return slotKey(item) + "/" + item.isRepeatable();
     }
 
     private static String slotKey(BatchItem item) {
@@ -309,39 +309,40 @@
         Optional<TeamPlan> team =
                 Optional.ofNullable(catalog.get().teams().get(item.run().header().team()));
         if (team.isEmpty() || !catalog.get().services().containsKey(item.item().service())) {
-            item.run().end(item, noService(item));
+            item.run().endItem(item, noService(item));
             return;
         }
-        laneLoads.started(lane(item.item()), item.run().header().team());
-        int attempt = item.begin();
+        laneLoads.onStarted(lane(item.item()), item.run().header().team());
+        int attempt = item.startAttempt();
         running++;
-        ItemCall call =
-                new ItemCall(
+        ItemResponseCollector call =
+                new ItemResponseCollector(
                         settings.maxResponseBytes(),
                         answer -> control().execute(() -> onAnswer(item, answer)));
-        item.handle(
+        item.onDispatched(
                 dispatcher.dispatch(
-                        ItemCalls.spec(item, attempt, team.get(), catalog.get(), settings), call));
+                        CallSpecFactory.create(item, attempt, team.get(), catalog.get(), settings),
+                        call));
     }
 
     private static ResultLine noService(ItemRun item) {
         String reason =
-                item.item().routable()
+                item.item().isRoutable()
                         ? "no service takes " + item.item().url() + " for this team any more"
                         : item.item().body();
         return ResultLine.failed(
                 item.item().customId(), Problem.notRun(ProblemKind.NOT_FOUND, reason));
     }
 
-    private void onAnswer(ItemRun item, ItemCall.Answer answer) {
+    private void onAnswer(ItemRun item, ItemResponseCollector.Result answer) {
         running--;
-        laneLoads.ended(lane(item.item()), item.run().header().team());
-        if (answer instanceof ItemCall.Answer.Failed failed
+        laneLoads.onEnded(lane(item.item()), item.run().header().team());
+        if (answer instanceof ItemResponseCollector.Result.Failed failed
                 && failed.problem().kind() == ProblemKind.BODY_TOO_LARGE) {
             item.cancel("the answer is too large");
         }
-        item.run().onAnswer(item, answer);
-        pumpSoon();
+        item.run().onAttemptEnded(item, answer);
+        schedulePump();
     }
 
     /** Gives every job up to other entries; calls back once that is confirmed, or after a time. */
--- a/entry/src/main/java/org/sardinelift/entry/batch/CachedObjectStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/CachedObjectStore.java
@@ -14,7 +14,8 @@
 
 /** The platform with a cache of the objects of batch work that never change once written. */
 final class CachedObjectStore implements ObjectStore {
-    private static final Set<String> UNCHANGING = Set.of(JobHeader.CHUNK_KIND, ResultWriter.KIND);
+    private static final Set<String> IMMUTABLE_KINDS =
+            Set.of(JobHeader.CHUNK_KIND, ResultWriter.KIND);
 
     private final ObjectStore store;
     private final FolderCache cache;
@@ -28,7 +29,7 @@
 
     @Override
     public CompletableFuture<ReadResult> read(ObjectKey key) {
-        if (!UNCHANGING.contains(key.kind())) {
+        if (!IMMUTABLE_KINDS.contains(key.kind())) {
             return store.read(key);
         }
         return CompletableFuture.supplyAsync(() -> cache.find(key), files)
@@ -37,12 +38,12 @@
                                 found.isPresent()
                                         ? CompletableFuture.completedFuture(
                                                 new ReadResult.Found(found.get()))
-                                        : store.read(key).thenApply(this::keep));
+                                        : store.read(key).thenApply(this::cacheFound));
     }
 
-    private ReadResult keep(ReadResult result) {
+    private ReadResult cacheFound(ReadResult result) {
         if (result instanceof ReadResult.Found found) {
-            files.execute(() -> cache.keep(found.object()));
+            files.execute(() -> cache.put(found.object()));
         }
         return result;
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/ItemCalls.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/CallSpecFactory.java
@@ -9,10 +9,10 @@
 import org.sardinelift.entry.call.CallSpec;
 
 /** Makes the calls of items. */
-final class ItemCalls {
-    private ItemCalls() {}
+final class CallSpecFactory {
+    private CallSpecFactory() {}
 
-    static CallSpec spec(
+    static CallSpec create(
             ItemRun item, int attempt, TeamPlan team, Catalog catalog, BatchSettings settings) {
         BatchItem call = item.item();
         String requestId =
@@ -35,9 +35,9 @@
                 call.body().isEmpty() ? Map.of() : Map.of("content-type", "application/json"),
                 body,
                 settings.itemDeadline(),
-                call.repeatable(),
+                call.isRepeatable(),
                 Fingerprint.of(team.name(), call.method() + " " + call.path(), body),
-                call.group(),
+                call.prefixGroup(),
                 traceparent(requestId));
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/batch/ChunkRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ChunkRun.java
@@ -14,14 +14,14 @@
     private final int number;
     private final List<ItemRun> items = new ArrayList<>();
     private final @Nullable ResultLine[] lines;
-    private int open;
+    private int openItems;
     private int resultBytes;
     private boolean sealed;
 
     ChunkRun(JobRun run, int number, List<BatchItem> read) {
         this.number = number;
         this.lines = new ResultLine[read.size()];
-        this.open = read.size();
+        this.openItems = read.size();
         for (int index = 0; index < read.size(); index++) {
             items.add(new ItemRun(run, this, index, read.get(index)));
         }
@@ -40,8 +40,8 @@
         return resultBytes;
     }
 
-    int open() {
-        return open;
+    int openItems() {
+        return openItems;
     }
 
     /** Whether the results were packed. */
@@ -50,31 +50,33 @@
     }
 
     /** Notes how an item ended; only the first end counts. */
-    boolean end(int index, ResultLine line) {
+    boolean recordEnd(int index, ResultLine line) {
         if (sealed || lines[index] != null) {
             return false;
         }
         lines[index] = line;
         resultBytes += line.json().length();
-        open--;
+        openItems--;
         return true;
     }
 
     /** Ends what is open as cancelled. */
-    void cancelOpen() {
+    void cancelOpenItems() {
         items.forEach(
                 item -> {
                     if (lines[item.index()] == null) {
                         RunOutcome outcome =
-                                item.started() ? RunOutcome.UNKNOWN : RunOutcome.NOT_RUN;
-                        end(item.index(), ResultLine.cancelled(item.item().customId(), outcome));
+                                item.wasStarted() ? RunOutcome.UNKNOWN : RunOutcome.NOT_RUN;
+                        recordEnd(
+                                item.index(),
+                                ResultLine.cancelled(item.item().customId(), outcome));
                     }
                 });
     }
 
-    boolean anyAnswer() {
+    boolean hasUncancelledItems() {
         return Arrays.stream(lines)
-                .anyMatch(line -> line != null && line.ending() != ResultLine.Ending.CANCELLED);
+                .anyMatch(line -> line != null && line.status() != ResultLine.Status.CANCELLED);
     }
 
     /** Packs the results into the values of objects; nothing changes after that. */
@@ -102,15 +104,15 @@
         return new ChunkResult(
                 mark,
                 parts,
-                count(ResultLine.Ending.COMPLETED),
-                count(ResultLine.Ending.FAILED),
-                count(ResultLine.Ending.CANCELLED));
+                count(ResultLine.Status.COMPLETED),
+                count(ResultLine.Status.FAILED),
+                count(ResultLine.Status.CANCELLED));
     }
 
-    private int count(ResultLine.Ending ending) {
+    private int count(ResultLine.Status ending) {
         return (int)
                 Arrays.stream(lines)
-                        .filter(line -> line != null && line.ending() == ending)
+                        .filter(line -> line != null && line.status() == ending)
                         .count();
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/Digests.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/Digests.java
@@ -16,7 +16,7 @@
     }
 
     /** A digest of text that comes in parts. */
-    static Digests start() {
+    static Digests create() {
         try {
             return new Digests(MessageDigest.getInstance(ALGORITHM));
         } catch (NoSuchAlgorithmException e) {
@@ -24,17 +24,17 @@
         }
     }
 
-    void add(String part) {
+    void update(String part) {
         digest.update(part.getBytes(StandardCharsets.UTF_8));
     }
 
-    String end() {
+    String hexDigest() {
         return HexFormat.of().formatHex(digest.digest());
     }
 
     static String sha256(String text) {
-        Digests whole = start();
-        whole.add(text);
-        return whole.end();
+        Digests whole = create();
+        whole.update(text);
+        return whole.hexDigest();
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/Expiry.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/Expiry.java
@@ -15,7 +15,7 @@
  * @param chunks number of its chunks
  * @param dueMs when to look, epoch milliseconds
  */
-record Expiry(String team, String id, long createdMs, String chunkSet, int chunks, long dueMs) {
+record Expiry(String team, String id, long createdMs, String chunkSet, int chunkCount, long dueMs) {
     /** Kind of these objects. */
     static final String KIND = "job-expiry";
 
@@ -36,7 +36,7 @@
     }
 
     static Expiry of(StoredObject object) {
-        JsonNode node = BatchJson.stored(object.value());
+        JsonNode node = BatchJson.parseStored(object.value());
         return new Expiry(
                 node.path("team").asText(),
                 node.path("id").asText(),
@@ -46,34 +46,34 @@
                 node.path("dueMs").asLong());
     }
 
-    Expiry at(long nextMs) {
-        return new Expiry(team, id, createdMs, chunkSet, chunks, nextMs);
+    Expiry withDueMs(long nextMs) {
+        return new Expiry(team, id, createdMs, chunkSet, chunkCount, nextMs);
     }
 
     ObjectKey key() {
         int shard = Math.floorMod(id.hashCode(), SHARDS);
-        return new ObjectKey(KIND, prefix(shard, dueMs / BUCKET_MS) + id + "/" + createdMs);
+        return new ObjectKey(KIND, namePrefix(shard, dueMs / BUCKET_MS) + id + "/" + createdMs);
     }
 
-    ObjectKey chunk(int number) {
+    ObjectKey chunkKey(int number) {
         return new ObjectKey(JobHeader.CHUNK_KIND, chunkSet + "/" + number);
     }
 
-    static String prefix(int shard) {
+    static String namePrefix(int shard) {
         return shard + "/";
     }
 
-    static String prefix(int shard, long bucket) {
-        return prefix(shard) + bucket + "/";
+    static String namePrefix(int shard, long bucket) {
+        return namePrefix(shard) + bucket + "/";
     }
 
-    String json() {
-        return BatchJson.object()
+    String toJson() {
+        return BatchJson.newObject()
                 .put("team", team)
                 .put("id", id)
                 .put("createdMs", createdMs)
                 .put("chunkSet", chunkSet)
-                .put("chunks", chunks)
+                .put("chunks", chunkCount)
                 .put("dueMs", dueMs)
                 .toString();
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/FolderCache.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/FolderCache.java
@@ -51,7 +51,7 @@
     }
 
     /** Keeps an object, best effort; the oldest files go where the bound is passed. */
-    synchronized void keep(StoredObject object) {
+    synchronized void put(StoredObject object) {
         String content = object.version() + " " + object.revision() + "\n" + object.value();
         byte[] encoded = (Digests.sha256(content) + content).getBytes(StandardCharsets.UTF_8);
         try {
--- a/entry/src/main/java/org/sardinelift/entry/batch/ItemReader.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ItemParser.java
@@ -13,7 +13,7 @@
 import org.sardinelift.core.poison.Fingerprint;
 
 /** Reads one line of a job and finds the service that runs it. */
-final class ItemReader {
+final class ItemParser {
     private static final String PLAIN_PREFIX = "/services/";
     private static final Set<String> ENGINE_PATHS =
             Set.of("/v1/chat/completions", "/v1/completions");
@@ -25,30 +25,30 @@
     private final Catalog catalog;
     private final TeamPlan team;
 
-    ItemReader(Catalog catalog, TeamPlan team) {
+    ItemParser(Catalog catalog, TeamPlan team) {
         this.catalog = catalog;
         this.team = team;
     }
 
     /** What a line holds. */
-    sealed interface Line {
+    sealed interface ParsedLine {
         /** A line that can be run. */
-        record Valid(BatchItem item) implements Line {}
+        record Valid(BatchItem item) implements ParsedLine {}
 
         /** A line that can't, with the reason. */
-        record Invalid(String customId, String reason) implements Line {}
+        record Invalid(String customId, String reason) implements ParsedLine {}
     }
 
-    Line read(String line) {
+    ParsedLine parse(String line) {
         JsonNode node;
         try {
-            node = BatchJson.read(line);
+            node = BatchJson.parse(line);
         } catch (JsonProcessingException e) {
-            return new Line.Invalid("", "not a JSON object: " + e.getOriginalMessage());
+            return new ParsedLine.Invalid("", "not a JSON object: " + e.getOriginalMessage());
         }
         String customId = node.path("custom_id").asText("");
         return problem(node)
-                .<Line>map(reason -> new Line.Invalid(customId, reason))
+                .<ParsedLine>map(reason -> new ParsedLine.Invalid(customId, reason))
                 .orElseGet(() -> route(customId, node, node.toString()));
     }
 
@@ -73,13 +73,13 @@
         return Optional.empty();
     }
 
-    private Line route(String customId, JsonNode node, String line) {
+    private ParsedLine route(String customId, JsonNode node, String line) {
         String url = node.path("url").asText();
         if (url.startsWith(PLAIN_PREFIX)) {
             return plain(customId, node, line, url);
         }
         if (!ENGINE_PATHS.contains(url) || !node.path("method").asText().equals("POST")) {
-            return new Line.Invalid(
+            return new ParsedLine.Invalid(
                     customId,
                     "url must be POST /v1/chat/completions, POST /v1/completions or"
                             + " /services/NAME/...");
@@ -87,20 +87,20 @@
         return engine(customId, node, line, url);
     }
 
-    private Line engine(String customId, JsonNode node, String line, String url) {
+    private ParsedLine engine(String customId, JsonNode node, String line, String url) {
         JsonNode body = node.path("body");
         String model = body.path("model").asText("");
         Optional<ServiceSpec> service = catalog.serviceOfModel(model);
         if (!body.isObject() || model.isEmpty()) {
-            return new Line.Invalid(customId, "body must be an object with a model");
+            return new ParsedLine.Invalid(customId, "body must be an object with a model");
         }
         if (body.path("stream").asBoolean(false)) {
-            return new Line.Invalid(customId, "stream must be false in a batch");
+            return new ParsedLine.Invalid(customId, "stream must be false in a batch");
         }
         if (service.isEmpty() || !team.models().contains(model)) {
-            return new Line.Invalid(customId, "the team has no model " + model);
+            return new ParsedLine.Invalid(customId, "the team has no model " + model);
         }
-        return new Line.Valid(
+        return new ParsedLine.Valid(
                 new BatchItem(
                         customId,
                         "POST",
@@ -114,17 +114,17 @@
                         line));
     }
 
-    private Line plain(String customId, JsonNode node, String line, String url) {
+    private ParsedLine plain(String customId, JsonNode node, String line, String url) {
         String rest = url.substring(PLAIN_PREFIX.length());
         int slash = rest.indexOf('/');
         String name = slash < 0 ? rest : rest.substring(0, slash);
         ServiceSpec service = catalog.services().get(name);
         if (service == null || service.isEngine() || !team.services().contains(name)) {
-            return new Line.Invalid(customId, "the team has no service " + name);
+            return new ParsedLine.Invalid(customId, "the team has no service " + name);
         }
         String method = node.path("method").asText();
         JsonNode body = node.path("body");
-        return new Line.Valid(
+        return new ParsedLine.Valid(
                 new BatchItem(
                         customId,
                         method,
--- a/entry/src/main/java/org/sardinelift/entry/batch/ItemCall.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ItemResponseCollector.java
@@ -10,25 +10,25 @@
 import org.sardinelift.entry.call.CallListener;
 
 /** Gathers the answer of one attempt at an item, within a bound, and hands it over once. */
-final class ItemCall implements CallListener {
+final class ItemResponseCollector implements CallListener {
     private final int maxBytes;
-    private final Consumer<Answer> done;
+    private final Consumer<Result> done;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile int status;
 
-    ItemCall(int maxBytes, Consumer<Answer> done) {
+    ItemResponseCollector(int maxBytes, Consumer<Result> done) {
         this.maxBytes = maxBytes;
         this.done = done;
     }
 
     /** What came of an attempt. */
-    sealed interface Answer {
+    sealed interface Result {
         /** The whole answer. */
-        record Whole(int status, byte[] body) implements Answer {}
+        record Complete(int status, byte[] body) implements Result {}
 
         /** No whole answer. */
-        record Failed(Problem problem) implements Answer {}
+        record Failed(Problem problem) implements Result {}
     }
 
     @Override
@@ -42,7 +42,7 @@
             body.writeBytes(part);
         } else {
             end(
-                    new Answer.Failed(
+                    new Result.Failed(
                             Problem.failed(
                                     ProblemKind.BODY_TOO_LARGE,
                                     RunOutcome.RUN,
@@ -52,15 +52,15 @@
 
     @Override
     public void onEnd() {
-        end(new Answer.Whole(status, body.toByteArray()));
+        end(new Result.Complete(status, body.toByteArray()));
     }
 
     @Override
     public void onProblem(Problem problem) {
-        end(new Answer.Failed(problem));
+        end(new Result.Failed(problem));
     }
 
-    private void end(Answer answer) {
+    private void end(Result answer) {
         if (ended.compareAndSet(false, true)) {
             done.accept(answer);
         }
--- a/entry/src/main/java/org/sardinelift/entry/batch/ItemRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ItemRun.java
@@ -9,11 +9,11 @@
     private final ChunkRun chunk;
     private final int index;
     private final BatchItem item;
-    private @Nullable CallHandle handle;
+    private @Nullable CallHandle onDispatched;
     private int failures;
     private int postponements;
     private int starts;
-    private boolean running;
+    private boolean isRunning;
 
     ItemRun(JobRun run, ChunkRun chunk, int index, BatchItem item) {
         this.run = run;
@@ -46,28 +46,28 @@
         return postponements;
     }
 
-    boolean started() {
+    boolean wasStarted() {
         return starts > 0;
     }
 
-    boolean running() {
-        return running;
+    boolean isRunning() {
+        return isRunning;
     }
 
     /** Starts an attempt and returns its number. */
-    int begin() {
-        running = true;
+    int startAttempt() {
+        isRunning = true;
         starts++;
         return starts;
     }
 
-    void handle(CallHandle call) {
-        handle = call;
+    void onDispatched(CallHandle call) {
+        onDispatched = call;
     }
 
-    void stopped() {
-        running = false;
-        handle = null;
+    void onAttemptEnded() {
+        isRunning = false;
+        onDispatched = null;
     }
 
     void countFailure() {
@@ -79,8 +79,8 @@
     }
 
     void cancel(String reason) {
-        CallHandle call = handle;
-        if (running && call != null) {
+        CallHandle call = onDispatched;
+        if (isRunning && call != null) {
             call.cancel(reason);
         }
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobAcceptance.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobAcceptance.java
@@ -69,10 +69,10 @@
 
     private void check(
             TeamPlan team, String jobKey, long dueMs, byte[] body, Consumer<Reply> done) {
-        Submission.Checked checked = Submission.check(body, settings, catalog.get(), team);
-        if (checked instanceof Submission.Checked.Refused refused) {
+        Submission.CheckResult checked = Submission.check(body, settings, catalog.get(), team);
+        if (checked instanceof Submission.CheckResult.Refused refused) {
             done.accept(refused.reply());
-        } else if (checked instanceof Submission.Checked.Job job) {
+        } else if (checked instanceof Submission.CheckResult.Valid job) {
             JobHeader header =
                     JobHeader.accepted(
                             team.name(),
@@ -81,21 +81,22 @@
                             job.chunks().stream().map(List::size).toList(),
                             store.control().epochMillis(),
                             dueMs);
-            store.control().execute(() -> new Writing(header, job.chunks(), done).start());
+            store.control().execute(() -> new SubmissionWriter(header, job.chunks(), done).start());
         }
     }
 
     /** One job on its way into the platform. */
-    private final class Writing {
+    private final class SubmissionWriter {
         private final JobHeader header;
-        private final List<List<Submission.Line>> chunks;
+        private final List<List<Submission.StoredLine>> chunks;
         private final Consumer<Reply> done;
         private int next;
         private int written;
         private boolean refused;
         private final long startedNanos = store.control().nanos();
 
-        Writing(JobHeader header, List<List<Submission.Line>> chunks, Consumer<Reply> done) {
+        SubmissionWriter(
+                JobHeader header, List<List<Submission.StoredLine>> chunks, Consumer<Reply> done) {
             this.header = header;
             this.chunks = chunks;
             this.done = done;
@@ -109,18 +110,18 @@
             if (read instanceof ReadResult.Found found) {
                 onExisting(found.object());
             } else if (read instanceof ReadResult.Unavailable) {
-                unavailable(RunOutcome.NOT_RUN);
+                replyUnavailable(RunOutcome.NOT_RUN);
             } else {
                 Expiry expiry =
                         Expiry.of(header, header.createdMs() + settings.retention().retentionMs());
                 store.create(
-                        expiry.key(), expiry.json(), settings.acceptAttempts(), this::onExpiry);
+                        expiry.key(), expiry.toJson(), settings.acceptAttempts(), this::onExpiry);
             }
         }
 
-        private void onExpiry(JobStore.Creation creation) {
-            if (!creation.present()) {
-                unavailable(RunOutcome.NOT_RUN);
+        private void onExpiry(JobStore.CreateResult creation) {
+            if (!creation.isPresent()) {
+                replyUnavailable(RunOutcome.NOT_RUN);
                 return;
             }
             for (int i = 0; i < PARALLEL_CHUNKS; i++) {
@@ -136,25 +137,26 @@
             next++;
             String value =
                     chunks.get(number).stream()
-                            .map(Submission.Line::json)
+                            .map(Submission.StoredLine::json)
                             .collect(Collectors.joining("\n"));
-            store.create(header.chunk(number), value, settings.acceptAttempts(), this::onChunk);
+            store.create(header.chunkKey(number), value, settings.acceptAttempts(), this::onChunk);
         }
 
-        private void onChunk(JobStore.Creation creation) {
+        private void onChunk(JobStore.CreateResult creation) {
             if (refused) {
                 return;
             }
-            if (!creation.present()) {
+            if (!creation.isPresent()) {
                 refused = true;
-                unavailable(RunOutcome.NOT_RUN);
+                replyUnavailable(RunOutcome.NOT_RUN);
                 return;
             }
             written++;
             if (written < chunks.size()) {
                 writeChunk();
-            } else if (store.control().nanos() - startedNanos > settings.removalHold().toNanos()) {
-                unavailable(RunOutcome.NOT_RUN);
+            } else if (store.control().nanos() - startedNanos
+                    > settings.removalStepDelay().toNanos()) {
+                replyUnavailable(RunOutcome.NOT_RUN);
             } else {
                 store.create(
                         header.key(),
@@ -164,11 +166,11 @@
             }
         }
 
-        private void onHeader(JobStore.Creation creation) {
-            if (!creation.present()) {
-                unavailable(RunOutcome.NOT_RUN);
-            } else if (creation == JobStore.Creation.CREATED) {
-                mark(header, CREATED);
+        private void onHeader(JobStore.CreateResult creation) {
+            if (!creation.isPresent()) {
+                replyUnavailable(RunOutcome.NOT_RUN);
+            } else if (creation == JobStore.CreateResult.CREATED) {
+                writeMarker(header, CREATED);
             } else {
                 readHeader(1);
             }
@@ -187,7 +189,7 @@
                                             store.backoff().pause(attempt),
                                             () -> readHeader(attempt + 1));
                         } else {
-                            unavailable(RunOutcome.UNKNOWN);
+                            replyUnavailable(RunOutcome.UNKNOWN);
                         }
                     });
         }
@@ -195,10 +197,10 @@
         private void onExisting(StoredObject object) {
             JobHeader existing = BatchJson.header(object.value());
             if (existing.stage() != RemovalStage.LIVE) {
-                beingRemoved(object);
+                refuseWhileRemoved(object);
             } else if (existing.digest().equals(header.digest())) {
                 store.read(
-                        StateCell.key(existing.id()),
+                        JobStateUpdater.key(existing.id()),
                         settings.acceptAttempts(),
                         read -> onState(existing, read));
             } else {
@@ -213,7 +215,7 @@
         }
 
         /** A read may be stale; only where the job key is certainly not taken yet that is said. */
-        private void beingRemoved(StoredObject object) {
+        private void refuseWhileRemoved(StoredObject object) {
             store.delete(
                     object.key(),
                     Long.MAX_VALUE,
@@ -241,37 +243,39 @@
                     && !settings.retention()
                             .isTooOldToAccept(
                                     existing.createdMs(), store.control().epochMillis())) {
-                mark(existing, OK);
+                writeMarker(existing, OK);
             } else {
-                unavailable(RunOutcome.UNKNOWN);
+                replyUnavailable(RunOutcome.UNKNOWN);
             }
         }
 
-        private void mark(JobHeader accepted, int status) {
+        private void writeMarker(JobHeader accepted, int status) {
             OpenJobs.Marker marker = new OpenJobs.Marker(accepted.id(), accepted.team(), false);
             store.create(
                     OpenJobs.Marker.key(accepted.id()),
-                    marker.json(),
+                    marker.toJson(),
                     settings.acceptAttempts(),
                     creation -> {
-                        if (!creation.present()) {
-                            unavailable(
-                                    creation == JobStore.Creation.NOT_WRITTEN && status == CREATED
+                        if (!creation.isPresent()) {
+                            replyUnavailable(
+                                    creation == JobStore.CreateResult.NOT_WRITTEN
+                                                    && status == CREATED
                                             ? RunOutcome.NOT_RUN
                                             : RunOutcome.UNKNOWN);
                             return;
                         }
-                        if (creation == JobStore.Creation.CREATED) {
-                            jobs.noted(marker);
+                        if (creation == JobStore.CreateResult.CREATED) {
+                            jobs.onMarkerWritten(marker);
                         }
                         done.accept(
                                 Reply.of(
                                         status,
-                                        reader.describe(accepted, JobClaims.accepted(accepted))));
+                                        reader.statusJson(
+                                                accepted, JobClaimer.initialState(accepted))));
                     });
         }
 
-        private void unavailable(RunOutcome outcome) {
+        private void replyUnavailable(RunOutcome outcome) {
             done.accept(
                     Reply.problem(
                             new Problem(
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobCancel.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobCanceller.java
@@ -9,7 +9,7 @@
 import org.sardinelift.objects.ReadResult;
 
 /** Cancels jobs, whichever entry runs them, and confirms once the cancel holds. */
-final class JobCancel {
+final class JobCanceller {
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
 
@@ -18,7 +18,7 @@
     private final JobReader reader;
     private final OpenJobs jobs;
 
-    JobCancel(JobStore store, BatchSettings settings, JobReader reader, OpenJobs jobs) {
+    JobCanceller(JobStore store, BatchSettings settings, JobReader reader, OpenJobs jobs) {
         this.store = store;
         this.settings = settings;
         this.reader = reader;
@@ -26,66 +26,67 @@
     }
 
     void cancel(String team, String id, Consumer<Reply> done) {
-        reader.header(team, id, header -> new Cancelling(header, done).start(), done);
+        reader.findHeader(team, id, header -> new CancelRequest(header, done).start(), done);
     }
 
     /** One cancel on its way. */
-    private final class Cancelling {
+    private final class CancelRequest {
         private final JobHeader header;
         private final Consumer<Reply> done;
-        private final StateCell cell;
+        private final JobStateUpdater cell;
         private final long deadline;
         private boolean answered;
 
-        Cancelling(JobHeader header, Consumer<Reply> done) {
+        CancelRequest(JobHeader header, Consumer<Reply> done) {
             this.header = header;
             this.done = done;
-            this.cell = new StateCell(store, header.id(), () -> JobClaims.accepted(header));
+            this.cell =
+                    new JobStateUpdater(store, header.id(), () -> JobClaimer.initialState(header));
             this.deadline =
                     store.control().nanos() + settings.cancelGrace().multipliedBy(2).toNanos();
         }
 
         void start() {
-            store.control().schedule(settings.cancelGrace().multipliedBy(2), this::giveUp);
+            store.control().schedule(settings.cancelGrace().multipliedBy(2), this::onDeadline);
             cell.update(JobState::requestCancel, this::onRequested);
         }
 
         private void onRequested(JobState state) {
             if (state.phase() == JobPhase.CANCELLING) {
-                poke();
+                notifyHolder();
             }
-            look(state);
+            poll(state);
         }
 
-        private void look(JobState state) {
+        private void poll(JobState state) {
             if (state.phase().isTerminal()) {
-                answer(ended(state));
+                answer(replyFor(state));
             } else if (store.control().nanos() < deadline) {
-                store.control().schedule(settings.watchPause(), () -> cell.refresh(this::look));
+                store.control().schedule(settings.watchPause(), () -> cell.refresh(this::poll));
             }
         }
 
-        private Reply ended(JobState state) {
+        private Reply replyFor(JobState state) {
             return state.phase() == JobPhase.CANCELLED
-                    ? Reply.of(OK, reader.describe(header, state))
+                    ? Reply.of(OK, reader.statusJson(header, state))
                     : Reply.problem(
                             Problem.notRun(
                                     ProblemKind.CONFLICT,
                                     "the batch was completed before the cancel"));
         }
 
-        private void giveUp() {
+        private void onDeadline() {
             if (answered) {
                 return;
             }
             cell.close();
-            reader.state(
+            reader.readState(
                     header,
                     state ->
                             answer(
                                     state.phase().isTerminal()
-                                            ? ended(state)
-                                            : Reply.of(ACCEPTED, reader.describe(header, state))),
+                                            ? replyFor(state)
+                                            : Reply.of(ACCEPTED, reader.statusJson(header, state))),
                     this::answer);
         }
 
@@ -98,7 +99,7 @@
         }
 
         /** Tells the holder through the marker, which every entry watches. */
-        private void poke() {
+        private void notifyHolder() {
             OpenJobs.Marker marker = new OpenJobs.Marker(header.id(), header.team(), true);
             store.read(
                     OpenJobs.Marker.key(header.id()),
@@ -111,8 +112,8 @@
                         store.write(
                                 OpenJobs.Marker.key(header.id()),
                                 version,
-                                marker.json(),
-                                result -> jobs.noted(marker));
+                                marker.toJson(),
+                                result -> jobs.onMarkerWritten(marker));
                     });
         }
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobClaims.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobClaimer.java
@@ -20,28 +20,28 @@
 import org.tinylog.Logger;
 
 /** Claims open jobs that no live entry holds and that fall to this entry. */
-final class JobClaims {
+final class JobClaimer {
     private final JobStore store;
     private final Holder self;
     private final LeaseMonitor leases;
     private final LaneShares shares;
     private final OpenJobs jobs;
     private final BatchWorker worker;
-    private final LeaseKeeper lease;
+    private final LeaseRenewer lease;
     private final Supplier<FleetView> fleet;
     private final Map<String, Holder> heldBy = new HashMap<>();
     private final Set<String> claiming = new HashSet<>();
     private final JobDecisions decisions;
     private boolean draining;
 
-    JobClaims(
+    JobClaimer(
             JobStore store,
             Holder self,
             LeaseMonitor leases,
             LaneShares shares,
             OpenJobs jobs,
             BatchWorker worker,
-            LeaseKeeper lease,
+            LeaseRenewer lease,
             Supplier<FleetView> fleet,
             JobDecisions decisions) {
         this.store = store;
@@ -60,27 +60,27 @@
     }
 
     /** Looks for jobs to claim; reads nothing of jobs that fall to others. */
-    void look() {
+    void claimJobs() {
         shares.retainEntries(leases.liveInstances(store.control().nanos()));
         heldBy.keySet().retainAll(jobs.markers().keySet());
-        if (draining || !lease.hold().isValid(store.control().nanos())) {
+        if (draining || !lease.ownLease().isValid(store.control().nanos())) {
             return;
         }
-        List<String> eligible = eligible();
+        List<String> eligible = eligibleEntries();
         List.copyOf(jobs.markers().values()).stream()
                 .filter(marker -> !worker.runs().containsKey(marker.id()))
                 .filter(marker -> !claiming.contains(marker.id()))
-                .filter(marker -> claimable(heldBy.getOrDefault(marker.id(), Holder.NONE)))
-                .filter(marker -> fallsHere(marker.id(), eligible))
+                .filter(marker -> isClaimable(heldBy.getOrDefault(marker.id(), Holder.NONE)))
+                .filter(marker -> isAssignedHere(marker.id(), eligible))
                 .forEach(this::claim);
     }
 
-    private boolean fallsHere(String job, List<String> eligible) {
+    private boolean isAssignedHere(String job, List<String> eligible) {
         return EntryRendezvous.choose(job, eligible).filter(self.instance()::equals).isPresent();
     }
 
     /** Entries that may take work. */
-    List<String> eligible() {
+    List<String> eligibleEntries() {
         Set<String> leaving =
                 fleet.get().entries().stream()
                         .filter(InstanceInfo::isLeaving)
@@ -91,7 +91,7 @@
                 .toList();
     }
 
-    private boolean claimable(Holder holder) {
+    private boolean isClaimable(Holder holder) {
         return !holder.isPresent()
                 || holder.equals(self)
                 || leases.hasLapsed(holder, store.control().nanos());
@@ -112,7 +112,7 @@
     }
 
     private void claim(JobHeader header) {
-        StateCell cell = new StateCell(store, header.id(), () -> accepted(header));
+        JobStateUpdater cell = new JobStateUpdater(store, header.id(), () -> initialState(header));
         boolean[] claimed = {false};
         Holder[] before = {Holder.NONE};
         cell.update(
@@ -121,22 +121,23 @@
                     claimed[0] =
                             !draining
                                     && !current.phase().isTerminal()
-                                    && claimable(current.holder());
+                                    && isClaimable(current.holder());
                     return claimed[0] ? current.claim(self) : current;
                 },
                 state -> {
                     if (claimed[0] && !state.phase().isTerminal()) {
-                        decisions.claimed(header, state, before[0]);
+                        decisions.onClaimed(header, state, before[0]);
                     }
-                    onClaim(header, cell, state, claimed[0]);
+                    onClaimAnswered(header, cell, state, claimed[0]);
                 });
     }
 
-    static JobState accepted(JobHeader header) {
-        return JobState.initial(header.team(), header.items(), header.chunkItems().size());
+    static JobState initialState(JobHeader header) {
+        return JobState.initial(header.team(), header.itemCount(), header.chunkItems().size());
     }
 
-    private void onClaim(JobHeader header, StateCell cell, JobState state, boolean claimed) {
+    private void onClaimAnswered(
+            JobHeader header, JobStateUpdater cell, JobState state, boolean claimed) {
         claiming.remove(header.id());
         if (state.phase().isTerminal()) {
             cell.close();
@@ -144,7 +145,7 @@
         } else if (claimed) {
             heldBy.remove(header.id());
             Logger.info("Claimed {} under fence {}", header.id(), state.fence());
-            worker.run(header, cell, state);
+            worker.startJob(header, cell, state);
         } else {
             cell.close();
             heldBy.put(header.id(), state.holder());
@@ -152,7 +153,7 @@
     }
 
     /** A run is over: the job ended, or another entry holds it. */
-    void ended(JobRun run, JobState state) {
+    void onRunEnded(JobRun run, JobState state) {
         String id = run.header().id();
         if (state.phase().isTerminal()) {
             Logger.info("{} is {}", id, state.phase().label());
@@ -166,6 +167,6 @@
 
     private void removeMarker(String id) {
         jobs.markers().remove(id);
-        store.discard(OpenJobs.Marker.key(id));
+        store.deleteAnyVersion(OpenJobs.Marker.key(id));
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobDecisions.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobDecisions.java
@@ -19,7 +19,7 @@
 public final class JobDecisions {
     private static final int CREATED = 201;
 
-    private static final Counter JOBS =
+    private static final Counter JOB_DECISIONS =
             Counter.builder()
                     .name("sardinelift_jobs_total")
                     .help("What was decided about jobs at this entry.")
@@ -27,7 +27,7 @@
                     .register();
 
     private final DecisionRecorder decisions;
-    private final ConcurrentMap<String, JobStatus> held = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, JobStatus> heldJobs = new ConcurrentHashMap<>();
 
     private JobDecisions(DecisionRecorder decisions) {
         this.decisions = decisions;
@@ -48,23 +48,23 @@
      *
      * @return their status, by job
      */
-    public List<JobStatus> held() {
-        return held.values().stream()
+    public List<JobStatus> heldJobs() {
+        return heldJobs.values().stream()
                 .sorted((first, second) -> first.id().compareTo(second.id()))
                 .toList();
     }
 
     /** A submission was answered. */
-    void submitted(String team, String requestId, Reply reply) {
+    void onSubmissionAnswered(String team, String requestId, Reply reply) {
         if (reply.isProblem()) {
-            note(
+            recordDecision(
                     DecisionAction.REFUSED,
                     requestId,
                     reply.body().path("detail").asText(),
                     Map.of("team", team, "kind", reply.body().path("kind").asText()));
             return;
         }
-        note(
+        recordDecision(
                 DecisionAction.JOB_ACCEPTED,
                 reply.body().path("id").asText(),
                 reply.status() == CREATED
@@ -81,9 +81,9 @@
                         reply.body().path("due").asText()));
     }
 
-    void claimed(JobHeader header, JobState state, Holder before) {
+    void onClaimed(JobHeader header, JobState state, Holder before) {
         boolean lost = before.isPresent() && !before.equals(state.holder());
-        held.put(
+        heldJobs.put(
                 header.id(),
                 new JobStatus(
                         header.id(),
@@ -99,7 +99,7 @@
         if (lost) {
             figures.put("from", before.instance());
         }
-        note(
+        recordDecision(
                 lost ? DecisionAction.JOB_TAKEN_OVER : DecisionAction.JOB_CLAIMED,
                 header.id(),
                 lost
@@ -109,15 +109,15 @@
     }
 
     /** Tells how far a job is; notes where it gets late or no longer is. */
-    void progressed(String job, int open, long expectedEndMs, long nowMs) {
-        JobStatus before = held.get(job);
+    void onProgress(String job, int open, long expectedEndMs, long nowMs) {
+        JobStatus before = heldJobs.get(job);
         if (before == null) {
             return;
         }
         JobStatus after = before.withProgress(open, expectedEndMs, nowMs);
-        held.put(job, after);
+        heldJobs.put(job, after);
         if (before.isLate() != after.isLate()) {
-            note(
+            recordDecision(
                     after.isLate() ? DecisionAction.JOB_LATE : DecisionAction.JOB_IN_TIME,
                     job,
                     after.isLate()
@@ -131,8 +131,8 @@
         }
     }
 
-    void ended(JobHeader header, JobState state) {
-        held.remove(header.id());
+    void onRunEnded(JobHeader header, JobState state) {
+        heldJobs.remove(header.id());
         DecisionAction action =
                 state.phase() == JobPhase.COMPLETED
                         ? DecisionAction.JOB_COMPLETED
@@ -143,12 +143,12 @@
                 state.phase().isTerminal()
                         ? "the job is " + state.phase().label()
                         : "another entry holds it or may claim it";
-        note(action, header.id(), reason, figures(header.team(), state.counts()));
+        recordDecision(action, header.id(), reason, figures(header.team(), state.counts()));
     }
 
-    private void note(
+    private void recordDecision(
             DecisionAction action, String subject, String reason, Map<String, String> figures) {
-        JOBS.labelValues(action.label()).inc();
+        JOB_DECISIONS.labelValues(action.label()).inc();
         decisions.record(action, subject, reason, figures);
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobHeader.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobHeader.java
@@ -58,17 +58,17 @@
                 chunkItems,
                 createdMs,
                 dueMs,
-                firstChunkSet(id, digest) + "-" + createdMs,
+                defaultChunkSet(id, digest) + "-" + createdMs,
                 RemovalStage.LIVE,
                 createdMs);
     }
 
     /** Start of the names of the chunks where the header names none. */
-    static String firstChunkSet(String id, String digest) {
+    static String defaultChunkSet(String id, String digest) {
         return id + "/" + digest.substring(0, DIGEST_CHARS);
     }
 
-    JobHeader at(RemovalStage next, long nowMs) {
+    JobHeader withStage(RemovalStage next, long nowMs) {
         return new JobHeader(
                 id, team, jobKey, digest, chunkItems, createdMs, dueMs, chunkSet, next, nowMs);
     }
@@ -85,11 +85,11 @@
         return key(team, id);
     }
 
-    ObjectKey chunk(int number) {
+    ObjectKey chunkKey(int number) {
         return new ObjectKey(CHUNK_KIND, chunkSet + "/" + number);
     }
 
-    int items() {
+    int itemCount() {
         return chunkItems.stream().mapToInt(Integer::intValue).sum();
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobReader.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobReader.java
@@ -34,15 +34,15 @@
     }
 
     /** Takes the lines of results. Called on the control thread. */
-    interface Sink {
+    interface ResultSink {
         void refuse(Reply reply);
 
         void write(byte[] lines);
 
         /** Whether the caller takes more now. */
-        boolean ready();
+        boolean isWritable();
 
-        boolean open();
+        boolean isOpen();
 
         void end();
 
@@ -51,20 +51,21 @@
     }
 
     /** Finds the header of a team's job. */
-    void header(String team, String id, Consumer<JobHeader> found, Consumer<Reply> otherwise) {
+    void findHeader(String team, String id, Consumer<JobHeader> found, Consumer<Reply> otherwise) {
         store.read(
                 JobHeader.key(team, id),
                 settings.acceptAttempts(),
                 read -> {
                     if (read instanceof ReadResult.Unavailable) {
-                        otherwise.accept(unavailable());
+                        otherwise.accept(unavailableReply());
                         return;
                     }
-                    live(read).ifPresentOrElse(found, () -> otherwise.accept(notFound(id)));
+                    liveHeader(read)
+                            .ifPresentOrElse(found, () -> otherwise.accept(notFoundReply(id)));
                 });
     }
 
-    private static Optional<JobHeader> live(ReadResult read) {
+    private static Optional<JobHeader> liveHeader(ReadResult read) {
         return read instanceof ReadResult.Found object
                 ? Optional.of(BatchJson.header(object.object().value()))
                         .filter(header -> header.stage() == RemovalStage.LIVE)
@@ -72,52 +73,53 @@
     }
 
     void status(String team, String id, Consumer<Reply> done) {
-        header(team, id, header -> status(header, done), done);
+        findHeader(team, id, header -> status(header, done), done);
     }
 
     void status(JobHeader header, Consumer<Reply> done) {
-        state(header, state -> done.accept(Reply.of(OK, describe(header, state))), done);
+        readState(header, state -> done.accept(Reply.of(OK, statusJson(header, state))), done);
     }
 
     /** Reads the state of a job; one that nobody has claimed yet has a marker instead. */
-    void state(JobHeader header, Consumer<JobState> found, Consumer<Reply> otherwise) {
+    void readState(JobHeader header, Consumer<JobState> found, Consumer<Reply> otherwise) {
         store.read(
-                StateCell.key(header.id()),
+                JobStateUpdater.key(header.id()),
                 settings.acceptAttempts(),
                 read -> {
                     if (read instanceof ReadResult.Found object) {
                         found.accept(BatchJson.state(object.object().value()));
                     } else if (read instanceof ReadResult.Absent) {
-                        unclaimed(header, found, otherwise);
+                        readUnclaimedState(header, found, otherwise);
                     } else {
-                        otherwise.accept(unavailable());
+                        otherwise.accept(unavailableReply());
                     }
                 });
     }
 
-    private void unclaimed(JobHeader header, Consumer<JobState> found, Consumer<Reply> otherwise) {
+    private void readUnclaimedState(
+            JobHeader header, Consumer<JobState> found, Consumer<Reply> otherwise) {
         store.read(
                 OpenJobs.Marker.key(header.id()),
                 settings.acceptAttempts(),
                 read -> {
                     if (read instanceof ReadResult.Found) {
-                        found.accept(JobClaims.accepted(header));
+                        found.accept(JobClaimer.initialState(header));
                     } else if (read instanceof ReadResult.Absent) {
-                        otherwise.accept(notAccepted(header));
+                        otherwise.accept(notAcceptedReply(header));
                     } else {
-                        otherwise.accept(unavailable());
+                        otherwise.accept(unavailableReply());
                     }
                 });
     }
 
     /** The newest jobs of a team. */
-    void list(String team, Consumer<Reply> done) {
+    void listJobs(String team, Consumer<Reply> done) {
         store.list(
                 JobHeader.KIND,
                 team + "/",
                 result -> {
                     if (!(result instanceof ListResult.Listed listed)) {
-                        done.accept(unavailable());
+                        done.accept(unavailableReply());
                         return;
                     }
                     List<JobHeader> newest =
@@ -130,12 +132,12 @@
                                                     .thenComparing(JobHeader::id))
                                     .limit(MAX_LISTED)
                                     .toList();
-                    ObjectNode body = BatchJson.object().put("object", "list");
-                    describe(newest, 0, body.putArray("data"), body, done);
+                    ObjectNode body = BatchJson.newObject().put("object", "list");
+                    statusJson(newest, 0, body.putArray("data"), body, done);
                 });
     }
 
-    private void describe(
+    private void statusJson(
             List<JobHeader> headers,
             int index,
             ArrayNode data,
@@ -145,11 +147,11 @@
             done.accept(Reply.of(OK, body));
             return;
         }
-        Runnable next = () -> describe(headers, index + 1, data, body, done);
-        state(
+        Runnable next = () -> statusJson(headers, index + 1, data, body, done);
+        readState(
                 headers.get(index),
                 state -> {
-                    data.add(describe(headers.get(index), state));
+                    data.add(statusJson(headers.get(index), state));
                     next.run();
                 },
                 refusal -> {
@@ -162,9 +164,9 @@
     }
 
     /** The status of a job as callers read it. */
-    ObjectNode describe(JobHeader header, JobState state) {
+    ObjectNode statusJson(JobHeader header, JobState state) {
         JobCounts counts = state.counts();
-        ObjectNode node = BatchJson.object().put("id", header.id()).put("object", "batch");
+        ObjectNode node = BatchJson.newObject().put("id", header.id()).put("object", "batch");
         node.put("job_key", header.jobKey()).put("status", state.phase().label());
         node.put("created_at", header.createdMs() / 1000);
         if (header.dueMs() == Long.MAX_VALUE) {
@@ -187,7 +189,7 @@
         long expected = state.phase().isTerminal() ? 0 : state.expectedEndMs();
         long due = header.dueMs();
         boolean overdue = !state.phase().isTerminal() && store.control().epochMillis() > due;
-        ObjectNode node = BatchJson.object().put("late", overdue || expected > due);
+        ObjectNode node = BatchJson.newObject().put("late", overdue || expected > due);
         if (expected == 0) {
             node.putNull("expected_end");
         } else {
@@ -198,23 +200,23 @@
     }
 
     /** Reads results in the order of the input, as far as there are any. */
-    void results(String team, String id, Sink sink) {
-        header(
+    void streamResults(String team, String id, ResultSink sink) {
+        findHeader(
                 team,
                 id,
                 header ->
-                        state(
+                        readState(
                                 header,
-                                state -> new Results(header, state, sink).next(),
+                                state -> new ResultStream(header, state, sink).next(),
                                 sink::refuse),
                 sink::refuse);
     }
 
-    private Reply notFound(String id) {
+    private Reply notFoundReply(String id) {
         return Reply.problem(Problem.notRun(ProblemKind.NOT_FOUND, "this team has no batch " + id));
     }
 
-    private static Reply notAccepted(JobHeader header) {
+    private static Reply notAcceptedReply(JobHeader header) {
         return Reply.problem(
                 Problem.notRun(
                         ProblemKind.NOT_FOUND,
@@ -223,7 +225,7 @@
                                 + " was not accepted in full; send it again"));
     }
 
-    Reply unavailable() {
+    Reply unavailableReply() {
         return Reply.problem(
                 Problem.notRun(
                         ProblemKind.PLATFORM_UNAVAILABLE,
@@ -232,24 +234,24 @@
     }
 
     /** One caller reading results. */
-    private final class Results {
+    private final class ResultStream {
         private final JobHeader header;
         private final JobState state;
-        private final Sink sink;
+        private final ResultSink sink;
         private int chunk;
         private int part;
 
-        Results(JobHeader header, JobState state, Sink sink) {
+        ResultStream(JobHeader header, JobState state, ResultSink sink) {
             this.header = header;
             this.state = state;
             this.sink = sink;
         }
 
         void next() {
-            if (!sink.open()) {
+            if (!sink.isOpen()) {
                 return;
             }
-            if (!sink.ready()) {
+            if (!sink.isWritable()) {
                 store.control().schedule(settings.pumpPeriod(), this::next);
                 return;
             }
@@ -261,8 +263,8 @@
             ChunkResult result = state.chunks().get(chunk);
             ObjectKey key =
                     result == null
-                            ? header.chunk(chunk)
-                            : ResultWriter.key(header.id(), chunk, result.writeId(), part);
+                            ? header.chunkKey(chunk)
+                            : ResultWriter.resultKey(header.id(), chunk, result.writeId(), part);
             store.read(key, settings.acceptAttempts(), read -> onRead(read, result == null));
         }
 
@@ -294,7 +296,7 @@
         private String cancelled(String input) {
             StringBuilder lines = new StringBuilder();
             input.lines()
-                    .map(line -> BatchJson.stored(line).path("custom_id").asText())
+                    .map(line -> BatchJson.parseStored(line).path("custom_id").asText())
                     .map(customId -> ResultLine.cancelled(customId, RunOutcome.NOT_RUN))
                     .forEach(line -> lines.append(line.json()).append('\n'));
             return lines.toString();
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobRemoval.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobRemoval.java
@@ -22,7 +22,7 @@
  */
 final class JobRemoval {
     /** Version of an object that is written once. */
-    private static final long WRITTEN_ONCE = 1;
+    private static final long WRITTEN_ONCE_VERSION = 1;
 
     private final JobStore store;
     private final BatchSettings settings;
@@ -42,7 +42,7 @@
 
     /** Looks; calls back with whether the expiry was dealt with. */
     void start() {
-        fresh(headerKey, this::onHeader);
+        readConfirmed(headerKey, this::onHeader);
     }
 
     private void onHeader(Optional<StoredObject> found) {
@@ -50,22 +50,22 @@
                 found.map(object -> BatchJson.header(object.value()))
                         .filter(own -> own.createdMs() == expiry.createdMs());
         if (header.isEmpty()) {
-            erase(chunks(), WRITTEN_ONCE, this::finish);
+            deleteEach(chunkKeys(), WRITTEN_ONCE_VERSION, this::finish);
             return;
         }
-        fresh(
-                StateCell.key(expiry.id()),
+        readConfirmed(
+                JobStateUpdater.key(expiry.id()),
                 state -> onState(header.get(), found.get().version(), state));
     }
 
     private void onState(JobHeader header, long version, Optional<StoredObject> state) {
-        fresh(
+        readConfirmed(
                 OpenJobs.Marker.key(expiry.id()),
-                marker -> decide(new Found(header, version, state, marker)));
+                marker -> decide(new JobObjects(header, version, state, marker)));
     }
 
     /** The objects of the job that may change, as they certainly were at one moment. */
-    private record Found(
+    private record JobObjects(
             JobHeader header,
             long version,
             Optional<StoredObject> state,
@@ -75,7 +75,7 @@
         }
     }
 
-    private void decide(Found found) {
+    private void decide(JobObjects found) {
         JobHeader header = found.header();
         RetentionPolicy.Step step =
                 settings.retention()
@@ -89,40 +89,43 @@
                                 expiry.dueMs(),
                                 nowMs());
         if (step instanceof RetentionPolicy.Wait wait) {
-            lookAgain(wait.dueMs());
+            reschedule(wait.dueMs());
         } else if (step instanceof RetentionPolicy.Retire) {
-            eraseMarker(found, () -> advance(found, RemovalStage.RETIRED));
+            deleteMarker(found, () -> advanceStage(found, RemovalStage.RETIRED));
         } else if (step instanceof RetentionPolicy.DeleteObjects) {
-            empty(found);
+            deleteObjects(found);
         } else {
-            erase(List.of(headerKey), found.version(), this::finish);
+            deleteEach(List.of(headerKey), found.version(), this::finish);
         }
     }
 
-    private void eraseMarker(Found found, Runnable next) {
+    private void deleteMarker(JobObjects found, Runnable next) {
         found.marker()
                 .ifPresentOrElse(
-                        marker -> erase(List.of(marker.key()), marker.version(), next), next);
+                        marker -> deleteEach(List.of(marker.key()), marker.version(), next), next);
     }
 
-    private void empty(Found found) {
-        List<ObjectKey> objects = new ArrayList<>(chunks());
-        found.jobState().ifPresent(state -> objects.addAll(results(state)));
-        erase(
+    private void deleteObjects(JobObjects found) {
+        List<ObjectKey> objects = new ArrayList<>(chunkKeys());
+        found.jobState().ifPresent(state -> objects.addAll(resultKeys(state)));
+        deleteEach(
                 objects,
-                WRITTEN_ONCE,
-                () -> eraseLeftovers(() -> eraseMarker(found, () -> eraseState(found))));
+                WRITTEN_ONCE_VERSION,
+                () ->
+                        deleteUncommittedResults(
+                                () -> deleteMarker(found, () -> deleteState(found))));
     }
 
-    private void eraseState(Found found) {
-        Runnable next = () -> advance(found, RemovalStage.EMPTIED);
+    private void deleteState(JobObjects found) {
+        Runnable next = () -> advanceStage(found, RemovalStage.EMPTIED);
         found.state()
-                .ifPresentOrElse(state -> erase(List.of(state.key()), state.version(), next), next);
+                .ifPresentOrElse(
+                        state -> deleteEach(List.of(state.key()), state.version(), next), next);
     }
 
     /** Deletes results of attempts that did not hold. */
-    private void eraseLeftovers(Runnable next) {
-        pace(
+    private void deleteUncommittedResults(Runnable next) {
+        callAfterPause(
                 () ->
                         store.list(
                                 ResultWriter.KIND,
@@ -133,27 +136,30 @@
                                                 listed.objects().stream()
                                                         .map(StoredObject::key)
                                                         .toList();
-                                        erase(left, WRITTEN_ONCE, next);
+                                        deleteEach(left, WRITTEN_ONCE_VERSION, next);
                                     } else {
                                         done.accept(false);
                                     }
                                 }));
     }
 
-    private List<ObjectKey> chunks() {
-        return IntStream.range(0, expiry.chunks()).mapToObj(expiry::chunk).toList();
+    private List<ObjectKey> chunkKeys() {
+        return IntStream.range(0, expiry.chunkCount()).mapToObj(expiry::chunkKey).toList();
     }
 
-    private List<ObjectKey> results(JobState state) {
+    private List<ObjectKey> resultKeys(JobState state) {
         return state.chunks().entrySet().stream()
-                .flatMap(chunk -> ResultWriter.keys(expiry.id(), chunk.getKey(), chunk.getValue()))
+                .flatMap(
+                        chunk ->
+                                ResultWriter.resultKeys(
+                                        expiry.id(), chunk.getKey(), chunk.getValue()))
                 .toList();
     }
 
-    private void advance(Found found, RemovalStage stage) {
+    private void advanceStage(JobObjects found, RemovalStage stage) {
         long now = nowMs();
-        String value = BatchJson.header(found.header().at(stage, now));
-        pace(
+        String value = BatchJson.header(found.header().withStage(stage, now));
+        callAfterPause(
                 () ->
                         store.write(
                                 headerKey,
@@ -162,23 +168,23 @@
                                 result -> {
                                     if (result instanceof WriteResult.Written) {
                                         Logger.info("{} is {}", expiry.id(), stage);
-                                        lookAgain(now + settings.retention().stepDelayMs());
+                                        reschedule(now + settings.retention().stepDelayMs());
                                     } else {
                                         done.accept(false);
                                     }
                                 }));
     }
 
-    private void lookAgain(long dueMs) {
-        Expiry next = expiry.at(Math.max(dueMs, nowMs() + 2 * Expiry.BUCKET_MS));
-        pace(
+    private void reschedule(long dueMs) {
+        Expiry next = expiry.withDueMs(Math.max(dueMs, nowMs() + 2 * Expiry.BUCKET_MS));
+        callAfterPause(
                 () ->
                         store.create(
                                 next.key(),
-                                next.json(),
+                                next.toJson(),
                                 settings.acceptAttempts(),
                                 creation -> {
-                                    if (creation.present()) {
+                                    if (creation.isPresent()) {
                                         finish();
                                     } else {
                                         done.accept(false);
@@ -187,16 +193,16 @@
     }
 
     private void finish() {
-        erase(List.of(expiry.key()), WRITTEN_ONCE, () -> done.accept(true));
+        deleteEach(List.of(expiry.key()), WRITTEN_ONCE_VERSION, () -> done.accept(true));
     }
 
     /** Deletes objects one after another; one that is gone or was written anew is left. */
-    private void erase(List<ObjectKey> keys, long version, Runnable next) {
+    private void deleteEach(List<ObjectKey> keys, long version, Runnable next) {
         if (keys.isEmpty()) {
             next.run();
             return;
         }
-        pace(
+        callAfterPause(
                 () ->
                         store.delete(
                                 keys.get(0),
@@ -204,7 +210,7 @@
                                 result -> {
                                     if (result instanceof WriteResult.Written
                                             || result instanceof WriteResult.Conflict) {
-                                        erase(keys.subList(1, keys.size()), version, next);
+                                        deleteEach(keys.subList(1, keys.size()), version, next);
                                     } else {
                                         done.accept(false);
                                     }
@@ -215,8 +221,8 @@
      * Reads an object and makes sure of it: a read may be stale, but the answer to a deletion that
      * can't succeed tells the version in force.
      */
-    private void fresh(ObjectKey key, Consumer<Optional<StoredObject>> next) {
-        pace(
+    private void readConfirmed(ObjectKey key, Consumer<Optional<StoredObject>> next) {
+        callAfterPause(
                 () ->
                         store.read(
                                 key,
@@ -237,7 +243,7 @@
     private void confirm(
             ObjectKey key, Optional<StoredObject> read, Consumer<Optional<StoredObject>> next) {
         long version = read.map(StoredObject::version).orElse(ObjectStore.ABSENT_VERSION);
-        pace(
+        callAfterPause(
                 () ->
                         store.delete(
                                 key,
@@ -253,13 +259,13 @@
     }
 
     /** Makes a call after the pause, unless what was seen is too old to act on. */
-    private void pace(Runnable call) {
+    private void callAfterPause(Runnable call) {
         store.control()
                 .schedule(
                         settings.sweepPause(),
                         () -> {
                             long age = store.control().nanos() - startedNanos;
-                            if (age > settings.removalHold().toNanos() / 2) {
+                            if (age > settings.removalStepDelay().toNanos() / 2) {
                                 Logger.info(
                                         "The look at {} took too long; it is begun again",
                                         expiry.id());
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobRun.java
@@ -23,7 +23,7 @@
 final class JobRun {
     private final BatchWorker worker;
     private final JobHeader header;
-    private final StateCell cell;
+    private final JobStateUpdater cell;
     private final ResultWriter results;
     private final SortedMap<Integer, ChunkRun> loaded = new TreeMap<>();
     private final Map<Integer, ChunkResult> ready = new HashMap<>();
@@ -38,7 +38,7 @@
     private boolean over;
     private CompletionEstimate pace;
 
-    JobRun(BatchWorker worker, JobHeader header, StateCell cell, JobState claimed) {
+    JobRun(BatchWorker worker, JobHeader header, JobStateUpdater cell, JobState claimed) {
         this.worker = worker;
         this.header = header;
         this.cell = cell;
@@ -63,32 +63,32 @@
     }
 
     /** Whether items may start: the claim was confirmed since the lease last lapsed. */
-    boolean startsAllowed() {
+    boolean mayStartItems() {
         return verified && !cancelling && !over;
     }
 
     /** Acts on what the claim found. */
-    void begin() {
-        observe(state);
+    void start() {
+        applyState(state);
     }
 
     /** Makes sure of the claim: a cancel was asked for, or the lease had lapsed. */
-    void verify() {
+    void confirmClaim() {
         verified = false;
         cell.confirm(
                 found -> {
                     verified = true;
-                    observe(found);
+                    applyState(found);
                 });
     }
 
-    boolean wantsChunk(int perJob) {
-        return startsAllowed()
+    boolean canLoadChunk(int perJob) {
+        return mayStartItems()
                 && chunksInMemory() < perJob
-                && unloaded() < header.chunkItems().size();
+                && nextUnloaded() < header.chunkItems().size();
     }
 
-    private int unloaded() {
+    private int nextUnloaded() {
         while (nextChunk < header.chunkItems().size() && state.chunks().containsKey(nextChunk)) {
             nextChunk++;
         }
@@ -97,10 +97,11 @@
 
     /** Loads the next chunk that has no results. */
     void loadChunk() {
-        int number = unloaded();
+        int number = nextUnloaded();
         nextChunk++;
         loading++;
-        worker.store().read(header.chunk(number), Integer.MAX_VALUE, read -> onChunk(number, read));
+        worker.store()
+                .read(header.chunkKey(number), Integer.MAX_VALUE, read -> onChunk(number, read));
     }
 
     private void onChunk(int number, ReadResult read) {
@@ -116,12 +117,12 @@
                             () ->
                                     worker.store()
                                             .read(
-                                                    header.chunk(number),
+                                                    header.chunkKey(number),
                                                     Integer.MAX_VALUE,
                                                     again -> onChunk(number, again)));
             return;
         }
-        worker.items(header, found.object().value(), items -> onItems(number, items));
+        worker.parseChunk(header, found.object().value(), items -> onItems(number, items));
     }
 
     private void onItems(int number, List<BatchItem> items) {
@@ -129,29 +130,30 @@
         if (!over && !cancelling) {
             ChunkRun chunk = new ChunkRun(this, number, items);
             loaded.put(number, chunk);
-            offer(chunk);
+            enqueueItems(chunk);
         }
     }
 
-    private void offer(ChunkRun chunk) {
+    private void enqueueItems(ChunkRun chunk) {
         List<ItemRun> unrepeatable =
-                chunk.items().stream().filter(item -> !item.item().repeatable()).toList();
-        chunk.items().stream().filter(item -> item.item().repeatable()).forEach(worker::offer);
+                chunk.items().stream().filter(item -> !item.item().isRepeatable()).toList();
+        chunk.items().stream().filter(item -> item.item().isRepeatable()).forEach(worker::enqueue);
         if (state.mayHaveRun(chunk.number())) {
-            unrepeatable.forEach(item -> end(item, failed(item, ItemRetryPolicy.outcomeUnknown())));
-        } else if (unrepeatable.stream().noneMatch(item -> item.item().routable())) {
-            unrepeatable.forEach(worker::offer);
+            unrepeatable.forEach(
+                    item -> endItem(item, failed(item, ItemRetryPolicy.outcomeUnknown())));
+        } else if (unrepeatable.stream().noneMatch(item -> item.item().isRoutable())) {
+            unrepeatable.forEach(worker::enqueue);
         } else {
             cell.update(
                     current -> current.recordIntent(fence, chunk.number()),
                     next -> {
-                        observe(next);
+                        applyState(next);
                         if (next.isWritableUnder(fence) && !next.mayHaveRun(chunk.number())) {
-                            unrepeatable.forEach(worker::offer);
+                            unrepeatable.forEach(worker::enqueue);
                         }
                     });
         }
-        worker.pumpSoon();
+        worker.schedulePump();
     }
 
     private static ResultLine failed(ItemRun item, Problem problem) {
@@ -159,14 +161,14 @@
     }
 
     /** An attempt at an item ended. */
-    void onAnswer(ItemRun item, ItemCall.Answer answer) {
-        item.stopped();
+    void onAttemptEnded(ItemRun item, ItemResponseCollector.Result answer) {
+        item.onAttemptEnded();
         if (over) {
             return;
         }
-        if (answer instanceof ItemCall.Answer.Whole whole) {
-            onWhole(item, whole);
-        } else if (answer instanceof ItemCall.Answer.Failed failed) {
+        if (answer instanceof ItemResponseCollector.Result.Complete whole) {
+            onCompleteResponse(item, whole);
+        } else if (answer instanceof ItemResponseCollector.Result.Failed failed) {
             onProblem(item, failed.problem(), failed(item, failed.problem()));
         }
         if (cancelling) {
@@ -174,10 +176,10 @@
         }
     }
 
-    private void onWhole(ItemRun item, ItemCall.Answer.Whole whole) {
+    private void onCompleteResponse(ItemRun item, ItemResponseCollector.Result.Complete whole) {
         ResultLine line = ResultLine.answered(item.item().customId(), whole.status(), whole.body());
         boolean transientStatus = whole.status() >= 500 || whole.status() == 429;
-        if (transientStatus && item.item().repeatable() && !cancelling) {
+        if (transientStatus && item.item().isRepeatable() && !cancelling) {
             onProblem(
                     item,
                     Problem.failed(
@@ -186,14 +188,14 @@
                             "the target answered with status " + whole.status()),
                     line);
         } else {
-            end(item, line);
+            endItem(item, line);
         }
     }
 
     private void onProblem(ItemRun item, Problem problem, ResultLine lastLine) {
         if (cancelling) {
             boolean stopped = problem.kind() == ProblemKind.CANCELLED;
-            end(
+            endItem(
                     item,
                     stopped
                             ? ResultLine.cancelled(item.item().customId(), problem.outcome())
@@ -205,7 +207,7 @@
                         .retry()
                         .decide(
                                 problem,
-                                item.item().repeatable(),
+                                item.item().isRepeatable(),
                                 item.failures() + 1,
                                 item.postponements() + 1);
         if (verdict instanceof ItemRetryPolicy.Decision.Retry again) {
@@ -214,38 +216,43 @@
             } else {
                 item.countPostponement();
             }
-            worker.control().schedule(again.pause(), () -> offerAgain(item));
+            worker.control().schedule(again.pause(), () -> enqueueAgain(item));
         } else if (verdict instanceof ItemRetryPolicy.Decision.Fail ended) {
-            end(item, ended.problem().equals(problem) ? lastLine : failed(item, ended.problem()));
+            endItem(
+                    item,
+                    ended.problem().equals(problem) ? lastLine : failed(item, ended.problem()));
         }
     }
 
-    private void offerAgain(ItemRun item) {
+    private void enqueueAgain(ItemRun item) {
         if (!over && !cancelling) {
-            worker.offer(item);
-            worker.pumpSoon();
+            worker.enqueue(item);
+            worker.schedulePump();
         }
     }
 
     /** An item ends for good. */
-    void end(ItemRun item, ResultLine line) {
+    void endItem(ItemRun item, ResultLine line) {
         ChunkRun chunk = item.chunk();
-        if (over || !chunk.end(item.index(), line)) {
+        if (over || !chunk.recordEnd(item.index(), line)) {
             return;
         }
         pace = pace.plusEnded(1);
-        if (chunk.open() == 0 && !cancelling) {
-            write(chunk);
+        if (chunk.openItems() == 0 && !cancelling) {
+            writeResults(chunk);
         }
     }
 
-    private void write(ChunkRun chunk) {
-        results.write(chunk, worker.mark(fence), result -> onWritten(chunk.number(), result));
+    private void writeResults(ChunkRun chunk) {
+        results.write(
+                chunk,
+                worker.nextWriteId(fence),
+                result -> onResultsWritten(chunk.number(), result));
     }
 
-    private void onWritten(int number, ChunkResult result) {
+    private void onResultsWritten(int number, ChunkResult result) {
         if (over) {
-            results.discard(number, result);
+            results.delete(number, result);
             return;
         }
         ready.put(number, result);
@@ -255,14 +262,14 @@
             flushing = true;
             boolean last = state.chunks().size() + ready.size() == header.chunkItems().size();
             if (last) {
-                flush();
+                commitResults();
             } else {
-                worker.control().schedule(worker.settings().commitDelay(), this::flush);
+                worker.control().schedule(worker.settings().commitDelay(), this::commitResults);
             }
         }
     }
 
-    private void flush() {
+    private void commitResults() {
         flushing = false;
         if (over || cancelling || ready.isEmpty()) {
             return;
@@ -288,38 +295,38 @@
     int openItems() {
         int ended =
                 loaded.values().stream()
-                        .mapToInt(chunk -> chunk.items().size() - chunk.open())
+                        .mapToInt(chunk -> chunk.items().size() - chunk.openItems())
                         .sum();
         return Math.max(0, state.counts().open() - ended);
     }
 
     private void onCommitted(Map<Integer, ChunkResult> offered, JobState next) {
-        results.discardRefused(offered, next);
-        offered.keySet().forEach(number -> worker.released(loaded.remove(number)));
-        observe(next);
+        results.deleteUncommitted(offered, next);
+        offered.keySet().forEach(number -> worker.onChunkCommitted(loaded.remove(number)));
+        applyState(next);
         if (cancelling) {
             tryFinishCancel(false);
         }
     }
 
-    private void observe(JobState next) {
+    private void applyState(JobState next) {
         if (over) {
             return;
         }
         state = next;
         if (next.phase().isTerminal() || !next.isWritableUnder(fence)) {
             stop(next.phase().isTerminal() ? "the job has ended" : "another entry holds the job");
-            worker.ended(this, next);
+            worker.onRunEnded(this, next);
         } else if (next.phase() == JobPhase.CANCELLING && !cancelling) {
             beginCancel();
         } else {
-            worker.loadSoon();
+            worker.scheduleLoad();
         }
     }
 
     private void beginCancel() {
         cancelling = true;
-        worker.drop(this);
+        worker.removeQueued(this);
         running().forEach(item -> item.cancel("the batch is cancelled"));
         worker.control().schedule(worker.settings().cancelGrace(), () -> tryFinishCancel(true));
         tryFinishCancel(false);
@@ -328,7 +335,7 @@
     private List<ItemRun> running() {
         return loaded.values().stream()
                 .flatMap(chunk -> chunk.items().stream())
-                .filter(ItemRun::running)
+                .filter(ItemRun::isRunning)
                 .toList();
     }
 
@@ -339,9 +346,9 @@
         }
         for (ChunkRun chunk : List.copyOf(loaded.values())) {
             if (!chunk.sealed()) {
-                chunk.cancelOpen();
-                if (chunk.anyAnswer()) {
-                    write(chunk);
+                chunk.cancelOpenItems();
+                if (chunk.hasUncancelledItems()) {
+                    writeResults(chunk);
                 } else {
                     loaded.remove(chunk.number());
                 }
@@ -359,26 +366,26 @@
                     return ended.equals(current) ? current : ended.withExpectedEnd(now);
                 },
                 next -> {
-                    results.discardRefused(offered, next);
-                    observe(next);
+                    results.deleteUncommitted(offered, next);
+                    applyState(next);
                 });
     }
 
     /** Gives the job up to another entry. */
     void release(Runnable done) {
         verified = false;
-        worker.drop(this);
+        worker.removeQueued(this);
         cell.update(
                 current -> current.release(fence),
                 next -> {
-                    observe(next);
+                    applyState(next);
                     done.run();
                 });
     }
 
     private void stop(String reason) {
         over = true;
-        worker.drop(this);
+        worker.removeQueued(this);
         running().forEach(item -> item.cancel(reason));
         loaded.clear();
         cell.close();
--- a/entry/src/main/java/org/sardinelift/entry/batch/StateCell.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobStateUpdater.java
@@ -17,7 +17,7 @@
  * conflict or a lost answer they are decided anew on what is read back. Changes that wait are
  * folded into one update.
  */
-final class StateCell {
+final class JobStateUpdater {
     /** Kind of the states. */
     static final String KIND = "job-state";
 
@@ -33,7 +33,7 @@
     private boolean outdated;
     private boolean closed;
 
-    StateCell(JobStore store, String id, Supplier<JobState> initial) {
+    JobStateUpdater(JobStore store, String id, Supplier<JobState> initial) {
         this.store = store;
         this.key = key(id);
         this.initial = initial;
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobStore.java
@@ -21,7 +21,7 @@
     }
 
     /** What became of the creation of an object that is the same whoever writes it. */
-    enum Creation {
+    enum CreateResult {
         CREATED,
         EXISTS,
         /** Certainly not written. */
@@ -29,7 +29,7 @@
         /** May or may not be written. */
         UNCLEAR;
 
-        boolean present() {
+        boolean isPresent() {
             return this == CREATED || this == EXISTS;
         }
     }
@@ -47,27 +47,27 @@
     }
 
     void read(ObjectKey key, Consumer<ReadResult> done) {
-        hop(store.read(key), done);
+        completeOnControlThread(store.read(key), done);
     }
 
     void write(ObjectKey key, long version, String value, Consumer<WriteResult> done) {
-        hop(store.write(key, version, value), done);
+        completeOnControlThread(store.write(key, version, value), done);
     }
 
     void delete(ObjectKey key, long version, Consumer<WriteResult> done) {
-        hop(store.delete(key, version), done);
+        completeOnControlThread(store.delete(key, version), done);
     }
 
     void list(String kind, String prefix, Consumer<ListResult> done) {
-        hop(store.list(kind, prefix), done);
+        completeOnControlThread(store.list(kind, prefix), done);
     }
 
-    <T> void hop(CompletableFuture<T> future, Consumer<T> done) {
+    <T> void completeOnControlThread(CompletableFuture<T> future, Consumer<T> done) {
         future.thenAccept(result -> control.execute(() -> done.accept(result)));
     }
 
     /** Creates an object; a conflict means that it is there already, by whomever. */
-    void create(ObjectKey key, String value, int attempts, Consumer<Creation> done) {
+    void create(ObjectKey key, String value, int attempts, Consumer<CreateResult> done) {
         create(key, value, 1, attempts, false, done);
     }
 
@@ -77,20 +77,21 @@
             int attempt,
             int attempts,
             boolean unclear,
-            Consumer<Creation> done) {
+            Consumer<CreateResult> done) {
         write(
                 key,
                 ObjectStore.ABSENT_VERSION,
                 value,
                 result -> {
                     if (result instanceof WriteResult.Written) {
-                        done.accept(Creation.CREATED);
+                        done.accept(CreateResult.CREATED);
                     } else if (result instanceof WriteResult.Conflict) {
-                        done.accept(Creation.EXISTS);
+                        done.accept(CreateResult.EXISTS);
                     } else {
                         boolean nowUnclear = unclear || result instanceof WriteResult.Unclear;
                         if (attempt >= attempts) {
-                            done.accept(nowUnclear ? Creation.UNCLEAR : Creation.NOT_WRITTEN);
+                            done.accept(
+                                    nowUnclear ? CreateResult.UNCLEAR : CreateResult.NOT_WRITTEN);
                             return;
                         }
                         control.schedule(
@@ -120,7 +121,7 @@
     }
 
     /** Deletes an object whatever its version, best effort. */
-    void discard(ObjectKey key) {
+    void deleteAnyVersion(ObjectKey key) {
         read(
                 key,
                 result -> {
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobSweeper.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobSweeper.java
@@ -24,7 +24,7 @@
     static final String KIND = "job-sweep";
 
     private static final Duration PERIOD = Duration.ofSeconds(1);
-    private static final long MARGIN_MS = Expiry.BUCKET_MS;
+    private static final long CLOCK_MARGIN_MS = Expiry.BUCKET_MS;
     private static final int BUCKETS_PER_WRITE = 10;
 
     private final JobStore store;
@@ -50,12 +50,12 @@
      * How far a shard is swept.
      *
      * @param bucket the first stretch of time that is not known to be empty
-     * @param noted the stretch that the platform holds
+     * @param storedBucket the stretch that the platform holds
      * @param version version of the object there
      */
-    private record Cursor(long bucket, long noted, long version) {
+    private record Cursor(long bucket, long storedBucket, long version) {
         Cursor next() {
-            return new Cursor(bucket + 1, noted, version);
+            return new Cursor(bucket + 1, storedBucket, version);
         }
     }
 
@@ -65,40 +65,40 @@
 
     private void sweep() {
         Collection<String> entries = eligible.get();
-        cursors.keySet().removeIf(shard -> !fallsHere(shard, entries));
+        cursors.keySet().removeIf(shard -> !isAssignedHere(shard, entries));
         turn = (turn + 1) % Expiry.SHARDS;
-        if (!busy && fallsHere(turn, entries)) {
+        if (!busy && isAssignedHere(turn, entries)) {
             busy = true;
-            step(turn);
+            sweepShard(turn);
         }
     }
 
-    private boolean fallsHere(int shard, Collection<String> entries) {
+    private boolean isAssignedHere(int shard, Collection<String> entries) {
         return EntryRendezvous.choose("sweep-" + shard, entries).filter(self::equals).isPresent();
     }
 
-    private void step(int shard) {
+    private void sweepShard(int shard) {
         Cursor cursor = cursors.get(shard);
         if (cursor == null) {
-            load(shard);
-        } else if ((cursor.bucket() + 1) * Expiry.BUCKET_MS + MARGIN_MS
+            loadCursor(shard);
+        } else if ((cursor.bucket() + 1) * Expiry.BUCKET_MS + CLOCK_MARGIN_MS
                 > store.control().epochMillis()) {
             busy = false;
         } else {
             store.list(
                     Expiry.KIND,
-                    Expiry.prefix(shard, cursor.bucket()),
+                    Expiry.namePrefix(shard, cursor.bucket()),
                     result -> onDue(shard, cursor, result));
         }
     }
 
-    private void stepLater(int shard) {
+    private void scheduleNextStep(int shard) {
         store.control()
                 .schedule(
                         settings.sweepPause(),
                         () -> {
-                            if (fallsHere(shard, eligible.get())) {
-                                step(shard);
+                            if (isAssignedHere(shard, eligible.get())) {
+                                sweepShard(shard);
                             } else {
                                 busy = false;
                             }
@@ -111,13 +111,13 @@
         } else if (listed.objects().isEmpty()) {
             advance(shard, cursor.next());
         } else {
-            visit(shard, listed.objects());
+            removeJobs(shard, listed.objects());
         }
     }
 
-    private void visit(int shard, List<StoredObject> due) {
+    private void removeJobs(int shard, List<StoredObject> due) {
         if (due.isEmpty()) {
-            stepLater(shard);
+            scheduleNextStep(shard);
             return;
         }
         new JobRemoval(
@@ -126,7 +126,7 @@
                         Expiry.of(due.get(0)),
                         handled -> {
                             if (handled) {
-                                visit(shard, due.subList(1, due.size()));
+                                removeJobs(shard, due.subList(1, due.size()));
                             } else {
                                 busy = false;
                             }
@@ -136,14 +136,14 @@
 
     private void advance(int shard, Cursor cursor) {
         cursors.put(shard, cursor);
-        if (cursor.bucket() - cursor.noted() < BUCKETS_PER_WRITE) {
-            stepLater(shard);
+        if (cursor.bucket() - cursor.storedBucket() < BUCKETS_PER_WRITE) {
+            scheduleNextStep(shard);
             return;
         }
         store.write(
                 key(shard),
                 cursor.version(),
-                BatchJson.object().put("bucket", cursor.bucket()).toString(),
+                BatchJson.newObject().put("bucket", cursor.bucket()).toString(),
                 result -> {
                     if (result instanceof WriteResult.Written written) {
                         cursors.put(
@@ -152,20 +152,22 @@
                     } else {
                         cursors.remove(shard);
                     }
-                    stepLater(shard);
+                    scheduleNextStep(shard);
                 });
     }
 
-    private void load(int shard) {
+    private void loadCursor(int shard) {
         store.read(
                 key(shard),
                 read -> {
                     if (read instanceof ReadResult.Found found) {
                         long bucket =
-                                BatchJson.stored(found.object().value()).path("bucket").asLong();
-                        begin(shard, bucket, found.object().version());
+                                BatchJson.parseStored(found.object().value())
+                                        .path("bucket")
+                                        .asLong();
+                        setCursor(shard, bucket, found.object().version());
                     } else if (read instanceof ReadResult.Absent) {
-                        loadFirst(shard);
+                        initCursor(shard);
                     } else {
                         busy = false;
                     }
@@ -173,10 +175,10 @@
     }
 
     /** Finds the earliest expiry of a shard that was never swept. */
-    private void loadFirst(int shard) {
+    private void initCursor(int shard) {
         store.list(
                 Expiry.KIND,
-                Expiry.prefix(shard),
+                Expiry.namePrefix(shard),
                 result -> {
                     if (result instanceof ListResult.Listed listed) {
                         long now = store.control().epochMillis();
@@ -187,7 +189,7 @@
                                         .orElse(now);
                         Logger.info(
                                 "Shard {} of the ended jobs is swept for the first time", shard);
-                        begin(
+                        setCursor(
                                 shard,
                                 Math.min(first, now) / Expiry.BUCKET_MS,
                                 ObjectStore.ABSENT_VERSION);
@@ -197,9 +199,9 @@
                 });
     }
 
-    private void begin(int shard, long bucket, long version) {
+    private void setCursor(int shard, long bucket, long version) {
         cursors.put(shard, new Cursor(bucket, bucket, version));
-        stepLater(shard);
+        scheduleNextStep(shard);
     }
 
     private static ObjectKey key(int shard) {
--- a/entry/src/main/java/org/sardinelift/entry/batch/LaneLoads.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/LaneLoads.java
@@ -10,11 +10,11 @@
 final class LaneLoads {
     private final Map<String, Map<String, Integer>> running = new HashMap<>();
 
-    void started(String lane, String team) {
+    void onStarted(String lane, String team) {
         running.computeIfAbsent(lane, name -> new HashMap<>()).merge(team, 1, Integer::sum);
     }
 
-    void ended(String lane, String team) {
+    void onEnded(String lane, String team) {
         Map<String, Integer> teams = running.getOrDefault(lane, new HashMap<>());
         teams.computeIfPresent(team, (name, count) -> count > 1 ? count - 1 : null);
         if (teams.isEmpty()) {
@@ -23,7 +23,8 @@
     }
 
     /** Loads by lane and team. */
-    Map<String, Map<String, LaneShares.Load>> with(Map<String, Map<String, Integer>> waiting) {
+    Map<String, Map<String, LaneShares.Load>> withWaiting(
+            Map<String, Map<String, Integer>> waiting) {
         Map<String, Map<String, LaneShares.Load>> loads = new HashMap<>();
         running.forEach(
                 (lane, teams) ->
@@ -51,8 +52,8 @@
         return loads.computeIfAbsent(lane, name -> new HashMap<>());
     }
 
-    static ObjectNode json(Map<String, Map<String, LaneShares.Load>> loads) {
-        ObjectNode node = BatchJson.object();
+    static ObjectNode toJson(Map<String, Map<String, LaneShares.Load>> loads) {
+        ObjectNode node = BatchJson.newObject();
         loads.forEach(
                 (lane, teams) -> {
                     ObjectNode byTeam = node.putObject(lane);
@@ -63,7 +64,7 @@
         return node;
     }
 
-    static Map<String, Map<String, LaneShares.Load>> read(JsonNode node) {
+    static Map<String, Map<String, LaneShares.Load>> fromJson(JsonNode node) {
         Map<String, Map<String, LaneShares.Load>> loads = new HashMap<>();
         node.properties()
                 .forEach(
--- a/entry/src/main/java/org/sardinelift/entry/batch/LeaseKeeper.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/LeaseRenewer.java
@@ -11,12 +11,12 @@
 import org.tinylog.Logger;
 
 /** Renews this entry's lease, one write each period. */
-final class LeaseKeeper {
+final class LeaseRenewer {
     private final JobStore store;
     private final BatchSettings settings;
     private final Holder self;
     private final ObjectKey key;
-    private final OwnLease hold;
+    private final OwnLease ownLease;
     private final Supplier<ObjectNode> loads;
     private final Runnable onRegained;
     private long version = ObjectStore.ABSENT_VERSION;
@@ -24,7 +24,7 @@
     private boolean known;
     private boolean stopped;
 
-    LeaseKeeper(
+    LeaseRenewer(
             JobStore store,
             BatchSettings settings,
             Holder self,
@@ -34,13 +34,13 @@
         this.settings = settings;
         this.self = self;
         this.key = new ObjectKey(OpenJobs.LEASE_KIND, OpenJobs.LEASE_PREFIX + self.instance());
-        this.hold = OwnLease.of(settings.leaseValid());
+        this.ownLease = OwnLease.of(settings.leaseValid());
         this.loads = loads;
         this.onRegained = onRegained;
     }
 
-    OwnLease hold() {
-        return hold;
+    OwnLease ownLease() {
+        return ownLease;
     }
 
     void start() {
@@ -50,8 +50,8 @@
     /** Gives the lease back. */
     void stop() {
         stopped = true;
-        hold.onLost();
-        store.discard(key);
+        ownLease.onLost();
+        store.deleteAnyVersion(key);
     }
 
     private void renew() {
@@ -65,7 +65,7 @@
         long sent = store.control().nanos();
         renewals++;
         String value =
-                BatchJson.object()
+                BatchJson.newObject()
                         .put("incarnation", self.incarnation())
                         .put("renewals", renewals)
                         .<ObjectNode>set("loads", loads.get())
@@ -75,7 +75,7 @@
 
     private void onRead(ReadResult result) {
         if (result instanceof ReadResult.Unavailable) {
-            hold.onUnanswered(store.control().nanos());
+            ownLease.onUnanswered(store.control().nanos());
             next();
             return;
         }
@@ -89,9 +89,9 @@
 
     private void onWrite(WriteResult result, long sent) {
         if (result instanceof WriteResult.Written written) {
-            boolean held = hold.isValid(store.control().nanos());
+            boolean held = ownLease.isValid(store.control().nanos());
             version = written.version();
-            hold.onRenewed(sent);
+            ownLease.onRenewed(sent);
             if (!held) {
                 onRegained.run();
             }
@@ -106,7 +106,7 @@
             return;
         } else {
             known = result instanceof WriteResult.NotWritten;
-            hold.onUnanswered(store.control().nanos());
+            ownLease.onUnanswered(store.control().nanos());
         }
         next();
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/OpenJobs.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/OpenJobs.java
@@ -61,17 +61,20 @@
      * @param team its team
      * @param cancel whether a cancel was asked for
      */
-    record Marker(String id, String team, boolean cancel) {
+    record Marker(String id, String team, boolean isCancelRequested) {
         static ObjectKey key(String id) {
             return new ObjectKey(KIND, id);
         }
 
-        String json() {
-            return BatchJson.object().put("team", team).put("cancel", cancel).toString();
+        String toJson() {
+            return BatchJson.newObject()
+                    .put("team", team)
+                    .put("cancel", isCancelRequested)
+                    .toString();
         }
 
-        static Marker of(StoredObject object) {
-            var node = BatchJson.stored(object.value());
+        static Marker parse(StoredObject object) {
+            var node = BatchJson.parseStored(object.value());
             return new Marker(
                     object.key().name(),
                     node.path("team").asText(),
@@ -88,14 +91,14 @@
     }
 
     /** Notes a marker that this entry wrote itself. */
-    void noted(Marker marker) {
+    void onMarkerWritten(Marker marker) {
         markers.put(marker.id(), marker);
         onChange.accept(marker);
     }
 
     private void onJobs(ListResult result) {
         if (!(result instanceof ListResult.Listed listed)) {
-            again(this::start);
+            retryLater(this::start);
             return;
         }
         store.list(LEASE_KIND, LEASE_PREFIX, leasesFound -> onLeases(listed, leasesFound));
@@ -103,21 +106,21 @@
 
     private void onLeases(ListResult.Listed jobs, ListResult result) {
         if (!(result instanceof ListResult.Listed listed)) {
-            again(this::start);
+            retryLater(this::start);
             return;
         }
         failures = 0;
         revision = Math.min(jobs.revision(), listed.revision());
         markers.clear();
-        jobs.objects().forEach(this::marker);
+        jobs.objects().forEach(this::updateMarker);
         leases.onWatchAnswered(store.control().nanos());
-        listed.objects().forEach(this::lease);
+        listed.objects().forEach(this::updateLease);
         watch();
     }
 
     private void watch() {
         ObjectStore objects = store.objects();
-        store.hop(
+        store.completeOnControlThread(
                 objects.watch(Set.of(KIND, LEASE_KIND), revision, settings.watchWait()),
                 this::onWatch);
     }
@@ -133,7 +136,7 @@
             Logger.info("The watch of open jobs has a gap; they are listed again");
             start();
         } else {
-            again(this::watch);
+            retryLater(this::watch);
         }
     }
 
@@ -143,43 +146,43 @@
             if (object == null) {
                 markers.remove(change.key().name());
             } else {
-                marker(object);
+                updateMarker(object);
             }
         } else if (change.key().name().startsWith(LEASE_PREFIX)) {
             if (object == null) {
-                leases.onRemoved(instance(change.key()));
+                leases.onRemoved(instanceOf(change.key()));
             } else {
-                lease(object);
+                updateLease(object);
             }
         }
     }
 
-    private void marker(StoredObject object) {
-        Marker marker = Marker.of(object);
+    private void updateMarker(StoredObject object) {
+        Marker marker = Marker.parse(object);
         @Nullable Marker before = markers.put(marker.id(), marker);
         if (!marker.equals(before)) {
             onChange.accept(marker);
         }
     }
 
-    private void lease(StoredObject object) {
-        String instance = instance(object.key());
-        JsonNode lease = BatchJson.stored(object.value());
+    private void updateLease(StoredObject object) {
+        String instance = instanceOf(object.key());
+        JsonNode lease = BatchJson.parseStored(object.value());
         leases.onChanged(
                 instance,
                 lease.path("incarnation").asText(),
                 object.revision(),
                 store.control().nanos());
         if (!instance.equals(self)) {
-            shares.update(instance, LaneLoads.read(lease.path("loads")));
+            shares.update(instance, LaneLoads.fromJson(lease.path("loads")));
         }
     }
 
-    private static String instance(ObjectKey key) {
+    private static String instanceOf(ObjectKey key) {
         return key.name().substring(LEASE_PREFIX.length());
     }
 
-    private void again(Runnable task) {
+    private void retryLater(Runnable task) {
         leases.onWatchFailed();
         failures++;
         store.control().schedule(store.backoff().pause(failures), task);
--- a/entry/src/main/java/org/sardinelift/entry/batch/Reply.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/Reply.java
@@ -25,11 +25,12 @@
     static Reply problem(Problem problem) {
         ObjectNode node =
                 (ObjectNode)
-                        BatchJson.stored(ProblemWriter.json(UUID.randomUUID().toString(), problem));
+                        BatchJson.parseStored(
+                                ProblemWriter.toJson(UUID.randomUUID().toString(), problem));
         return new Reply(problem.kind().status(), node, problem.retryAfter());
     }
 
-    Reply with(String field, JsonNode value) {
+    Reply withField(String field, JsonNode value) {
         ObjectNode extended = body.deepCopy();
         extended.set(field, value);
         return new Reply(status, extended, retryAfter);
--- a/entry/src/main/java/org/sardinelift/entry/batch/ResultLine.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ResultLine.java
@@ -10,15 +10,15 @@
 /**
  * How an item ended.
  *
- * @param ending which count it adds to
+ * @param status which count it adds to
  * @param json the line as callers read it
  */
-record ResultLine(Ending ending, String json) {
+record ResultLine(Status status, String json) {
     private static final int FIRST_SUCCESS = 200;
     private static final int FIRST_REDIRECT = 300;
 
     /** The counts that an item may add to. */
-    enum Ending {
+    enum Status {
         COMPLETED,
         FAILED,
         CANCELLED
@@ -27,11 +27,11 @@
     /** An answer of a target. */
     static ResultLine answered(String customId, int status, byte[] body) {
         boolean success = status >= FIRST_SUCCESS && status < FIRST_REDIRECT;
-        ObjectNode node = BatchJson.object().put("custom_id", customId);
+        ObjectNode node = BatchJson.newObject().put("custom_id", customId);
         ObjectNode response = node.putObject("response").put("status_code", status);
         String text = new String(body, StandardCharsets.UTF_8);
         try {
-            response.set("body", BatchJson.read(text));
+            response.set("body", BatchJson.parse(text));
         } catch (JsonProcessingException e) {
             response.put("body", text);
         }
@@ -45,22 +45,22 @@
                             RunOutcome.RUN,
                             "the target answered with status " + status));
         }
-        return new ResultLine(success ? Ending.COMPLETED : Ending.FAILED, node.toString());
+        return new ResultLine(success ? Status.COMPLETED : Status.FAILED, node.toString());
     }
 
     /** An item that ended with a reason instead of an answer. */
     static ResultLine failed(String customId, Problem problem) {
-        return new ResultLine(Ending.FAILED, withoutAnswer(customId, problem));
+        return new ResultLine(Status.FAILED, withoutAnswer(customId, problem));
     }
 
     /** An item that a cancel ended. */
     static ResultLine cancelled(String customId, RunOutcome outcome) {
         Problem problem = Problem.failed(ProblemKind.CANCELLED, outcome, "the batch was cancelled");
-        return new ResultLine(Ending.CANCELLED, withoutAnswer(customId, problem));
+        return new ResultLine(Status.CANCELLED, withoutAnswer(customId, problem));
     }
 
     private static String withoutAnswer(String customId, Problem problem) {
-        ObjectNode node = BatchJson.object().put("custom_id", customId);
+        ObjectNode node = BatchJson.newObject().put("custom_id", customId);
         node.putNull("response");
         error(node, problem);
         return node.toString();
--- a/entry/src/main/java/org/sardinelift/entry/batch/ResultWriter.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ResultWriter.java
@@ -24,7 +24,7 @@
         this.maxBytes = maxBytes;
     }
 
-    static ObjectKey key(String job, int chunk, String mark, int part) {
+    static ObjectKey resultKey(String job, int chunk, String mark, int part) {
         return new ObjectKey(KIND, job + "/" + chunk + "-" + mark + "-" + part);
     }
 
@@ -35,7 +35,7 @@
         int[] missing = {parts.size()};
         for (int part = 0; part < parts.size(); part++) {
             store.create(
-                    key(job, chunk.number(), mark, part),
+                    resultKey(job, chunk.number(), mark, part),
                     parts.get(part),
                     Integer.MAX_VALUE,
                     written -> {
@@ -48,22 +48,22 @@
     }
 
     /** Deletes results that the state does not name. */
-    void discardRefused(Map<Integer, ChunkResult> offered, JobState state) {
+    void deleteUncommitted(Map<Integer, ChunkResult> offered, JobState state) {
         offered.forEach(
                 (chunk, result) -> {
                     if (!result.equals(state.chunks().get(chunk))) {
-                        discard(chunk, result);
+                        delete(chunk, result);
                     }
                 });
     }
 
-    void discard(int chunk, ChunkResult result) {
-        keys(job, chunk, result).forEach(store::discard);
+    void delete(int chunk, ChunkResult result) {
+        resultKeys(job, chunk, result).forEach(store::deleteAnyVersion);
     }
 
     /** The objects that hold a chunk's results. */
-    static Stream<ObjectKey> keys(String job, int chunk, ChunkResult result) {
+    static Stream<ObjectKey> resultKeys(String job, int chunk, ChunkResult result) {
         return IntStream.range(0, result.parts())
-                .mapToObj(part -> key(job, chunk, result.writeId(), part));
+                .mapToObj(part -> resultKey(job, chunk, result.writeId(), part));
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/Submission.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/Submission.java
@@ -18,35 +18,35 @@
     private static final int MAX_NAMED_LINES = 1_000;
 
     private final BatchSettings settings;
-    private final ItemReader reader;
-    private final List<Line> items = new ArrayList<>();
-    private final Digests content = Digests.start();
+    private final ItemParser reader;
+    private final List<StoredLine> items = new ArrayList<>();
+    private final Digests content = Digests.create();
     private final Set<String> customIds = new HashSet<>();
-    private final ArrayNode invalid = BatchJson.object().putArray("lines");
+    private final ArrayNode invalid = BatchJson.newObject().putArray("lines");
     private int invalidLines;
 
-    private Submission(BatchSettings settings, ItemReader reader) {
+    private Submission(BatchSettings settings, ItemParser reader) {
         this.settings = settings;
         this.reader = reader;
     }
 
     /** A line to be stored. */
-    record Line(String json, boolean repeatable) {
+    record StoredLine(String json, boolean isRepeatable) {
         int bytes() {
             return json.getBytes(StandardCharsets.UTF_8).length + 1;
         }
     }
 
     /** What the check found. */
-    sealed interface Checked {
+    sealed interface CheckResult {
         /** A job that can be accepted. */
-        record Job(List<List<Line>> chunks, String digest) implements Checked {}
+        record Valid(List<List<StoredLine>> chunks, String digest) implements CheckResult {}
 
         /** A job that can't. */
-        record Refused(Reply reply) implements Checked {}
+        record Refused(Reply reply) implements CheckResult {}
     }
 
-    static Checked check(byte[] body, BatchSettings settings, Catalog catalog, TeamPlan team) {
+    static CheckResult check(byte[] body, BatchSettings settings, Catalog catalog, TeamPlan team) {
         if (body.length > settings.maxBodyBytes()) {
             return refused(
                     ProblemKind.BODY_TOO_LARGE,
@@ -58,10 +58,10 @@
         } catch (CharacterCodingException e) {
             return refused(ProblemKind.MALFORMED_REQUEST, "the body is not UTF-8");
         }
-        return new Submission(settings, new ItemReader(catalog, team)).check(text);
+        return new Submission(settings, new ItemParser(catalog, team)).check(text);
     }
 
-    private Checked check(String text) {
+    private CheckResult check(String text) {
         int number = 0;
         int start = 0;
         while (start <= text.length()) {
@@ -79,7 +79,7 @@
                     Problem.notRun(
                             ProblemKind.INVALID_LINES,
                             invalidLines + " lines can't be accepted; nothing was");
-            return new Checked.Refused(Reply.problem(problem).with("lines", invalid));
+            return new CheckResult.Refused(Reply.problem(problem).withField("lines", invalid));
         }
         if (items.isEmpty()) {
             return refused(ProblemKind.MALFORMED_REQUEST, "the body holds no lines");
@@ -89,24 +89,25 @@
                     ProblemKind.BODY_TOO_LARGE,
                     "the job has more than " + settings.maxItems() + " items; split it");
         }
-        return new Checked.Job(
-                settings.packer().pack(items, Line::bytes, Line::repeatable), content.end());
+        return new CheckResult.Valid(
+                settings.packer().pack(items, StoredLine::bytes, StoredLine::isRepeatable),
+                content.hexDigest());
     }
 
     private void add(int number, String line) {
-        ItemReader.Line read = reader.read(line);
-        if (read instanceof ItemReader.Line.Invalid bad) {
+        ItemParser.ParsedLine read = reader.parse(line);
+        if (read instanceof ItemParser.ParsedLine.Invalid bad) {
             invalid(number, bad.reason());
-        } else if (read instanceof ItemReader.Line.Valid valid) {
+        } else if (read instanceof ItemParser.ParsedLine.Valid valid) {
             BatchItem item = valid.item();
-            Line stored = new Line(item.line(), item.repeatable());
+            StoredLine stored = new StoredLine(item.storedLine(), item.isRepeatable());
             if (stored.bytes() > settings.packer().maxBytes()) {
                 invalid(number, "longer than " + settings.packer().maxBytes() + " bytes");
             } else if (!customIds.add(item.customId())) {
                 invalid(number, "custom_id " + item.customId() + " was used by a line before");
             } else {
                 items.add(stored);
-                content.add(stored.json() + "\n");
+                content.update(stored.json() + "\n");
             }
         }
     }
@@ -119,7 +120,7 @@
         }
     }
 
-    private static Checked refused(ProblemKind kind, String detail) {
-        return new Checked.Refused(Reply.problem(Problem.notRun(kind, detail)));
+    private static CheckResult refused(ProblemKind kind, String detail) {
+        return new CheckResult.Refused(Reply.problem(Problem.notRun(kind, detail)));
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CallBounds.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallBounds.java
@@ -7,7 +7,7 @@
 /**
  * Bounds of calls to targets.
  *
- * @param retries which failed attempts are followed by another
+ * @param retryPolicy which failed attempts are followed by another
  * @param retryShare retries that each first attempt earns its team, 0 to 1
  * @param retryBurst retries that a team can save up
  * @param reattachTimeout longest time to wait for a new connection to a companion
@@ -21,7 +21,7 @@
  * @param longestEjection longest pause of a failing target
  */
 public record CallBounds(
-        RetryPolicy retries,
+        RetryPolicy retryPolicy,
         double retryShare,
         double retryBurst,
         Duration reattachTimeout,
--- a/entry/src/main/java/org/sardinelift/entry/call/CallMetrics.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallMetrics.java
@@ -35,19 +35,19 @@
 
     private CallMetrics() {}
 
-    static void attempt(String lane, boolean retry) {
+    static void countAttempt(String lane, boolean retry) {
         ATTEMPTS.labelValues(lane, retry ? "retry" : "first").inc();
     }
 
-    static void ended(String lane, String result) {
+    static void countEnd(String lane, String result) {
         ENDED.labelValues(lane, result).inc();
     }
 
-    static void reattached() {
+    static void countReattached() {
         REATTACHED.inc();
     }
 
-    static void firstPart(String lane, long nanos) {
+    static void observeFirstPart(String lane, long nanos) {
         FIRST_PART.labelValues(lane).observe(nanos / NANOS_PER_SECOND);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CallProblems.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallProblems.java
@@ -26,7 +26,7 @@
                 COME_BACK);
     }
 
-    static Problem crashes(RunOutcome overall) {
+    static Problem crashesTargets(RunOutcome overall) {
         return new Problem(
                 ProblemKind.CRASHES_TARGETS,
                 overall,
--- a/entry/src/main/java/org/sardinelift/entry/call/CallRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallRun.java
@@ -56,7 +56,7 @@
         this.dispatcher = dispatcher;
         this.startedNanos = dispatcher.nowNanos();
         this.deadlineNanos = startedNanos + spec.deadline().toNanos();
-        this.lane = spec.batch() ? Lane.BATCH : Lane.ONLINE;
+        this.lane = spec.isBatch() ? Lane.BATCH : Lane.ONLINE;
     }
 
     String requestId() {
@@ -68,7 +68,7 @@
     }
 
     synchronized void start() {
-        deadlineTimer = dispatcher.later(spec.deadline(), this::onDeadline);
+        deadlineTimer = dispatcher.schedule(spec.deadline(), this::onDeadline);
         dispatcher.onFirstAttempt(spec.team().name());
         next();
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    synchronized void onAnswer(CompanionLink from, QueryAnswer frame) {
+    synchronized void onQueryAnswer(CompanionLink from, QueryAnswer frame) {
         if (isCurrent(from)) {
             act(
                     attempt.onStateAnswer(
@@ -124,20 +124,20 @@
         }
         attempt.onDisconnected();
         CallAttempt waiting = attempt;
-        dispatcher.later(
+        dispatcher.schedule(
                 dispatcher.bounds().reattachTimeout(), () -> onReattachTimeout(from, waiting));
     }
 
     synchronized void onUp(CompanionLink from, Lane up, FrameConnection connection) {
         if (up == lane && isCurrent(from) && !attempt.isAttached()) {
-            CallMetrics.reattached();
+            CallMetrics.countReattached();
             act(attempt.onConnected(connection.peer().getIncarnation()));
         }
     }
 
     /** Stops an attempt that was not run alone; the call starts again as a suspect. */
-    synchronized void takeBack() {
-        if (ended || attempt == null || suspect || delivered || !spec.idempotent()) {
+    synchronized void requeueAsSuspect() {
+        if (ended || attempt == null || suspect || delivered || !spec.isIdempotent()) {
             return;
         }
         send(Frame.cancel(new Cancel(requestId(), attempt.number(), "became a suspect")));
@@ -145,24 +145,24 @@
         span.fail("taken back", RunOutcome.UNKNOWN);
         takenBackAttempt = attempt.number();
         attempt = null;
-        dispatcher.watch(this, companion);
+        dispatcher.watchRequeued(this, companion);
         dispatcher.release(this, companion, lane, false);
-        dispatcher.note(
+        dispatcher.recordDecision(
                 this,
                 DecisionAction.TAKEN_BACK,
                 "a target died with it in flight",
                 companion.name());
-        dispatcher.later(dispatcher.guard().trialPause(), this::next);
+        dispatcher.schedule(dispatcher.guard().trialPause(), this::next);
     }
 
     /** The target may have died before the attempt that was taken back could be stopped. */
-    synchronized void onFinishAfterTakeBack(CompanionLink from, Finish frame) {
+    synchronized void onFinishAfterRequeue(CompanionLink from, Finish frame) {
         if (frame.getAttempt() == takenBackAttempt
                 && frame.getFailure() == FailureKind.TARGET_DIED
                 && outcome(frame) != RunOutcome.NOT_RUN
                 && frame.getTargetIncarnation() != null) {
             String life = frame.getTargetIncarnation();
-            dispatcher.guard().onDeath(spec.fingerprint(), from.target(), life, false);
+            dispatcher.guard().onTargetDeath(spec.fingerprint(), from.target(), life, false);
         }
     }
 
@@ -194,24 +194,24 @@
         }
         CrashVerdict standing = dispatcher.guard().verdict(spec.fingerprint());
         if (standing == CrashVerdict.REFUSED) {
-            end(CallProblems.crashes(overall));
+            end(CallProblems.crashesTargets(overall));
             return;
         }
         suspect = standing == CrashVerdict.SUSPECT;
-        TargetChoice choice = dispatcher.choose(this, lane, tried, suspect);
-        if (choice instanceof TargetChoice.Taken taken) {
+        TargetChoice choice = dispatcher.chooseTarget(this, lane, tried, suspect);
+        if (choice instanceof TargetChoice.Chosen taken) {
             begin(taken.companion());
-        } else if (choice instanceof TargetChoice.Wait wait) {
-            dispatcher.later(wait.pause(), this::next);
+        } else if (choice instanceof TargetChoice.Deferred wait) {
+            dispatcher.schedule(wait.delay(), this::next);
         } else if (attempts > 0 && mayWaitForTarget()) {
-            dispatcher.later(dispatcher.bounds().retries().firstBackoff(), this::next);
+            dispatcher.schedule(dispatcher.bounds().retryPolicy().firstBackoff(), this::next);
         } else {
             end(CallProblems.noTarget(spec.service().name(), overall));
         }
     }
 
     /** Whether the wait for other copies' ends is within its bound, counted for each attempt. */
-    boolean mayBeHeld(long nowNanos, Duration bound) {
+    boolean mayWaitForDuplicates(long nowNanos, Duration bound) {
         if (firstAskedNanos == null) {
             firstAskedNanos = nowNanos;
         }
@@ -228,7 +228,7 @@
         firstAskedNanos = null;
         FrameConnection connection = chosen.connection(lane);
         attempts++;
-        CallMetrics.attempt(lane.name(), attempts > 1);
+        CallMetrics.countAttempt(lane.name(), attempts > 1);
         String incarnation = connection == null ? "" : connection.peer().getIncarnation();
         attempt = CallAttempt.begin(attempts, incarnation);
         head = null;
@@ -269,7 +269,7 @@
         markEnded();
         span.succeed();
         send(Frame.ack(new Ack(requestId(), attempts)));
-        dispatcher.noteAnswered(this, companion, head, companion.onSuccess());
+        dispatcher.recordAnswered(this, companion, head, companion.onSuccess());
         dispatcher.release(this, companion, lane, suspect);
         dispatcher.guard().onCompleted(spec.fingerprint());
         dispatcher.onEnded(this, "answered");
@@ -286,7 +286,7 @@
     private void passHead() {
         if (!delivered && head != null) {
             delivered = true;
-            CallMetrics.firstPart(lane.name(), dispatcher.nowNanos() - startedNanos);
+            CallMetrics.observeFirstPart(lane.name(), dispatcher.nowNanos() - startedNanos);
             listener.onHead(head.status(), head.headers());
         }
     }
@@ -306,8 +306,9 @@
                         ? Optional.empty()
                         : dispatcher.backoff(this, failed, attempts, delivered, left());
         if (pause.isPresent()) {
-            dispatcher.note(this, DecisionAction.RETRIED, failed.detail(), failedOn.name());
-            dispatcher.later(pause.get(), this::next);
+            dispatcher.recordDecision(
+                    this, DecisionAction.RETRIED, failed.detail(), failedOn.name());
+            dispatcher.schedule(pause.get(), this::next);
         } else {
             end(problem(failed));
         }
@@ -315,18 +316,18 @@
 
     private Problem problem(AttemptAction.Failed failed) {
         return dispatcher.guard().verdict(spec.fingerprint()) == CrashVerdict.REFUSED
-                ? CallProblems.crashes(overall)
+                ? CallProblems.crashesTargets(overall)
                 : CallProblems.of(failed, overall);
     }
 
     private boolean gaveWay(FailureCause cause) {
-        return spec.batch()
+        return spec.isBatch()
                 && (cause == FailureCause.PREEMPTED || cause == FailureCause.QUEUE_FULL);
     }
 
     private void end(Problem problem) {
         markEnded();
-        dispatcher.noteEnded(this, problem, companion == null ? "" : companion.name());
+        dispatcher.recordEnded(this, problem, companion == null ? "" : companion.name());
         dispatcher.onEnded(this, problem.kind().label());
         listener.onProblem(problem);
     }
--- a/entry/src/main/java/org/sardinelift/entry/call/CallSpec.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallSpec.java
@@ -18,7 +18,7 @@
  * @param headers headers for the target, without any key
  * @param body body bytes
  * @param deadline time left for the whole call
- * @param idempotent whether running it twice does no harm
+ * @param isIdempotent whether running it twice does no harm
  * @param fingerprint hash of team, route and body
  * @param prefixKey equal for calls whose prompts share a prefix, empty for none
  * @param traceparent W3C trace context of the parent span
@@ -26,7 +26,7 @@
 public record CallSpec(
         String requestId,
         TeamPlan team,
-        boolean batch,
+        boolean isBatch,
         ServiceSpec service,
         String model,
         String method,
@@ -34,7 +34,7 @@
         Map<String, String> headers,
         byte[] body,
         Duration deadline,
-        boolean idempotent,
+        boolean isIdempotent,
         String fingerprint,
         String prefixKey,
         String traceparent) {}
--- a/entry/src/main/java/org/sardinelift/entry/call/CompanionLink.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CompanionLink.java
@@ -28,7 +28,7 @@
 final class CompanionLink {
     private final InstanceInfo companion;
     private final Ejection ejection;
-    private final MembershipEvidence evidence;
+    private final CompanionListener evidence;
     private final Map<Lane, LinkOpener.Link> links = new EnumMap<>(Lane.class);
     private final Map<Lane, FrameConnection> connections = new ConcurrentHashMap<>();
     private final Map<String, CallRun> runs = new ConcurrentHashMap<>();
@@ -36,20 +36,20 @@
     private final AtomicInteger onlineInFlight = new AtomicInteger();
     private final AtomicInteger batchSinceReport = new AtomicInteger();
     private volatile @Nullable LoadReport report;
-    private volatile boolean listedLeaving;
+    private volatile boolean setListedLeaving;
 
-    private CompanionLink(InstanceInfo companion, Ejection ejection, MembershipEvidence evidence) {
+    private CompanionLink(InstanceInfo companion, Ejection ejection, CompanionListener evidence) {
         this.evidence = evidence;
         this.companion = companion;
         this.ejection = ejection;
-        this.listedLeaving = companion.isLeaving();
+        this.setListedLeaving = companion.isLeaving();
     }
 
     static CompanionLink open(
             InstanceInfo companion,
             Ejection ejection,
             LinkOpener opener,
-            MembershipEvidence evidence) {
+            CompanionListener evidence) {
         CompanionLink link = new CompanionLink(companion, ejection, evidence);
         for (Lane lane : Lane.values()) {
             link.links.put(lane, opener.open(companion, lane, link.listener(lane)));
@@ -73,8 +73,8 @@
                 : last.getTargetIncarnation();
     }
 
-    void listedLeaving(boolean leaving) {
-        listedLeaving = leaving;
+    void setListedLeaving(boolean leaving) {
+        setListedLeaving = leaving;
     }
 
     @Nullable LoadReport report() {
@@ -89,7 +89,7 @@
         return connections.get(lane) == connection;
     }
 
-    boolean idle() {
+    boolean isIdle() {
         return runs.isEmpty();
     }
 
@@ -118,7 +118,7 @@
     /** The target for the giver of orders; empty before its first report and while it leaves. */
     Optional<TargetView> targetView() {
         LoadReport last = report;
-        if (last == null || last.isLeaving() || listedLeaving) {
+        if (last == null || last.isLeaving() || setListedLeaving) {
             return Optional.empty();
         }
         return Optional.of(
@@ -132,7 +132,7 @@
     }
 
     /** Sends an order; false where no control connection is open. */
-    boolean order(Order order) {
+    boolean sendOrder(Order order) {
         FrameConnection connection = connections.get(Lane.CONTROL);
         return connection != null && connection.send(Frame.order(order));
     }
@@ -148,7 +148,7 @@
         return fits ? Math.max(0, last.getBatchFree() - batchSinceReport.get()) : 0;
     }
 
-    boolean take(CallRun run, Lane lane, long nowNanos) {
+    boolean tryReserve(CallRun run, Lane lane, long nowNanos) {
         synchronized (ejection) {
             Ejection.Admission now = ejection.admission(nowNanos);
             if (now == Ejection.Admission.OUT
@@ -168,11 +168,11 @@
     }
 
     /** Keeps the end of a call's attempt that was taken back from being missed. */
-    void watch(CallRun run) {
+    void watchRequeued(CallRun run) {
         takenBack.put(run.requestId(), run);
     }
 
-    void unwatch(CallRun run) {
+    void unwatchRequeued(CallRun run) {
         takenBack.remove(run.requestId(), run);
     }
 
@@ -188,7 +188,7 @@
         }
     }
 
-    void onVoid() {
+    void onInconclusive() {
         synchronized (ejection) {
             ejection.onProbeInconclusive();
         }
@@ -199,7 +199,7 @@
     }
 
     private boolean usable(Lane lane, LoadReport last) {
-        return !listedLeaving
+        return !setListedLeaving
                 && !last.isLeaving()
                 && last.isHealthy()
                 && connections.containsKey(lane);
@@ -260,11 +260,11 @@
                 with(
                         takenBack,
                         finish.getRequestId(),
-                        run -> run.onFinishAfterTakeBack(this, finish));
+                        run -> run.onFinishAfterRequeue(this, finish));
             }
             case QUERY_ANSWER -> {
                 QueryAnswer answer = frame.getQueryAnswer();
-                with(runs, answer.getRequestId(), run -> run.onAnswer(this, answer));
+                with(runs, answer.getRequestId(), run -> run.onQueryAnswer(this, answer));
             }
             case LOAD_REPORT -> onReport(frame.getLoadReport());
             case ORDER_RESULT -> evidence.onOrderResult(frame.getOrderResult());
--- a/entry/src/main/java/org/sardinelift/entry/call/MembershipEvidence.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CompanionListener.java
@@ -3,7 +3,7 @@
 import org.sardinelift.protocol.generated.OrderResult;
 
 /** Hears what connections to companions show about them. Called on traffic threads. */
-public interface MembershipEvidence {
+public interface CompanionListener {
 
     /**
      * A connection to an instance was opened or lost.
--- a/entry/src/main/java/org/sardinelift/entry/call/CompanionTable.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CompanionTable.java
@@ -18,10 +18,10 @@
 final class CompanionTable {
     private final CallBounds bounds;
     private final LinkOpener opener;
-    private final MembershipEvidence evidence;
+    private final CompanionListener evidence;
     private final Map<String, CompanionLink> companions = new ConcurrentHashMap<>();
 
-    CompanionTable(CallBounds bounds, LinkOpener opener, MembershipEvidence evidence) {
+    CompanionTable(CallBounds bounds, LinkOpener opener, CompanionListener evidence) {
         this.bounds = bounds;
         this.opener = opener;
         this.evidence = evidence;
@@ -34,12 +34,12 @@
             listed.add(companion.name());
             companions
                     .computeIfAbsent(companion.name(), name -> open(companion))
-                    .listedLeaving(companion.isLeaving());
+                    .setListedLeaving(companion.isLeaving());
         }
         for (CompanionLink link : List.copyOf(companions.values())) {
             if (!listed.contains(link.name())) {
-                link.listedLeaving(true);
-                if (link.idle()) {
+                link.setListedLeaving(true);
+                if (link.isIdle()) {
                     companions.remove(link.name());
                     link.close();
                 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
@@ -101,12 +101,12 @@
      *
      * @param listener receives the fingerprint, on any thread
      */
-    public void onSuspect(Consumer<String> listener) {
+    public void setSuspectListener(Consumer<String> listener) {
         suspectListener = listener;
     }
 
     /** Entries take turns, so that two of them never try a suspect on two targets at once. */
-    synchronized boolean tryTrial(String fingerprint, String target) {
+    synchronized boolean tryStartTrial(String fingerprint, String target) {
         long turnMs = turn(fingerprint) * bounds.turn().toMillis();
         return ledger.tryStartTrial(fingerprint, target, turnMs, nowMs());
     }
@@ -134,7 +134,7 @@
         return bounds.trialPause();
     }
 
-    void onDeath(String fingerprint, String target, String targetIncarnation, boolean alone) {
+    void onTargetDeath(String fingerprint, String target, String targetIncarnation, boolean alone) {
         synchronized (this) {
             ledger.onTargetDeath(fingerprint, target + "#" + targetIncarnation, alone, nowMs());
         }
--- a/entry/src/main/java/org/sardinelift/entry/call/CopyTable.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/DuplicateTable.java
@@ -12,22 +12,22 @@
  * copies in flight have ended, or for a bounded time: an entry that does not know yet what became
  * of them sends no copy to a second target.
  */
-final class CopyTable {
+final class DuplicateTable {
     private static final int LOCKS = 64;
 
     private final Object[] locks = Stream.generate(Object::new).limit(LOCKS).toArray();
     private final Map<String, Copies> byFingerprint = new ConcurrentHashMap<>();
 
     /** Where a copy may go. */
-    sealed interface Place {
+    sealed interface Placement {
         /** To the copies in flight. */
-        record With(String companion) implements Place {}
+        record Pinned(String companion) implements Placement {}
 
         /** Nowhere yet. */
-        record Held() implements Place {}
+        record Blocked() implements Placement {}
 
         /** To any target. */
-        record Any() implements Place {}
+        record Unpinned() implements Placement {}
     }
 
     /** Copies of one request on one target. */
@@ -38,27 +38,27 @@
     }
 
     /** Held while a target is chosen, so that no two copies are sent apart. */
-    Object lock(String fingerprint) {
+    Object lockFor(String fingerprint) {
         return locks[Math.floorMod(fingerprint.hashCode(), LOCKS)];
     }
 
     /**
-     * Where a copy may go; called with the {@link #lock} of the fingerprint.
+     * Where a copy may go; called with the {@link #lockFor} of the fingerprint.
      *
      * @param fingerprint hash of the request
      * @param usable whether a companion can take the copy
      * @param mayHold whether the copy may be held for longer
      * @return the place
      */
-    Place place(String fingerprint, Predicate<String> usable, boolean mayHold) {
+    Placement findPlacement(String fingerprint, Predicate<String> usable, boolean mayHold) {
         Copies copies = byFingerprint.get(fingerprint);
         if (copies == null) {
-            return new Place.Any();
+            return new Placement.Unpinned();
         }
         if (usable.test(copies.companion())) {
-            return new Place.With(copies.companion());
+            return new Placement.Pinned(copies.companion());
         }
-        return mayHold ? new Place.Held() : new Place.Any();
+        return mayHold ? new Placement.Blocked() : new Placement.Unpinned();
     }
 
     void add(String fingerprint, String companion) {
--- a/entry/src/main/java/org/sardinelift/entry/call/FrameDispatcher.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/FrameDispatcher.java
@@ -41,7 +41,7 @@
     private final CrashGuard guard;
     private final DecisionLog decisions;
     private final Telemetry telemetry;
-    private final CopyTable copies = new CopyTable();
+    private final DuplicateTable copies = new DuplicateTable();
     private final CompanionTable companions;
     private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
     private final Set<CallRun> running = ConcurrentHashMap.newKeySet();
@@ -85,7 +85,7 @@
             String zone,
             CallBounds bounds,
             LinkOpener opener,
-            MembershipEvidence evidence,
+            CompanionListener evidence,
             ScheduledExecutorService timers,
             DoubleSupplier random,
             CrashGuard guard,
@@ -130,7 +130,7 @@
      *
      * @return their number
      */
-    public int callsUnderWay() {
+    public int callsInFlight() {
         return running.size();
     }
 
@@ -139,10 +139,10 @@
      *
      * @param fingerprint hash of the request
      */
-    public void takeBack(String fingerprint) {
+    public void requeueSuspects(String fingerprint) {
         running.stream()
                 .filter(run -> run.spec().fingerprint().equals(fingerprint))
-                .forEach(run -> timers.execute(run::takeBack));
+                .forEach(run -> timers.execute(run::requeueAsSuspect));
     }
 
     /**
@@ -150,7 +150,7 @@
      *
      * @return one candidate for each companion, by name
      */
-    public List<Candidate> targets() {
+    public List<Candidate> candidates() {
         return companions.candidates(Lane.ONLINE, nowNanos());
     }
 
@@ -170,9 +170,9 @@
      * @param order the order
      * @return false where no connection is open
      */
-    public boolean order(String companion, Order order) {
+    public boolean sendOrder(String companion, Order order) {
         CompanionLink link = companions.find(companion);
-        return link != null && link.order(order);
+        return link != null && link.sendOrder(order);
     }
 
     /** Closes all links. */
@@ -189,7 +189,7 @@
     }
 
     /** Runs a task later; the future cancels it, so that it holds nothing until it is due. */
-    ScheduledFuture<?> later(Duration delay, Runnable task) {
+    ScheduledFuture<?> schedule(Duration delay, Runnable task) {
         return timers.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
     }
 
@@ -208,12 +208,12 @@
         }
     }
 
-    TargetChoice choose(CallRun run, Lane lane, Set<String> tried, boolean suspect) {
+    TargetChoice chooseTarget(CallRun run, Lane lane, Set<String> tried, boolean suspect) {
         String fingerprint = run.spec().fingerprint();
-        synchronized (copies.lock(fingerprint)) {
+        synchronized (copies.lockFor(fingerprint)) {
             CrashVerdict standing = guard.verdict(fingerprint);
             if (standing != (suspect ? CrashVerdict.SUSPECT : CrashVerdict.CLEAR)) {
-                return new TargetChoice.Wait(Duration.ZERO);
+                return new TargetChoice.Deferred(Duration.ZERO);
             }
             return chooseOne(run, lane, tried, suspect);
         }
@@ -231,37 +231,39 @@
                         suspect);
         long now = nowNanos();
         List<Candidate> pool = companions.candidates(lane, now);
-        CopyTable.Place place =
-                copies.place(
+        DuplicateTable.Placement place =
+                copies.findPlacement(
                         spec.fingerprint(),
                         name -> usable(pool, name, request).isPresent(),
-                        run.mayBeHeld(now, guard.settle()));
-        if (place instanceof CopyTable.Place.Held) {
-            return new TargetChoice.Wait(guard.trialPause());
+                        run.mayWaitForDuplicates(now, guard.settle()));
+        if (place instanceof DuplicateTable.Placement.Blocked) {
+            return new TargetChoice.Deferred(guard.trialPause());
         }
         Optional<Candidate> chosen =
-                place instanceof CopyTable.Place.With with
+                place instanceof DuplicateTable.Placement.Pinned with
                         ? usable(pool, with.companion(), request)
                         : router.choose(pool, request);
         while (chosen.isPresent()) {
             Candidate target = chosen.get();
             CompanionLink link = companions.find(target.name());
-            if (link != null && suspect && !guard.tryTrial(spec.fingerprint(), target.name())) {
-                return new TargetChoice.Wait(guard.trialPause());
+            if (link != null
+                    && suspect
+                    && !guard.tryStartTrial(spec.fingerprint(), target.name())) {
+                return new TargetChoice.Deferred(guard.trialPause());
             }
-            if (link != null && link.take(run, lane, now)) {
+            if (link != null && link.tryReserve(run, lane, now)) {
                 copies.add(spec.fingerprint(), target.name());
                 decisions.add(RouteDecision.of(run, target, pool, place, suspect));
-                return new TargetChoice.Taken(link);
+                return new TargetChoice.Chosen(link);
             }
             guard.endTrial(spec.fingerprint(), target.name());
-            if (place instanceof CopyTable.Place.With) {
-                return new TargetChoice.Wait(guard.trialPause());
+            if (place instanceof DuplicateTable.Placement.Pinned) {
+                return new TargetChoice.Deferred(guard.trialPause());
             }
             pool.remove(target);
             chosen = router.choose(pool, request);
         }
-        return new TargetChoice.None();
+        return new TargetChoice.NoTarget();
     }
 
     void release(CallRun run, CompanionLink from, Lane lane, boolean suspect) {
@@ -273,9 +275,9 @@
     }
 
     /** Hears for a while of the death of a target from which a call was taken back. */
-    void watch(CallRun run, CompanionLink from) {
-        from.watch(run);
-        later(guard.settle(), () -> from.unwatch(run));
+    void watchRequeued(CallRun run, CompanionLink from) {
+        from.watchRequeued(run);
+        schedule(guard.settle(), () -> from.unwatchRequeued(run));
     }
 
     void onAttemptFailed(
@@ -285,7 +287,7 @@
             String targetIncarnation,
             boolean suspect) {
         if (!failed.cause().isTargetFault()) {
-            on.onVoid();
+            on.onInconclusive();
         } else if (on.onFailure(nowNanos())) {
             Logger.warn(
                     "Target {} failed again ({}); it is left out for a pause",
@@ -295,7 +297,7 @@
         }
         if (failed.cause() == FailureCause.TARGET_DIED && failed.outcome() != RunOutcome.NOT_RUN) {
             String life = targetIncarnation.isEmpty() ? on.targetIncarnation() : targetIncarnation;
-            guard.onDeath(run.spec().fingerprint(), on.target(), life, suspect);
+            guard.onTargetDeath(run.spec().fingerprint(), on.target(), life, suspect);
         }
     }
 
@@ -307,11 +309,11 @@
             Duration left) {
         RetryBudget budget = budget(run.spec().team().name());
         synchronized (budget) {
-            return bounds.retries()
+            return bounds.retryPolicy()
                     .backoff(
                             failed,
                             attempts,
-                            run.spec().idempotent(),
+                            run.spec().isIdempotent(),
                             delivered,
                             left,
                             random.getAsDouble(),
@@ -319,23 +321,23 @@
         }
     }
 
-    void note(CallRun run, DecisionAction action, String reason, String at) {
+    void recordDecision(CallRun run, DecisionAction action, String reason, String at) {
         decisions.add(RouteDecision.of(run, action, reason, Map.of("at", at)));
     }
 
-    void noteAnswered(
+    void recordAnswered(
             CallRun run,
             CompanionLink by,
             AttemptAction.@Nullable ResponseHead head,
             boolean letIn) {
         String answer = head == null ? "without a head" : "status " + head.status();
-        note(run, DecisionAction.ANSWERED, answer, by.name());
+        recordDecision(run, DecisionAction.ANSWERED, answer, by.name());
         if (letIn) {
             noteTarget(run, DecisionAction.LET_IN, "a call on it was answered", by.name());
         }
     }
 
-    void noteEnded(CallRun run, Problem problem, String at) {
+    void recordEnded(CallRun run, Problem problem, String at) {
         DecisionAction action =
                 problem.outcome() == RunOutcome.NOT_RUN
                         ? DecisionAction.REFUSED
@@ -366,7 +368,7 @@
      */
     public Map<String, Long> callsByTeam(boolean batch) {
         return running.stream()
-                .filter(run -> run.spec().batch() == batch)
+                .filter(run -> run.spec().isBatch() == batch)
                 .collect(
                         Collectors.groupingBy(
                                 run -> run.spec().team().name(), Collectors.counting()));
@@ -374,7 +376,7 @@
 
     void onEnded(CallRun run, String result) {
         running.remove(run);
-        CallMetrics.ended(run.spec().batch() ? "BATCH" : "ONLINE", result);
+        CallMetrics.countEnd(run.spec().isBatch() ? "BATCH" : "ONLINE", result);
     }
 
     private RetryBudget budget(String team) {
--- a/entry/src/main/java/org/sardinelift/entry/call/RouteDecision.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/RouteDecision.java
@@ -27,7 +27,7 @@
             CallRun run,
             Candidate target,
             List<Candidate> pool,
-            CopyTable.Place place,
+            DuplicateTable.Placement place,
             boolean suspect) {
         List<Candidate> others =
                 pool.stream()
@@ -45,11 +45,11 @@
         return of(run, DecisionAction.ROUTED, reason(run, place, suspect), figures);
     }
 
-    private static String reason(CallRun run, CopyTable.Place place, boolean suspect) {
+    private static String reason(CallRun run, DuplicateTable.Placement place, boolean suspect) {
         if (suspect) {
             return "alone on its target, as targets died with it in flight";
         }
-        if (place instanceof CopyTable.Place.With) {
+        if (place instanceof DuplicateTable.Placement.Pinned) {
             return "beside the same request, which runs there already";
         }
         return run.spec().prefixKey().isEmpty()
--- a/entry/src/main/java/org/sardinelift/entry/call/StartFrames.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/StartFrames.java
@@ -21,7 +21,7 @@
         start.setRequestId(spec.requestId());
         start.setAttempt(attempt);
         start.setTeam(spec.team().name());
-        start.setWeight(spec.batch() ? spec.team().batchWeight() : spec.team().onlineWeight());
+        start.setWeight(spec.isBatch() ? spec.team().batchWeight() : spec.team().onlineWeight());
         start.setLane(lane);
         start.setModel(spec.model());
         start.setMethod(spec.method());
@@ -29,7 +29,7 @@
         start.setHeaders(spec.headers());
         start.setBody(ByteBuffer.wrap(spec.body()));
         start.setDeadlineMs(left.toMillis());
-        start.setIdempotent(spec.idempotent());
+        start.setIdempotent(spec.isIdempotent());
         start.setFingerprint(spec.fingerprint());
         start.setTraceparent(traceparent);
         start.setSuspect(suspect);
--- a/entry/src/main/java/org/sardinelift/entry/call/TargetChoice.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/TargetChoice.java
@@ -10,15 +10,15 @@
      *
      * @param companion the companion
      */
-    record Taken(CompanionLink companion) implements TargetChoice {}
+    record Chosen(CompanionLink companion) implements TargetChoice {}
 
     /**
      * Nowhere yet: another suspect is on the target, or what became of other copies is not known.
      *
-     * @param pause time after which to ask again
+     * @param delay time after which to ask again
      */
-    record Wait(Duration pause) implements TargetChoice {}
+    record Deferred(Duration delay) implements TargetChoice {}
 
     /** Nowhere: no target can take the call. */
-    record None() implements TargetChoice {}
+    record NoTarget() implements TargetChoice {}
 }
--- a/entry/src/main/java/org/sardinelift/entry/filter/AnswerWriter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/AnswerWriter.java
@@ -26,7 +26,7 @@
     private final int maxUnsentBytes;
     private boolean eventStream;
     private boolean streaming;
-    private volatile boolean ended;
+    private volatile boolean isEnded;
     private int unsentBytes;
 
     AnswerWriter(HttpExchange exchange, String requestId, int maxUnsentBytes) {
@@ -35,13 +35,13 @@
         this.maxUnsentBytes = maxUnsentBytes;
     }
 
-    boolean ended() {
-        return ended;
+    boolean isEnded() {
+        return isEnded;
     }
 
     @Override
     public synchronized void onHead(int status, Map<String, String> headers) {
-        if (ended) {
+        if (isEnded) {
             return;
         }
         Map<String, String> passed = new LinkedHashMap<>();
@@ -60,12 +60,12 @@
 
     @Override
     public synchronized void onData(byte[] part) {
-        if (ended) {
+        if (isEnded) {
             return;
         }
         unsentBytes = exchange.writable() ? 0 : unsentBytes + part.length;
         if (unsentBytes > maxUnsentBytes) {
-            ended = true;
+            isEnded = true;
             exchange.abort();
             return;
         }
@@ -74,22 +74,23 @@
 
     @Override
     public synchronized void onEnd() {
-        if (!ended) {
-            ended = true;
+        if (!isEnded) {
+            isEnded = true;
             exchange.end();
         }
     }
 
     @Override
     public synchronized void onProblem(Problem problem) {
-        if (ended) {
+        if (isEnded) {
             return;
         }
-        ended = true;
+        isEnded = true;
         if (!streaming) {
             ProblemWriter.write(exchange, requestId, problem);
         } else if (eventStream) {
-            String event = "event: error\ndata: " + ProblemWriter.json(requestId, problem) + "\n\n";
+            String event =
+                    "event: error\ndata: " + ProblemWriter.toJson(requestId, problem) + "\n\n";
             exchange.write(event.getBytes(StandardCharsets.UTF_8));
             exchange.end();
         } else {
--- a/entry/src/main/java/org/sardinelift/entry/filter/CallContext.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/CallContext.java
@@ -30,7 +30,7 @@
     private @Nullable String keyId;
     private @Nullable TeamPlan team;
     private @Nullable CallSpec spec;
-    private volatile @Nullable CallHandle handle;
+    private volatile @Nullable CallHandle setHandle;
     private Map<String, String> figures = Map.of();
 
     /** Whether the call may still be stopped without having run. */
@@ -83,8 +83,8 @@
      *
      * @return true once no filter may answer it any more
      */
-    public boolean answered() {
-        return answer.ended();
+    public boolean isAnswered() {
+        return answer.isEnded();
     }
 
     /**
@@ -108,7 +108,7 @@
             return;
         }
         answer.onProblem(Problem.failed(kind, RunOutcome.UNKNOWN, detail));
-        CallHandle running = handle;
+        CallHandle running = setHandle;
         if (running != null) {
             running.cancel(detail);
         }
@@ -132,7 +132,7 @@
      *
      * @return false while it is with the filters, and once it was refused there
      */
-    public boolean dispatched() {
+    public boolean isDispatched() {
         return phase.get() == Phase.DISPATCHED;
     }
 
@@ -159,7 +159,7 @@
      *
      * @param listener told once, before the call is dispatched
      */
-    public void onDispatch(Runnable listener) {
+    public void setDispatchListener(Runnable listener) {
         dispatchListener = listener;
     }
 
@@ -168,7 +168,7 @@
      *
      * @param listener told the HTTP status code
      */
-    public void onOwnAnswer(IntConsumer listener) {
+    public void setLocalAnswerListener(IntConsumer listener) {
         answerListener = listener;
     }
 
@@ -177,7 +177,7 @@
      *
      * @param status HTTP status code
      */
-    public void answeredHere(int status) {
+    public void onLocalAnswer(int status) {
         answerListener.accept(status);
     }
 
@@ -186,7 +186,7 @@
      *
      * @param wrapper wraps the listener that passes the answer on
      */
-    public void observe(UnaryOperator<CallListener> wrapper) {
+    public void wrapListener(UnaryOperator<CallListener> wrapper) {
         listener = wrapper.apply(listener);
     }
 
@@ -242,7 +242,7 @@
      * @param callerKeyId its public identifier, or null on an open route
      * @param plan team that the call runs for
      */
-    public void caller(@Nullable String callerKey, @Nullable String callerKeyId, TeamPlan plan) {
+    public void setCaller(@Nullable String callerKey, @Nullable String callerKeyId, TeamPlan plan) {
         key = callerKey;
         keyId = callerKeyId;
         team = plan;
@@ -300,8 +300,8 @@
      *
      * @param running the call
      */
-    public void handle(CallHandle running) {
-        handle = running;
+    public void setHandle(CallHandle running) {
+        setHandle = running;
     }
 
     private static <T> T require(@Nullable T value, String remedy) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/DispatchFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/DispatchFilter.java
@@ -27,9 +27,9 @@
             return;
         }
         CallHandle handle = dispatcher.dispatch(call.spec(), call.listener());
-        call.handle(handle);
+        call.setHandle(handle);
         call.exchange().onClose(() -> handle.cancel("the caller has gone"));
-        if (call.answered()) {
+        if (call.isAnswered()) {
             handle.cancel("the call was ended while it was dispatched");
         }
         next.run();
--- a/entry/src/main/java/org/sardinelift/entry/filter/FilterChain.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/FilterChain.java
@@ -33,7 +33,7 @@
     }
 
     private void step(CallContext call, int index) {
-        if (index == filters.size() || call.answered()) {
+        if (index == filters.size() || call.isAnswered()) {
             return;
         }
         try {
--- a/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyFilter.java
@@ -53,7 +53,7 @@
     @Override
     public void apply(CallContext call, Runnable next) {
         String key = call.exchange().header(HEADER);
-        if (key == null || call.spec().idempotent()) {
+        if (key == null || call.spec().isIdempotent()) {
             next.run();
             return;
         }
@@ -90,10 +90,10 @@
             IdempotencyRecord intent,
             IntentStore.Claim claim,
             Runnable next) {
-        if (claim instanceof IntentStore.Mine) {
-            call.observe(listener -> new Recorder(name, intent.intentId(), listener));
+        if (claim instanceof IntentStore.Claimed) {
+            call.wrapListener(listener -> new Recorder(name, intent.intentId(), listener));
             next.run();
-        } else if (claim instanceof IntentStore.Other other) {
+        } else if (claim instanceof IntentStore.Existing other) {
             answer(call, name, other);
         } else {
             refuse(call);
@@ -108,7 +108,7 @@
                         PLATFORM_WAIT));
     }
 
-    private void answer(CallContext call, ObjectKey name, IntentStore.Other other) {
+    private void answer(CallContext call, ObjectKey name, IntentStore.Existing other) {
         IdempotencyRecord record = other.record();
         switch (record.resolve(call.spec().fingerprint(), System.currentTimeMillis())) {
             case KEY_REUSED ->
--- a/entry/src/main/java/org/sardinelift/entry/filter/IntentStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/IntentStore.java
@@ -26,7 +26,7 @@
     sealed interface Claim {}
 
     /** The intent is written and is this request's own: it may run. */
-    record Mine() implements Claim {}
+    record Claimed() implements Claim {}
 
     /**
      * An earlier request wrote its intent.
@@ -34,7 +34,7 @@
      * @param record what is kept of it
      * @param version version of the object
      */
-    record Other(IdempotencyRecord record, long version) implements Claim {}
+    record Existing(IdempotencyRecord record, long version) implements Claim {}
 
     /** Nothing is certain but that this request must not run. */
     record Unavailable() implements Claim {}
@@ -59,7 +59,7 @@
                 .thenCompose(
                         result -> {
                             if (result instanceof WriteResult.Written) {
-                                return CompletableFuture.completedFuture(new Mine());
+                                return CompletableFuture.completedFuture(new Claimed());
                             }
                             if (result instanceof WriteResult.NotWritten
                                     && left == bounds.storeAttempts()) {
@@ -76,11 +76,11 @@
                             Optional<IdempotencyRecord> held = record(result);
                             if (held.isPresent()
                                     && held.get().intentId().equals(intent.intentId())) {
-                                return CompletableFuture.completedFuture(new Mine());
+                                return CompletableFuture.completedFuture(new Claimed());
                             }
                             if (held.isPresent()) {
                                 return CompletableFuture.completedFuture(
-                                        new Other(held.get(), version(result)));
+                                        new Existing(held.get(), version(result)));
                             }
                             return after(() -> claim(key, intent, left - 1));
                         });
@@ -160,7 +160,7 @@
     }
 
     /** Notes that an earlier request was given up. */
-    void giveUp(ObjectKey key, Other other) {
+    void giveUp(ObjectKey key, Existing other) {
         store.write(key, other.version(), IdempotencyCodec.write(other.record().unclear()));
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/filter/KeyFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/KeyFilter.java
@@ -49,7 +49,7 @@
                                         "the Authorization header holds no bearer key"))
                         : check(call, now, key);
         if (refusal.isPresent() && isOpen(now, call)) {
-            call.caller(key, null, openTeam);
+            call.setCaller(key, null, openTeam);
             next.run();
         } else if (refusal.isPresent()) {
             call.refuse(refusal.get());
@@ -75,7 +75,7 @@
                     Problem.notRun(
                             ProblemKind.FORBIDDEN, "team " + entry.team() + " no longer exists"));
         }
-        call.caller(key, entry.id(), team);
+        call.setCaller(key, entry.id(), team);
         return Optional.empty();
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/filter/KeyGuard.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/KeyGuard.java
@@ -44,7 +44,7 @@
     private KeyGuard() {}
 
     /** Headers that a target may see: an allow-list, since any other may carry a key. */
-    static Map<String, String> headers(Iterable<Map.Entry<String, String>> received) {
+    static Map<String, String> allowedHeaders(Iterable<Map.Entry<String, String>> received) {
         Map<String, String> passed = new LinkedHashMap<>();
         received.forEach(
                 header -> {
@@ -57,7 +57,7 @@
     }
 
     /** Drops query parameters that could carry a key. */
-    static String withoutKeys(String pathAndQuery) {
+    static String removeKeyParameters(String pathAndQuery) {
         int mark = pathAndQuery.indexOf('?');
         if (mark < 0) {
             return pathAndQuery;
@@ -71,7 +71,7 @@
     }
 
     /** Refuses a call whose path, headers or body hold the caller's key all the same. */
-    static Optional<Problem> leak(CallContext call) {
+    static Optional<Problem> findLeak(CallContext call) {
         if (call.key().isEmpty()) {
             return Optional.empty();
         }
@@ -80,11 +80,11 @@
         boolean held =
                 decoded(spec.path()).contains(key)
                         || spec.headers().values().stream().anyMatch(value -> value.contains(key));
-        return held ? refusal() : bodyLeak(call);
+        return held ? refusal() : findBodyLeak(call);
     }
 
     /** Refuses a request whose body holds the caller's key. */
-    static Optional<Problem> bodyLeak(CallContext call) {
+    static Optional<Problem> findBodyLeak(CallContext call) {
         boolean held =
                 call.key()
                         .map(key -> key.getBytes(StandardCharsets.UTF_8))
--- a/entry/src/main/java/org/sardinelift/entry/filter/JobKeyFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/KeyLeakFilter.java
@@ -4,21 +4,21 @@
 import org.sardinelift.core.outcome.Problem;
 
 /** Refuses a job whose lines hold the caller's key, since a target would see it. */
-public final class JobKeyFilter implements CallFilter {
-    private JobKeyFilter() {}
+public final class KeyLeakFilter implements CallFilter {
+    private KeyLeakFilter() {}
 
     /**
      * Makes the filter.
      *
      * @return the filter
      */
-    public static JobKeyFilter create() {
-        return new JobKeyFilter();
+    public static KeyLeakFilter create() {
+        return new KeyLeakFilter();
     }
 
     @Override
     public void apply(CallContext call, Runnable next) {
-        Optional<Problem> leak = KeyGuard.bodyLeak(call);
+        Optional<Problem> leak = KeyGuard.findBodyLeak(call);
         leak.ifPresentOrElse(call::refuse, next);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/filter/ProblemWriter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/ProblemWriter.java
@@ -29,14 +29,17 @@
         headers.put("content-type", "application/problem+json");
         headers.put("x-request-id", requestId);
         problem.retryAfter()
-                .ifPresent(after -> headers.put("retry-after", Long.toString(wholeSeconds(after))));
+                .ifPresent(
+                        after ->
+                                headers.put(
+                                        "retry-after", Long.toString(retryAfterSeconds(after))));
         if (problem.kind().status() == 401) {
             headers.put("www-authenticate", "Bearer");
         }
         exchange.respond(
                 problem.kind().status(),
                 headers,
-                json(requestId, problem).getBytes(StandardCharsets.UTF_8));
+                toJson(requestId, problem).getBytes(StandardCharsets.UTF_8));
     }
 
     /**
@@ -46,7 +49,7 @@
      * @param problem what was wrong
      * @return problem details on one line
      */
-    public static String json(String requestId, Problem problem) {
+    public static String toJson(String requestId, Problem problem) {
         ObjectNode node = MAPPER.createObjectNode();
         node.put("type", TYPE_PREFIX + problem.kind().label());
         node.put("title", problem.kind().label().replace('_', ' '));
@@ -66,7 +69,7 @@
      * @param time the pause
      * @return whole seconds, at least 1
      */
-    public static long wholeSeconds(Duration time) {
+    public static long retryAfterSeconds(Duration time) {
         return Math.max(1, (time.toNanos() + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/filter/DecisionFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/RefusalRecordingFilter.java
@@ -9,11 +9,11 @@
 import org.sardinelift.entry.call.CallListener;
 
 /** Records and counts the requests that are refused before they are dispatched. */
-public final class DecisionFilter implements CallFilter {
+public final class RefusalRecordingFilter implements CallFilter {
     private final DecisionRecorder decisions;
     private final TeamRequestCounter tally;
 
-    private DecisionFilter(DecisionRecorder decisions, TeamRequestCounter tally) {
+    private RefusalRecordingFilter(DecisionRecorder decisions, TeamRequestCounter tally) {
         this.decisions = decisions;
         this.tally = tally;
     }
@@ -25,13 +25,13 @@
      * @param tally counts them by team
      * @return the filter
      */
-    public static DecisionFilter of(DecisionRecorder decisions, TeamRequestCounter tally) {
-        return new DecisionFilter(decisions, tally);
+    public static RefusalRecordingFilter of(DecisionRecorder decisions, TeamRequestCounter tally) {
+        return new RefusalRecordingFilter(decisions, tally);
     }
 
     @Override
     public void apply(CallContext call, Runnable next) {
-        call.observe(listener -> new RefusalListener(call, listener));
+        call.wrapListener(listener -> new RefusalListener(call, listener));
         next.run();
     }
 
@@ -58,7 +58,7 @@
 
         @Override
         public void onProblem(Problem problem) {
-            if (!call.dispatched() && !call.answered()) {
+            if (!call.isDispatched() && !call.isAnswered()) {
                 refused(call, problem);
             }
             super.onProblem(problem);
--- a/entry/src/main/java/org/sardinelift/entry/filter/RunningCalls.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/RunningCalls.java
@@ -34,7 +34,7 @@
     @Override
     public void apply(CallContext call, Runnable next) {
         calls.put(call.requestId(), call);
-        call.observe(listener -> new Leaver(call.requestId(), listener));
+        call.wrapListener(listener -> new Leaver(call.requestId(), listener));
         if (!stopIfWithdrawn(call, catalog.get())) {
             next.run();
         }
@@ -54,7 +54,7 @@
      *
      * @param now the configuration from now on
      */
-    public void onCatalog(Catalog now) {
+    public void onCatalogChanged(Catalog now) {
         long stopped = calls.values().stream().filter(call -> stopIfWithdrawn(call, now)).count();
         if (stopped > 0) {
             Logger.info("{} calls were ended since their key was withdrawn", stopped);
--- a/entry/src/main/java/org/sardinelift/entry/filter/ServiceFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/ServiceFilter.java
@@ -57,7 +57,7 @@
     public void apply(CallContext call, Runnable next) {
         Optional<Problem> refusal =
                 MODEL_PATHS.contains(call.exchange().path()) ? model(call) : service(call);
-        refusal = refusal.or(() -> KeyGuard.leak(call));
+        refusal = refusal.or(() -> KeyGuard.findLeak(call));
         refusal.ifPresentOrElse(call::refuse, next);
     }
 
@@ -100,7 +100,7 @@
                     ProblemKind.FORBIDDEN,
                     "team " + call.team().name() + " may not use the service " + service.name());
         }
-        return build(call, service, "", KeyGuard.withoutKeys(path.get().rest()), "");
+        return build(call, service, "", KeyGuard.removeKeyParameters(path.get().targetPath()), "");
     }
 
     private Optional<Problem> build(
@@ -114,7 +114,7 @@
         }
         String method = exchange.method();
         boolean idempotent = service.isEngine() || service.repeatableMethods().contains(method);
-        Map<String, String> headers = KeyGuard.headers(exchange.headers());
+        Map<String, String> headers = KeyGuard.allowedHeaders(exchange.headers());
         call.spec(
                 new CallSpec(
                         call.requestId(),
