--- a/entry/src/main/java/org/sardinelift/entry/filter/ServicePath.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/ServicePath.java
@@ -6,9 +6,9 @@
  * A request target below {@code /services/NAME}.
  *
  * @param service service name
- * @param rest path at the service, starting with a slash, query included
+ * @param targetPath path at the service, starting with a slash, query included
  */
-record ServicePath(String service, String rest) {
+record ServicePath(String service, String targetPath) {
     private static final String PREFIX = "/services/";
 
     static Optional<ServicePath> parse(String uri) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/TraceFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/TraceFilter.java
@@ -43,14 +43,14 @@
         String own = Telemetry.traceparent(span);
         Span queue = telemetry.hop("entry.queue", SpanKind.INTERNAL, own);
         call.traceparent(own);
-        call.onDispatch(queue::end);
-        call.onOwnAnswer(
+        call.setDispatchListener(queue::end);
+        call.setLocalAnswerListener(
                 status -> {
                     span.setAttribute("http.status", status);
                     queue.end();
                     span.end();
                 });
-        call.observe(listener -> new SpanEnder(span, queue, listener));
+        call.wrapListener(listener -> new SpanEnder(span, queue, listener));
         next.run();
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/http/CallerRoutes.java
+++ b/entry/src/main/java/org/sardinelift/entry/http/CallerRoutes.java
@@ -15,7 +15,7 @@
 import org.sardinelift.entry.filter.CallContext;
 import org.sardinelift.entry.filter.CallFilter;
 import org.sardinelift.entry.filter.FilterChain;
-import org.sardinelift.entry.filter.JobKeyFilter;
+import org.sardinelift.entry.filter.KeyLeakFilter;
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.http.HttpHandler;
 
@@ -59,7 +59,7 @@
         return new CallerRoutes(
                 chain(identity, work.toArray(CallFilter[]::new)),
                 chain(identity, (call, next) -> listModels(call, catalog.get())),
-                chain(identity, JobKeyFilter.create(), (call, next) -> handOver(call, jobs)),
+                chain(identity, KeyLeakFilter.create(), (call, next) -> handOver(call, jobs)),
                 contexts);
     }
 
@@ -92,7 +92,7 @@
     }
 
     private static void handOver(CallContext call, BatchRoutes jobs) {
-        if (!jobs.handle(call.exchange(), call.team(), call.requestId(), call::answeredHere)) {
+        if (!jobs.handle(call.exchange(), call.team(), call.requestId(), call::onLocalAnswer)) {
             call.refuse(
                     Problem.notRun(
                             ProblemKind.NOT_FOUND,
@@ -121,7 +121,7 @@
                                                                 .put("id", model)
                                                                 .put("object", "model")
                                                                 .put("owned_by", service.name())));
-        call.answeredHere(200);
+        call.onLocalAnswer(200);
         call.exchange()
                 .respond(
                         200,
--- a/entry/src/test/java/org/sardinelift/entry/CallOutcomeTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/CallOutcomeTest.java
@@ -37,23 +37,23 @@
 
     @Test
     void aStreamGoesOnFromWhereItWasAfterItsConnectionBroke() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
         companion.onStart(
                 (self, start) -> {
-                    self.head(start, 200, "text/event-stream");
-                    self.data(start, 0, "data: a\n\n");
+                    self.sendHead(start, 200, "text/event-stream");
+                    self.sendData(start, 0, "data: a\n\n");
                 });
         companion.onQuery(
                 (self, query) -> {
                     Start start = self.starts.get(0);
                     answer(self, start, RequestState.RUNNING);
-                    self.data(start, 0, "data: a\n\ndata: b\n\n");
-                    self.finish(start, 18);
+                    self.sendData(start, 0, "data: a\n\ndata: b\n\n");
+                    self.sendFinish(start, 18);
                 });
         CompletableFuture<HttpAnswer> answer = chat(entry);
         await().until(() -> companion.starts.size() == 1);
-        companion.cut("first");
+        companion.disconnectAll("first");
 
         HttpAnswer whole = answer.get(20, TimeUnit.SECONDS);
         assertEquals("data: a\n\ndata: b\n\n", whole.text());
@@ -62,9 +62,9 @@
 
     @Test
     void aCallThatMayHaveRunIsNotRepeatedUnlessThatDoesNoHarm() throws Exception {
-        FakeCompanion plain = fixture.companion("c1", "plain");
-        EntryProcess entry = fixture.entry("e1");
-        plain.onStart((self, start) -> self.cut("second"));
+        FakeCompanion plain = fixture.startCompanion("c1", "plain");
+        EntryProcess entry = fixture.startEntry("e1");
+        plain.onStart((self, start) -> self.disconnectAll("second"));
 
         HttpAnswer answer =
                 fixture.send(
@@ -78,15 +78,15 @@
 
     @Test
     void aCallThatNeverStartedIsSentAgainWhateverItsMethod() throws Exception {
-        FakeCompanion plain = fixture.companion("c1", "plain");
-        FakeCompanion other = fixture.companion("c2", "plain");
-        EntryProcess entry = fixture.entry("e1");
+        FakeCompanion plain = fixture.startCompanion("c1", "plain");
+        FakeCompanion other = fixture.startCompanion("c2", "plain");
+        EntryProcess entry = fixture.startEntry("e1");
         AtomicInteger starts = new AtomicInteger();
         for (FakeCompanion companion : new FakeCompanion[] {plain, other}) {
             companion.onStart(
                     (self, start) -> {
                         if (starts.incrementAndGet() == 1) {
-                            self.cut("first");
+                            self.disconnectAll("first");
                         } else {
                             self.echo(start);
                         }
@@ -105,12 +105,12 @@
 
     @Test
     void aRetryThatFindsNoTargetNeverClaimsNotRun() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
         companion.onStart(
                 (self, start) -> {
-                    self.report(true);
-                    self.finish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_UNREACHABLE);
+                    self.sendReport(true);
+                    self.sendFinish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_UNREACHABLE);
                 });
 
         HttpAnswer answer = fixture.chat(entry, CHAT);
@@ -122,10 +122,10 @@
     @Test
     void aSecondAttemptThatWasNotRunDoesNotHideTheFirst() throws Exception {
         for (String name : new String[] {"c1", "c2"}) {
-            fixture.companion(name, "engine", "m1")
+            fixture.startCompanion(name, "engine", "m1")
                     .onStart(
                             (self, start) ->
-                                    self.finish(
+                                    self.sendFinish(
                                             start,
                                             0,
                                             start.getAttempt() == 1
@@ -133,7 +133,7 @@
                                                     : RunOutcome.NOT_RUN,
                                             FailureKind.TARGET_UNREACHABLE));
         }
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
 
         HttpAnswer answer = fixture.chat(entry, CHAT);
 
@@ -143,10 +143,10 @@
 
     @Test
     void aLeavingTargetGetsNoNewWork() throws Exception {
-        FakeCompanion first = fixture.companion("c1", "engine", "m1");
-        FakeCompanion second = fixture.companion("c2", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
-        first.report(true);
+        FakeCompanion first = fixture.startCompanion("c1", "engine", "m1");
+        FakeCompanion second = fixture.startCompanion("c2", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
+        first.sendReport(true);
         await().until(() -> fixture.status(entry).contains("\"usable\":false"));
 
         for (int call = 0; call < 20; call++) {
@@ -159,13 +159,13 @@
 
     @Test
     void aBrokenAnswerEndsWithAnErrorEvent() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
         companion.onStart(
                 (self, start) -> {
-                    self.head(start, 200, "text/event-stream");
-                    self.data(start, 0, "data: a\n\n");
-                    self.finish(start, 9, RunOutcome.RUN, FailureKind.TARGET_DIED);
+                    self.sendHead(start, 200, "text/event-stream");
+                    self.sendData(start, 0, "data: a\n\n");
+                    self.sendFinish(start, 9, RunOutcome.RUN, FailureKind.TARGET_DIED);
                 });
 
         HttpAnswer answer = fixture.chat(entry, CHAT);
@@ -177,9 +177,9 @@
 
     @Test
     void aCallerThatGoesAwayFreesItsTarget() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
-        companion.onStart((self, start) -> self.head(start, 200, "text/event-stream"));
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
+        companion.onStart((self, start) -> self.sendHead(start, 200, "text/event-stream"));
         Runnable cancel =
                 fixture.client.send(
                         fixture.request(
@@ -188,7 +188,7 @@
                                 "/v1/chat/completions",
                                 EntryFixture.authorized(),
                                 CHAT),
-                        new IgnoredAnswer());
+                        new IgnoringAnswerListener());
         await().until(() -> companion.starts.size() == 1);
 
         cancel.run();
@@ -200,10 +200,10 @@
     void aRequestThatCrashesTargetsIsStoppedAfterTwoDeaths() throws Exception {
         AtomicInteger deaths = new AtomicInteger();
         for (String name : new String[] {"c1", "c2", "c3"}) {
-            fixture.companion(name, "engine", "m1")
+            fixture.startCompanion(name, "engine", "m1")
                     .onStart((self, start) -> dieOrEcho(self, start, deaths));
         }
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
         String poison = CHAT.replace("tag 7", "poison");
 
         for (int copy = 0; copy < 20; copy++) {
@@ -214,7 +214,7 @@
         }
 
         assertEquals(2, deaths.get());
-        EntryProcess other = fixture.entry("e2");
+        EntryProcess other = fixture.startEntry("e2");
         await().until(() -> fixture.chat(other, poison).status() == 422);
         assertEquals(2, deaths.get());
     }
@@ -222,7 +222,7 @@
     private static void dieOrEcho(FakeCompanion self, Start start, AtomicInteger deaths) {
         if (new String(start.getBody()).contains("poison")) {
             int death = deaths.incrementAndGet();
-            self.dies(start, "life" + death);
+            self.failByTargetDeath(start, "life" + death);
         } else {
             self.echo(start);
         }
--- a/entry/src/test/java/org/sardinelift/entry/CrashingRequestTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/CrashingRequestTest.java
@@ -33,7 +33,7 @@
         fixture = EntryFixture.create();
         for (String name : List.of("c1", "c2", "c3", "c4")) {
             Target target = new Target();
-            fixture.companion(name, "engine", "m1").onStart(target::run);
+            fixture.startCompanion(name, "engine", "m1").onStart(target::run);
         }
     }
 
@@ -45,8 +45,8 @@
     @Test
     @Tag("known-red")
     void aRequestSentThroughTwoEntriesAtOnceKillsAtMostTwoTargets() throws Exception {
-        EntryProcess first = fixture.entry("e1");
-        EntryProcess second = fixture.entry("e2");
+        EntryProcess first = fixture.startEntry("e1");
+        EntryProcess second = fixture.startEntry("e2");
         for (EntryProcess entry : List.of(first, second)) {
             await().until(() -> fixture.status(entry).contains("\"peers\":1"));
             for (int call = 0; call < WARM_UP_CALLS; call++) {
@@ -90,18 +90,18 @@
 
         synchronized void run(FakeCompanion self, Start start) {
             if (System.nanoTime() - diedNanos < DEAD_NANOS) {
-                self.finish(start, 0, RunOutcome.NOT_RUN, FailureKind.TARGET_UNREACHABLE);
+                self.sendFinish(start, 0, RunOutcome.NOT_RUN, FailureKind.TARGET_UNREACHABLE);
                 return;
             }
             inFlight.add(start);
             if (new String(start.getBody(), StandardCharsets.UTF_8).contains("poison")) {
                 String life = "life" + deaths.incrementAndGet();
                 diedNanos = System.nanoTime();
-                inFlight.forEach(lost -> self.dies(lost, life));
+                inFlight.forEach(lost -> self.failByTargetDeath(lost, life));
                 inFlight.clear();
-                self.report(false, false);
+                self.sendReport(false, false);
                 fixture.group.schedule(
-                        () -> self.report(false, true), DEAD_NANOS, TimeUnit.NANOSECONDS);
+                        () -> self.sendReport(false, true), DEAD_NANOS, TimeUnit.NANOSECONDS);
             } else {
                 fixture.group.schedule(() -> end(self, start), 20, TimeUnit.MILLISECONDS);
             }
--- a/entry/src/test/java/org/sardinelift/entry/EntryFixture.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryFixture.java
@@ -74,11 +74,11 @@
                         new KeyEntry("k1", "blue", KeyDigest.of(PEPPER).digest(KEY), true)));
     }
 
-    FakeCompanion companion(String name, String service, String... models) throws Exception {
-        return companion(name, service, null, models);
+    FakeCompanion startCompanion(String name, String service, String... models) throws Exception {
+        return startCompanion(name, service, null, models);
     }
 
-    FakeCompanion companion(
+    FakeCompanion startCompanion(
             String name, String service, @Nullable Supplier<SslContext> tls, String... models)
             throws Exception {
         FakeCompanion companion = FakeCompanion.start(group, name, service, List.of(models), tls);
@@ -89,23 +89,23 @@
 
     private void list() {
         List<InstancesResult.Instance> listed = new ArrayList<>(listedEntries);
-        companions.forEach(companion -> listed.add(companion.listed()));
+        companions.forEach(companion -> listed.add(companion.instance()));
         platform.list(listed);
     }
 
-    EntryProcess entry(String name) throws Exception {
-        return entry(name, "");
+    EntryProcess startEntry(String name) throws Exception {
+        return startEntry(name, "");
     }
 
-    EntryProcess entry(String name, String more) throws Exception {
-        EntryProcess entry = unlinked(name, more);
+    EntryProcess startEntry(String name, String more) throws Exception {
+        EntryProcess entry = startEntryWithoutWaiting(name, more);
         Awaitility.await().until(() -> status(entry).contains("\"ready\":true"));
         Awaitility.await()
                 .until(() -> status(entry).split("\"usable\":true", -1).length > companions.size());
         return entry;
     }
 
-    EntryProcess unlinked(String name, String more) throws Exception {
+    EntryProcess startEntryWithoutWaiting(String name, String more) throws Exception {
         String text =
                 """
                 {
@@ -131,10 +131,10 @@
     }
 
     String status(EntryProcess entry) throws Exception {
-        return operators(entry, "/status");
+        return getFromOperatorPort(entry, "/status");
     }
 
-    String operators(EntryProcess entry, String path) throws Exception {
+    String getFromOperatorPort(EntryProcess entry, String path) throws Exception {
         HttpCall call =
                 HttpCall.of(
                         "127.0.0.1",
--- a/entry/src/test/java/org/sardinelift/entry/EntryMetricsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryMetricsTest.java
@@ -12,8 +12,8 @@
     @Test
     void metricsShowTargetsRevisionPlatformCallsAndJobs() throws Exception {
         try (EntryFixture fixture = EntryFixture.create()) {
-            fixture.companion("c1", "engine", "m1");
-            EntryProcess entry = fixture.entry("e1");
+            fixture.startCompanion("c1", "engine", "m1");
+            EntryProcess entry = fixture.startEntry("e1");
             Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
             headers.put("job-key", "evening");
             String line =
@@ -36,6 +36,6 @@
     }
 
     private static String metrics(EntryFixture fixture, EntryProcess entry) throws Exception {
-        return fixture.operators(entry, "/metrics");
+        return fixture.getFromOperatorPort(entry, "/metrics");
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/EntryProcessTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryProcessTest.java
@@ -30,8 +30,8 @@
 
     @Test
     void aCallGoesToACompanionAndItsAnswerComesBack() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
 
         HttpAnswer answer = fixture.chat(entry, CHAT);
 
@@ -44,8 +44,8 @@
 
     @Test
     void aMalformedTraceContextIsIgnored() throws Exception {
-        fixture.companion("c1", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
+        fixture.startCompanion("c1", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
         headers.put("traceparent", "00-" + "0".repeat(32) + "-" + "0".repeat(16) + "-zz");
 
@@ -55,8 +55,8 @@
 
     @Test
     void aRequestRunsOnlyForTheTeamOfItsKey() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
 
         HttpAnswer none = fixture.send(entry, "POST", "/v1/chat/completions", Map.of(), CHAT);
         HttpAnswer wrong =
--- a/entry/src/test/java/org/sardinelift/entry/EntryTlsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryTlsTest.java
@@ -125,8 +125,8 @@
 
     @Test
     void aCallPassesFromACallerOverTlsToACompanionOverMutualTls() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", companionTls(), "m1");
-        EntryProcess entry = fixture.entry("e1", settings("second", "entry"));
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", companionTls(), "m1");
+        EntryProcess entry = fixture.startEntry("e1", settings("second", "entry"));
 
         HttpAnswer answer = chat(entry, callerTls());
 
@@ -137,8 +137,8 @@
 
     @Test
     void aCallerWithoutTlsIsRefused() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", companionTls(), "m1");
-        EntryProcess entry = fixture.entry("e1", settings("second", "entry"));
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", companionTls(), "m1");
+        EntryProcess entry = fixture.startEntry("e1", settings("second", "entry"));
 
         assertThrows(ExecutionException.class, () -> fixture.chat(entry, CHAT));
         assertTrue(companion.starts.isEmpty());
@@ -146,7 +146,7 @@
 
     @Test
     void aClientWithoutACertificateIsRefusedAtThePeerPort() throws Exception {
-        EntryProcess entry = fixture.entry("e1", settings("second", "entry"));
+        EntryProcess entry = fixture.startEntry("e1", settings("second", "entry"));
         try (SSLSocket socket = connect(EntryFixture.port(entry, "peer"))) {
             SSLException refusal =
                     assertThrows(
@@ -163,7 +163,7 @@
 
     @Test
     void aClientWithoutTlsIsRefusedAtThePeerPort() throws Exception {
-        EntryProcess entry = fixture.entry("e1", settings("second", "entry"));
+        EntryProcess entry = fixture.startEntry("e1", settings("second", "entry"));
         try (Socket socket = new Socket("127.0.0.1", EntryFixture.port(entry, "peer"))) {
             socket.setSoTimeout(READ_TIMEOUT_MS);
             socket.getOutputStream().write(new byte[64]);
@@ -174,8 +174,8 @@
 
     @Test
     void entriesReachEachOtherOverMutualTls() throws Exception {
-        EntryProcess first = fixture.entry("e1", settings("first", "e1"));
-        EntryProcess second = fixture.entry("e2", settings("second", "e2"));
+        EntryProcess first = fixture.startEntry("e1", settings("first", "e1"));
+        EntryProcess second = fixture.startEntry("e2", settings("second", "e2"));
 
         await().until(() -> fixture.status(first).contains("\"peers\":1"));
         await().until(() -> fixture.status(second).contains("\"peers\":1"));
@@ -183,8 +183,8 @@
 
     @Test
     void anEntryOfAnotherAuthorityReachesNoCompanion() throws Exception {
-        fixture.companion("c1", "engine", companionTls(), "m1");
-        EntryProcess entry = fixture.unlinked("e1", settings("stranger", "entry"));
+        fixture.startCompanion("c1", "engine", companionTls(), "m1");
+        EntryProcess entry = fixture.startEntryWithoutWaiting("e1", settings("stranger", "entry"));
 
         await().during(Duration.ofMillis(500))
                 .until(() -> !fixture.status(entry).contains("\"usable\":true"));
@@ -192,7 +192,7 @@
 
     @Test
     void aChangedCertificateHoldsFromTheNextCaller() throws Exception {
-        EntryProcess entry = fixture.entry("e1", settings("first", "entry"));
+        EntryProcess entry = fixture.startEntry("e1", settings("first", "entry"));
         AtomicReference<X509Certificate> before = new AtomicReference<>(shown(entry));
 
         files("second", "entry");
@@ -206,7 +206,9 @@
         Path key = folder.resolve("entry-key.pem");
         Files.writeString(key, "half a ke");
 
-        IOException error = assertThrows(IOException.class, () -> fixture.unlinked("e1", settings));
+        IOException error =
+                assertThrows(
+                        IOException.class, () -> fixture.startEntryWithoutWaiting("e1", settings));
         assertTrue(error.getMessage().contains(key.toString()), error.getMessage());
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/ExplainerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/ExplainerTest.java
@@ -22,9 +22,9 @@
     @BeforeEach
     void start() throws Exception {
         fixture = EntryFixture.create();
-        fixture.companion("c1", "engine", "m1");
-        first = fixture.entry("e1");
-        second = fixture.entry("e2");
+        fixture.startCompanion("c1", "engine", "m1");
+        first = fixture.startEntry("e1");
+        second = fixture.startEntry("e2");
     }
 
     @AfterEach
@@ -63,7 +63,7 @@
     }
 
     private JsonNode explain(EntryProcess entry, String subject) throws Exception {
-        return MAPPER.readTree(fixture.operators(entry, "/explain?subject=" + subject));
+        return MAPPER.readTree(fixture.getFromOperatorPort(entry, "/explain?subject=" + subject));
     }
 
     private static String id(HttpAnswer answer) {
--- a/entry/src/test/java/org/sardinelift/entry/FakeCompanion.java
+++ b/entry/src/test/java/org/sardinelift/entry/FakeCompanion.java
@@ -82,18 +82,18 @@
     }
 
     /** Cuts every connection and, with another incarnation, forgets all calls. */
-    void cut(String nextIncarnation) {
+    void disconnectAll(String nextIncarnation) {
         incarnation = nextIncarnation;
         connections.forEach(connection -> connection.close("cut by the test"));
     }
 
     void echo(Start start) {
-        head(start, 200, "application/json");
-        data(start, 0, new String(start.getBody(), StandardCharsets.UTF_8));
-        finish(start, start.getBody().length);
+        sendHead(start, 200, "application/json");
+        sendData(start, 0, new String(start.getBody(), StandardCharsets.UTF_8));
+        sendFinish(start, start.getBody().length);
     }
 
-    void head(Start start, int status, String contentType) {
+    void sendHead(Start start, int status, String contentType) {
         send(
                 start.getRequestId(),
                 Frame.head(
@@ -104,26 +104,26 @@
                                 Map.of("content-type", contentType))));
     }
 
-    void data(Start start, long offset, String part) {
+    void sendData(Start start, long offset, String part) {
         ByteBuffer body = ByteBuffer.wrap(part.getBytes(StandardCharsets.UTF_8));
         send(
                 start.getRequestId(),
                 Frame.data(new Data(start.getRequestId(), start.getAttempt(), offset, body)));
     }
 
-    void finish(Start start, long length) {
-        finish(start, length, RunOutcome.RUN, FailureKind.NONE);
+    void sendFinish(Start start, long length) {
+        sendFinish(start, length, RunOutcome.RUN, FailureKind.NONE);
     }
 
-    void dies(Start start, String life) {
-        finish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_DIED, life);
+    void failByTargetDeath(Start start, String life) {
+        sendFinish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_DIED, life);
     }
 
-    void finish(Start start, long length, RunOutcome outcome, FailureKind failure) {
-        finish(start, length, outcome, failure, "t1");
+    void sendFinish(Start start, long length, RunOutcome outcome, FailureKind failure) {
+        sendFinish(start, length, outcome, failure, "t1");
     }
 
-    private void finish(
+    private void sendFinish(
             Start start, long length, RunOutcome outcome, FailureKind failure, String life) {
         send(
                 start.getRequestId(),
@@ -146,17 +146,17 @@
         }
     }
 
-    void report(boolean leaving) {
-        report(leaving, true);
+    void sendReport(boolean leaving) {
+        sendReport(leaving, true);
     }
 
-    void report(boolean leaving, boolean healthy) {
+    void sendReport(boolean leaving, boolean healthy) {
         connections.stream()
                 .filter(connection -> connection.peer().getLane() == Lane.CONTROL)
                 .forEach(connection -> connection.send(Frame.loadReport(load(leaving, healthy))));
     }
 
-    InstancesResult.Instance listed() {
+    InstancesResult.Instance instance() {
         return new InstancesResult.Instance(
                 name, "companion", "z1", "127.0.0.1", server.port(), name + "-target", false);
     }
--- a/entry/src/test/java/org/sardinelift/entry/IdempotencyTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/IdempotencyTest.java
@@ -22,7 +22,7 @@
     @BeforeEach
     void start() throws Exception {
         fixture = EntryFixture.create();
-        plain = fixture.companion("c1", "plain");
+        plain = fixture.startCompanion("c1", "plain");
     }
 
     @AfterEach
@@ -32,8 +32,8 @@
 
     @Test
     void aResendThroughAnotherEntryGetsTheRecordedAnswer() throws Exception {
-        HttpAnswer first = fine(fixture.entry("e1"), "{\"fine\":1}").get(20, TimeUnit.SECONDS);
-        EntryProcess other = fixture.entry("e2");
+        HttpAnswer first = fine(fixture.startEntry("e1"), "{\"fine\":1}").get(20, TimeUnit.SECONDS);
+        EntryProcess other = fixture.startEntry("e2");
 
         await().until(
                         () -> {
@@ -50,8 +50,8 @@
 
     @Test
     void aResendWhileTheFirstRunsWaits() throws Exception {
-        EntryProcess entry = fixture.entry("e1");
-        EntryProcess other = fixture.entry("e2");
+        EntryProcess entry = fixture.startEntry("e1");
+        EntryProcess other = fixture.startEntry("e2");
         plain.onStart((self, start) -> {});
         CompletableFuture<HttpAnswer> first = fine(entry, "{}");
         await().until(() -> plain.starts.size() == 1);
@@ -67,7 +67,7 @@
 
     @Test
     void lostAnswersOfThePlatformRunTheCallOnce() throws Exception {
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
         fixture.platform.loseAnswers(1);
 
         HttpAnswer answer = fine(entry, "{}").get(20, TimeUnit.SECONDS);
@@ -78,7 +78,7 @@
 
     @Test
     void withoutThePlatformTheCallIsNotRun() throws Exception {
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
         fixture.platform.down(true);
 
         HttpAnswer answer = fine(entry, "{}").get(20, TimeUnit.SECONDS);
@@ -91,12 +91,12 @@
 
     @Test
     void aCallThatMayHaveRunIsNeverRunAgain() throws Exception {
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
         plain.onStart(
                 (self, start) ->
-                        self.finish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_DIED));
+                        self.sendFinish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_DIED));
         assertEquals(502, fine(entry, "{}").get(20, TimeUnit.SECONDS).status());
-        EntryProcess other = fixture.entry("e2");
+        EntryProcess other = fixture.startEntry("e2");
 
         await().until(() -> fine(other, "{}").get().text().contains("outcome_unknown"));
 
@@ -105,10 +105,11 @@
 
     @Test
     void aCallThatCertainlyDidNotRunMayBeSentAgain() throws Exception {
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
         plain.onStart(
                 (self, start) ->
-                        self.finish(start, 0, RunOutcome.NOT_RUN, FailureKind.DEADLINE_EXCEEDED));
+                        self.sendFinish(
+                                start, 0, RunOutcome.NOT_RUN, FailureKind.DEADLINE_EXCEEDED));
         assertEquals(504, fine(entry, "{}").get(20, TimeUnit.SECONDS).status());
         plain.onStart(FakeCompanion::echo);
 
--- a/entry/src/test/java/org/sardinelift/entry/IgnoredAnswer.java
+++ b/entry/src/test/java/org/sardinelift/entry/IgnoringAnswerListener.java
@@ -5,7 +5,7 @@
 import org.sardinelift.http.HttpAnswerListener;
 
 /** An answer that nobody reads. */
-final class IgnoredAnswer implements HttpAnswerListener {
+final class IgnoringAnswerListener implements HttpAnswerListener {
     @Override
     public void onHead(int status, List<Map.Entry<String, String>> headers) {}
 
--- a/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
@@ -41,16 +41,16 @@
 
     @Test
     void aWithdrawnKeyEndsRunningStreamsAndFurtherCalls() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
         companion.onStart(
                 (self, start) -> {
                     if (self.starts.size() > 1) {
                         self.echo(start);
                         return;
                     }
-                    self.head(start, 200, "text/event-stream");
-                    self.data(start, 0, "data: a\n\n");
+                    self.sendHead(start, 200, "text/event-stream");
+                    self.sendData(start, 0, "data: a\n\n");
                 });
         CompletableFuture<HttpAnswer> stream = chat(entry, "tag 7");
         await().until(() -> companion.starts.size() == 1);
@@ -69,12 +69,12 @@
 
     @Test
     void aDrainTurnsReadinessFirstAndCutsNoneOfAThousandStreams() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
-        EntryProcess entry = fixture.entry("e1");
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
+        EntryProcess entry = fixture.startEntry("e1");
         companion.onStart(
                 (self, start) -> {
-                    self.head(start, 200, "text/event-stream");
-                    self.data(start, 0, "data: a\n\n");
+                    self.sendHead(start, 200, "text/event-stream");
+                    self.sendData(start, 0, "data: a\n\n");
                 });
         List<CompletableFuture<HttpAnswer>> streams = new ArrayList<>();
         for (int call = 0; call < STREAMS; call++) {
@@ -88,8 +88,8 @@
         await().until(() -> !holds("e1"));
         assertThrows(TimeoutException.class, () -> drained.get(2, TimeUnit.SECONDS));
         for (Start start : companion.starts) {
-            companion.data(start, 9, "data: b\n\n");
-            companion.finish(start, 18);
+            companion.sendData(start, 9, "data: b\n\n");
+            companion.sendFinish(start, 18);
         }
 
         drained.get(20, TimeUnit.SECONDS);
@@ -101,8 +101,8 @@
 
     @Test
     void aDrainedEntryHasGivenItsShareBack() throws Exception {
-        EntryProcess first = fixture.entry("e1");
-        fixture.entry("e2");
+        EntryProcess first = fixture.startEntry("e1");
+        fixture.startEntry("e2");
         await().until(() -> holds("e1") && holds("e2"));
 
         first.drain().get(20, TimeUnit.SECONDS);
@@ -137,8 +137,8 @@
 
     @Test
     void noTargetSeesTheCallersKey() throws Exception {
-        FakeCompanion plain = fixture.companion("c1", "plain");
-        EntryProcess entry = fixture.entry("e1");
+        FakeCompanion plain = fixture.startCompanion("c1", "plain");
+        EntryProcess entry = fixture.startEntry("e1");
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
         for (String name : List.of("x-api-key", "cookie", "proxy-authorization", "x-other")) {
             headers.put(name, EntryFixture.KEY);
@@ -158,7 +158,7 @@
 
     @Test
     void aJobWhoseLinesHoldTheCallersKeyIsRefused() throws Exception {
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
         headers.put("Job-Key", "with-a-key");
         String line =
--- a/entry/src/test/java/org/sardinelift/entry/MalformedRequestTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/MalformedRequestTest.java
@@ -33,8 +33,8 @@
     @BeforeAll
     static void start() throws Exception {
         fixture = EntryFixture.create();
-        companion = fixture.companion("c1", "engine", "m1");
-        entry = fixture.entry("e1");
+        companion = fixture.startCompanion("c1", "engine", "m1");
+        entry = fixture.startEntry("e1");
     }
 
     @AfterAll
--- a/entry/src/test/java/org/sardinelift/entry/SubmissionLimitTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/SubmissionLimitTest.java
@@ -39,7 +39,7 @@
 
     @Test
     void aSubmissionIsOneRequestAndIsRefusedOverTheRate() throws Exception {
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
         useBurst(entry, "night-1");
 
         HttpAnswer refused = submit(entry, "night-2");
@@ -55,7 +55,7 @@
 
     @Test
     void theSameJobSentAgainCountsToo() throws Exception {
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
         useBurst(entry, "night-1");
 
         assertEquals(429, submit(entry, "night-1").status());
@@ -63,7 +63,7 @@
 
     @Test
     void aMalformedSubmissionIsRefusedBeforeItIsCounted() throws Exception {
-        EntryProcess entry = fixture.entry("e1");
+        EntryProcess entry = fixture.startEntry("e1");
         useBurst(entry, "night-1");
 
         assertEquals(400, fixture.send(entry, "POST", "/v1/batches", key(), LINE).status());
--- a/entry/src/test/java/org/sardinelift/entry/TeamIsolationTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/TeamIsolationTest.java
@@ -27,8 +27,8 @@
     @BeforeEach
     void start() throws Exception {
         fixture = EntryFixture.create();
-        plain = fixture.companion("c1", "plain");
-        entry = fixture.entry("e1");
+        plain = fixture.startCompanion("c1", "plain");
+        entry = fixture.startEntry("e1");
     }
 
     @AfterEach
--- a/entry/src/test/java/org/sardinelift/entry/TraceTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/TraceTest.java
@@ -43,7 +43,7 @@
     }
 
     private EntryProcess entry() throws Exception {
-        return fixture.entry("e1", ",\"traces\":{\"file\":\"%s\"}".formatted(file()));
+        return fixture.startEntry("e1", ",\"traces\":{\"file\":\"%s\"}".formatted(file()));
     }
 
     private Path file() {
@@ -90,7 +90,7 @@
 
     @Test
     void eachHopOfACallHasASpanInTheCallersTrace() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
         EntryProcess entry = entry();
 
         assertEquals(200, chat(entry, "m1").status());
@@ -105,8 +105,8 @@
 
     @Test
     void eachAttemptHasItsOwnSpan() throws Exception {
-        FakeCompanion first = fixture.companion("c1", "engine", "m1");
-        FakeCompanion second = fixture.companion("c2", "engine", "m1");
+        FakeCompanion first = fixture.startCompanion("c1", "engine", "m1");
+        FakeCompanion second = fixture.startCompanion("c2", "engine", "m1");
         List<Start> starts = new ArrayList<>();
         for (FakeCompanion companion : List.of(first, second)) {
             companion.onStart((self, start) -> failFirst(self, start, starts));
@@ -135,12 +135,12 @@
                 return;
             }
         }
-        companion.finish(start, 0, RunOutcome.NOT_RUN, FailureKind.QUEUE_FULL);
+        companion.sendFinish(start, 0, RunOutcome.NOT_RUN, FailureKind.QUEUE_FULL);
     }
 
     @Test
     void aRefusedCallHasNoSpanOfAnAttempt() throws Exception {
-        fixture.companion("c1", "engine", "m1");
+        fixture.startCompanion("c1", "engine", "m1");
         EntryProcess entry = entry();
 
         assertTrue(chat(entry, "m9").status() >= 400);
@@ -153,7 +153,7 @@
 
     @Test
     void requestsThatNoTargetAnswersEndTheirSpans() throws Exception {
-        fixture.companion("c1", "engine", "m1");
+        fixture.startCompanion("c1", "engine", "m1");
         EntryProcess entry = entry();
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
         headers.put("traceparent", "00-" + TRACE + "-" + CALLER + "-01");
@@ -170,7 +170,7 @@
 
     @Test
     void theQueuesSpanEndsWhereTheCallIsDispatched() throws Exception {
-        FakeCompanion companion = fixture.companion("c1", "engine", "m1");
+        FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
         CompletableFuture<Start> started = new CompletableFuture<>();
         companion.onStart((self, start) -> started.complete(start));
         EntryProcess entry = entry();
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchFailureTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchFailureTest.java
@@ -27,11 +27,11 @@
 
     private final FakeObjectStore store = new FakeObjectStore();
     private final Fleet fleet = new Fleet();
-    private final VirtualControl.Entry engine = fleet.time().entry();
+    private final VirtualControl.Entry engine = fleet.time().newEntry();
 
     private void callsTake(Duration time) {
         fleet.dispatcher()
-                .behave(
+                .setBehaviour(
                         (spec, listener) ->
                                 engine.schedule(time, () -> FakeDispatcher.answer(spec, listener)));
     }
@@ -85,13 +85,13 @@
     }
 
     private void assertNothingStartsAfterTheCancel(int staleReads) {
-        fleet.dispatcher().slots(5);
+        fleet.dispatcher().setSlots(5);
         callsTake(Duration.ofMillis(300));
         Map<String, FaultyStore> ways = new HashMap<>();
         for (String name : List.of("e1", "e2", "e3")) {
             FaultyStore way =
                     new FaultyStore(
-                            store, fleet.time().entry(), new Random(1), StateAudit.strict());
+                            store, fleet.time().newEntry(), new Random(1), JobStateAudit.strict());
             ways.put(name, way);
             fleet.start(name, way, BatchSettings.defaults());
         }
@@ -103,13 +103,13 @@
         Fleet.Node holder = holder(fleet.nodes().get(0), id);
         Fleet.Node caller = other(holder);
         holder.control().freeze();
-        ways.get(holder.name()).pin(StateCell.key(id), staleReads);
+        ways.get(holder.name()).pinReads(JobStateUpdater.key(id), staleReads);
         AtomicReference<Reply> cancel = fleet.cancel(caller, id);
         fleet.advance(Duration.ofSeconds(15));
         assertEquals(200, cancel.get().status());
         int started = fleet.dispatcher().calls().size();
         String results = readBack(caller, id);
-        holder.control().wake();
+        holder.control().unfreeze();
         fleet.advance(Duration.ofSeconds(30));
         assertEquals(started, fleet.dispatcher().calls().size());
         assertEquals(results, readBack(caller, id));
@@ -124,14 +124,15 @@
     @Test
     void anEntryKilledRightAfterItsAnswerLosesNothing() {
         FaultyStore way =
-                new FaultyStore(store, fleet.time().entry(), new Random(1), StateAudit.strict());
+                new FaultyStore(
+                        store, fleet.time().newEntry(), new Random(1), JobStateAudit.strict());
         Fleet.Node first = fleet.start("e0", way, BatchSettings.defaults());
         Fleet.Node second = entries(2, BatchSettings.defaults()).get(0);
         AtomicReference<Reply> reply = fleet.submit(first, "evening", Fleet.chatLines(50));
         while (reply.get() == null) {
             fleet.advance(Duration.ofMillis(1));
         }
-        way.cut(true);
+        way.setDisconnected(true);
         first.control().kill();
         fleet.advance(Duration.ofSeconds(20));
         String id = reply.get().body().path("id").asText();
@@ -140,10 +141,10 @@
 
     @Test
     void workGoesOnThroughAnOutageWithinMemoryAndIsCommittedAfterIt() {
-        fleet.dispatcher().slots(50);
+        fleet.dispatcher().setSlots(50);
         callsTake(Duration.ofSeconds(2));
         BatchSettings settings =
-                Settings.with(Map.of("loadedChunks", 3, "chunksPerJob", 10, "chunkItems", 100));
+                TestSettings.with(Map.of("loadedChunks", 3, "chunksPerJob", 10, "chunkItems", 100));
         List<Fleet.Node> nodes = entries(2, settings);
         String id = accepted(nodes.get(0), Fleet.chatLines(1_000));
         fleet.advance(Duration.ofMillis(900));
@@ -167,7 +168,7 @@
     @Test
     void hopelessItemsEndWithAReasonAndHoldUpNoOther() {
         fleet.dispatcher()
-                .behave(
+                .setBehaviour(
                         (spec, listener) -> {
                             String body = new String(spec.body(), StandardCharsets.UTF_8);
                             if (body.contains("pot 7\"")) {
@@ -192,9 +193,9 @@
 
     @Test
     void aDrainedEntryHandsItsJobsOverAndRunsNothingTwice() {
-        fleet.dispatcher().slots(20);
+        fleet.dispatcher().setSlots(20);
         callsTake(Duration.ofMillis(200));
-        BatchSettings settings = Settings.with(Map.of("chunkItems", 50, "chunksPerJob", 1));
+        BatchSettings settings = TestSettings.with(Map.of("chunkItems", 50, "chunksPerJob", 1));
         List<Fleet.Node> nodes = entries(2, settings);
         String id = accepted(nodes.get(0), Fleet.chatLines(600));
         fleet.advance(Duration.ofSeconds(2));
@@ -214,7 +215,7 @@
     void aCallCutForOnlineWorkIsRunAgainAndCountsAsNoFailure() {
         int[] cuts = {0};
         fleet.dispatcher()
-                .behave(
+                .setBehaviour(
                         (spec, listener) -> {
                             cuts[0]++;
                             if (cuts[0] <= 20) {
@@ -235,9 +236,9 @@
 
     @Test
     void aLateJobIsReportedBeforeItIsLate() {
-        fleet.dispatcher().slots(5);
+        fleet.dispatcher().setSlots(5);
         callsTake(Duration.ofMillis(500));
-        List<Fleet.Node> nodes = entries(1, Settings.with(Map.of("chunkItems", 20)));
+        List<Fleet.Node> nodes = entries(1, TestSettings.with(Map.of("chunkItems", 20)));
         long due = engine.epochMillis() + Duration.ofSeconds(40).toMillis();
         AtomicReference<Reply> reply =
                 fleet.submit(
@@ -245,14 +246,14 @@
         fleet.advance(Duration.ofSeconds(20));
         String id = reply.get().body().path("id").asText();
         assertTrue(status(nodes.get(0), id).body().path("late_risk").path("late").asBoolean());
-        fleet.dispatcher().slots(500);
+        fleet.dispatcher().setSlots(500);
         fleet.advance(Duration.ofSeconds(15));
         assertFalse(status(nodes.get(0), id).body().path("late_risk").path("late").asBoolean());
     }
 
     @Test
     void teamsShareTheSlotsOfTheFleetByWeightThoughTheirJobsRunOnDifferentEntries() {
-        fleet.dispatcher().slots(40);
+        fleet.dispatcher().setSlots(40);
         callsTake(Duration.ofMillis(200));
         List<Fleet.Node> nodes = entries(2, BatchSettings.defaults());
         fleet.submit(
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchFaultsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchFaultsTest.java
@@ -33,7 +33,7 @@
         private final Random random;
         private final FakeObjectStore store = new FakeObjectStore();
         private final Fleet fleet = new Fleet();
-        private final StateAudit audit;
+        private final JobStateAudit audit;
         private final List<FaultyStore> ways = new ArrayList<>();
         private final List<AtomicReference<Reply>> cancels = new ArrayList<>();
         private final BatchSettings settings = small();
@@ -43,18 +43,18 @@
         private int startsAfterCancel;
         private int resultsAtCancel = -1;
 
-        Scenario(long seed, StateAudit audit) {
+        Scenario(long seed, JobStateAudit audit) {
             this.random = new Random(seed);
             this.audit = audit;
-            this.engine = fleet.time().entry();
-            fleet.dispatcher().slots(12);
+            this.engine = fleet.time().newEntry();
+            fleet.dispatcher().setSlots(12);
             fleet.dispatcher()
-                    .behave(
+                    .setBehaviour(
                             (spec, listener) -> {
                                 startsAfterCancel += confirmed() ? 1 : 0;
                                 Runnable end =
                                         () -> {
-                                            if (spec.idempotent() && random.nextInt(10) == 0) {
+                                            if (spec.isIdempotent() && random.nextInt(10) == 0) {
                                                 listener.onProblem(
                                                         Problem.failed(
                                                                 ProblemKind.TARGET_FAILED,
@@ -69,7 +69,7 @@
         }
 
         static BatchSettings small() {
-            return Settings.with(
+            return TestSettings.with(
                     Map.of(
                             "chunkItems", 10,
                             "chunkUnrepeatable", 4,
@@ -87,13 +87,13 @@
 
         void startEntry() {
             entries++;
-            FaultyStore way = new FaultyStore(store, fleet.time().entry(), random, audit);
+            FaultyStore way = new FaultyStore(store, fleet.time().newEntry(), random, audit);
             ways.add(way);
             fleet.start("e" + entries, way, settings);
         }
 
         List<Fleet.Node> live() {
-            return fleet.nodes().stream().filter(node -> !node.control().dead()).toList();
+            return fleet.nodes().stream().filter(node -> !node.control().isDead()).toList();
         }
 
         Fleet.Node any() {
@@ -123,9 +123,9 @@
             FaultyStore way = ways.get(fleet.nodes().indexOf(node));
             switch (random.nextInt(mayKill ? 9 : 8)) {
                 case 0 -> node.control().freeze();
-                case 1, 2 -> live().forEach(other -> other.control().wake());
-                case 3 -> way.cut(true);
-                case 4 -> ways.forEach(other -> other.cut(false));
+                case 1, 2 -> live().forEach(other -> other.control().unfreeze());
+                case 3 -> way.setDisconnected(true);
+                case 4 -> ways.forEach(other -> other.setDisconnected(false));
                 case 5 -> down(random.nextInt(3) == 0);
                 case 6 -> store.compact();
                 case 7 -> down(false);
@@ -139,7 +139,7 @@
         void run(boolean cancelToo) {
             IntStream.range(0, 3).forEach(i -> startEntry());
             fleet.advance(Duration.ofSeconds(10));
-            ways.forEach(way -> way.faults(FAULTS));
+            ways.forEach(way -> way.setFaultRate(FAULTS));
             String id = accept();
             int cancelAt = cancelToo ? random.nextInt(STEPS) : -1;
             for (int step = 0; step < STEPS; step++) {
@@ -171,10 +171,10 @@
             down(false);
             ways.forEach(
                     way -> {
-                        way.cut(false);
-                        way.faults(0);
+                        way.setDisconnected(false);
+                        way.setFaultRate(0);
                     });
-            live().forEach(node -> node.control().wake());
+            live().forEach(node -> node.control().unfreeze());
         }
 
         List<String> results(String id) {
@@ -193,7 +193,7 @@
             List<String> results = results(id);
             List<String> ids =
                     results.stream()
-                            .map(line -> BatchJson.stored(line).path("custom_id").asText())
+                            .map(line -> BatchJson.parseStored(line).path("custom_id").asText())
                             .toList();
             assertEquals(
                     IntStream.range(0, ITEMS)
@@ -205,7 +205,7 @@
                     .forEach(
                             n ->
                                     assertTrue(
-                                            fleet.dispatcher().runs("{\"pot\":" + n + "}") <= 1,
+                                            fleet.dispatcher().runCount("{\"pot\":" + n + "}") <= 1,
                                             () -> "notice " + n + " was sent twice"));
             if (confirmed()) {
                 assertEquals(0, startsAfterCancel, "starts after the confirmed cancel");
@@ -217,12 +217,12 @@
 
     @Property(tries = 100, seed = "42", shrinking = ShrinkingMode.OFF)
     void everyItemEndsOnceThroughFaultsFreezesAndDeaths(@ForAll long seed) {
-        new Scenario(seed, StateAudit.strict()).run(false);
+        new Scenario(seed, JobStateAudit.strict()).run(false);
     }
 
     @Property(tries = 100, seed = "43", shrinking = ShrinkingMode.OFF)
     void nothingHappensAfterAConfirmedCancel(@ForAll long seed) {
-        new Scenario(seed, StateAudit.strict()).run(true);
+        new Scenario(seed, JobStateAudit.strict()).run(true);
     }
 
     @Test
@@ -231,7 +231,7 @@
                 LongStream.range(0, 30)
                         .filter(
                                 seed -> {
-                                    StateAudit audit = StateAudit.overwriting();
+                                    JobStateAudit audit = JobStateAudit.overwriting();
                                     try {
                                         new Scenario(seed, audit).run(true);
                                         return false;
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchMeasurementTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchMeasurementTest.java
@@ -40,7 +40,7 @@
     private static Cost cost(ChunkPacker packer, int items) {
         Fleet fleet = new Fleet();
         CountingStore store = new CountingStore(new FakeObjectStore());
-        BatchSettings settings = Settings.withPacker(packer);
+        BatchSettings settings = TestSettings.withPacker(packer);
         Fleet.Node entry = fleet.start("e1", store, settings);
         fleet.advance(Duration.ofSeconds(10));
         int writes = store.writes();
@@ -70,14 +70,16 @@
     private static Loss loss(boolean takeover) {
         Fleet fleet = new Fleet();
         FakeObjectStore store = new FakeObjectStore();
-        VirtualControl.Entry engine = fleet.time().entry();
-        fleet.dispatcher().slots(60);
+        VirtualControl.Entry engine = fleet.time().newEntry();
+        fleet.dispatcher().setSlots(60);
         fleet.dispatcher()
-                .behave(
+                .setBehaviour(
                         (spec, listener) ->
                                 engine.schedule(CALL, () -> FakeDispatcher.answer(spec, listener)));
         BatchSettings settings =
-                takeover ? BatchSettings.defaults() : Settings.withLeaseTimeout(Duration.ofDays(1));
+                takeover
+                        ? BatchSettings.defaults()
+                        : TestSettings.withLeaseTimeout(Duration.ofDays(1));
         List<Fleet.Node> nodes =
                 IntStream.rangeClosed(1, 3)
                         .mapToObj(number -> fleet.start("e" + number, store, settings))
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchServiceTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchServiceTest.java
@@ -40,7 +40,7 @@
                         .mapToObj(number -> "item-" + number)
                         .collect(Collectors.toList()),
                 results.lines().stream()
-                        .map(line -> BatchJson.stored(line).path("custom_id").asText())
+                        .map(line -> BatchJson.parseStored(line).path("custom_id").asText())
                         .toList());
         assertEquals(1_234, fleet.dispatcher().calls().size());
     }
@@ -124,7 +124,7 @@
     @Test
     void largeAnswersAreSplitOverObjectsAndTooLargeOnesEndWithAReason() {
         fleet.dispatcher()
-                .behave(
+                .setBehaviour(
                         (spec, listener) -> {
                             boolean huge = new String(spec.body()).contains("pot 5\"");
                             String text = "x".repeat(huge ? 600_000 : 20_000);
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchSessionTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchSessionTest.java
@@ -95,7 +95,7 @@
                         + Fleet.noticeLine(3)
                         + "\n"
                         + Fleet.noticeLine(4);
-        dispatcher.behave(
+        dispatcher.setBehaviour(
                 (spec, listener) -> {
                     String body = new String(spec.body(), java.nio.charset.StandardCharsets.UTF_8);
                     if (body.contains("hopeless")) {
@@ -139,7 +139,7 @@
     }
 
     private static String id(String body) {
-        return BatchJson.stored(body).path("id").asText();
+        return BatchJson.parseStored(body).path("id").asText();
     }
 
     private void awaitStatus(String team, String id, String status) {
--- a/entry/src/test/java/org/sardinelift/entry/batch/FakeDispatcher.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/FakeDispatcher.java
@@ -18,7 +18,7 @@
 final class FakeDispatcher implements CallDispatcher {
     private final Map<String, Integer> runsByBody = new HashMap<>();
     private final List<CallSpec> calls = new ArrayList<>();
-    private int slots = Integer.MAX_VALUE;
+    private int setSlots = Integer.MAX_VALUE;
     private int running;
     private int cancelled;
     private BiConsumer<CallSpec, CallListener> behaviour = FakeDispatcher::answer;
@@ -30,11 +30,11 @@
         listener.onEnd();
     }
 
-    void slots(int free) {
-        slots = free;
+    void setSlots(int free) {
+        setSlots = free;
     }
 
-    void behave(BiConsumer<CallSpec, CallListener> next) {
+    void setBehaviour(BiConsumer<CallSpec, CallListener> next) {
         behaviour = next;
     }
 
@@ -50,7 +50,7 @@
         return cancelled;
     }
 
-    int runs(String body) {
+    int runCount(String body) {
         return runsByBody.getOrDefault(body, 0);
     }
 
@@ -105,6 +105,6 @@
 
     @Override
     public int freeBatchSlots(String service, String model) {
-        return Math.max(0, slots - running);
+        return Math.max(0, setSlots - running);
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/batch/FaultyStore.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/FaultyStore.java
@@ -23,38 +23,41 @@
     private final FakeObjectStore store;
     private final VirtualControl.Entry network;
     private final Random random;
-    private final StateAudit audit;
-    private double faults;
-    private boolean cut;
+    private final JobStateAudit audit;
+    private double setFaultRate;
+    private boolean setDisconnected;
     private @Nullable ObjectKey pinnedKey;
     private @Nullable ReadResult pinned;
     private int pinnedReads;
 
     FaultyStore(
-            FakeObjectStore store, VirtualControl.Entry network, Random random, StateAudit audit) {
+            FakeObjectStore store,
+            VirtualControl.Entry network,
+            Random random,
+            JobStateAudit audit) {
         this.store = store;
         this.network = network;
         this.random = random;
         this.audit = audit;
     }
 
-    void faults(double share) {
-        faults = share;
+    void setFaultRate(double share) {
+        setFaultRate = share;
     }
 
-    void cut(boolean isCut) {
-        cut = isCut;
+    void setDisconnected(boolean isCut) {
+        setDisconnected = isCut;
     }
 
     /** Lets the next reads of an object show what it holds now. */
-    void pin(ObjectKey key, int reads) {
+    void pinReads(ObjectKey key, int reads) {
         pinned = store.read(key).join();
         pinnedKey = key;
         pinnedReads = reads;
     }
 
     private boolean strikes() {
-        return random.nextDouble() < faults;
+        return random.nextDouble() < setFaultRate;
     }
 
     private Duration delay() {
@@ -72,7 +75,7 @@
     public CompletableFuture<ReadResult> read(ObjectKey key) {
         return later(
                 () -> {
-                    if (cut || strikes()) {
+                    if (setDisconnected || strikes()) {
                         return new ReadResult.Unavailable("cut");
                     }
                     if (key.equals(pinnedKey) && pinnedReads > 0) {
@@ -101,7 +104,7 @@
         network.schedule(
                 delay(),
                 () -> {
-                    if (cut) {
+                    if (setDisconnected) {
                         future.complete(new WriteResult.NotWritten("cut"));
                     } else if (!strikes()) {
                         WriteResult result = change.get();
@@ -122,7 +125,7 @@
     public CompletableFuture<ListResult> list(String kind, String prefix) {
         return later(
                 () ->
-                        cut || strikes()
+                        setDisconnected || strikes()
                                 ? new ListResult.Unavailable("cut")
                                 : store.list(kind, prefix).join());
     }
@@ -131,7 +134,7 @@
     public CompletableFuture<WatchResult> watch(Set<String> kinds, long after, Duration wait) {
         return later(
                 () -> {
-                    if (cut || strikes()) {
+                    if (setDisconnected || strikes()) {
                         return strikes()
                                 ? new WatchResult.Gap()
                                 : new WatchResult.Unavailable("cut");
--- a/entry/src/test/java/org/sardinelift/entry/batch/Fleet.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/Fleet.java
@@ -57,7 +57,7 @@
     }
 
     /** Actions that the entries together noted about a subject. */
-    List<DecisionAction> decided(String subject) {
+    List<DecisionAction> decisionsAbout(String subject) {
         return log.find(Set.of(subject), 1_000).stream().map(DecisionRecord::action).toList();
     }
 
@@ -66,7 +66,7 @@
     }
 
     Node start(String name, ObjectStore store, BatchSettings settings) {
-        VirtualControl.Entry control = time.entry();
+        VirtualControl.Entry control = time.newEntry();
         started++;
         BatchService service =
                 BatchService.create(
@@ -138,12 +138,12 @@
 
     StringSink results(Node node, String id) {
         StringSink sink = new StringSink();
-        node.control().execute(() -> node.service().reader().results("compliance", id, sink));
+        node.control().execute(() -> node.service().reader().streamResults("compliance", id, sink));
         return sink;
     }
 
     /** Keeps the lines of results. */
-    static final class StringSink implements JobReader.Sink {
+    static final class StringSink implements JobReader.ResultSink {
         private final StringBuilder text = new StringBuilder();
         private boolean ended;
 
@@ -158,12 +158,12 @@
         }
 
         @Override
-        public boolean ready() {
+        public boolean isWritable() {
             return true;
         }
 
         @Override
-        public boolean open() {
+        public boolean isOpen() {
             return true;
         }
 
--- a/entry/src/test/java/org/sardinelift/entry/batch/FolderCacheTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/FolderCacheTest.java
@@ -46,13 +46,13 @@
 
     @Test
     void anObjectIsFoundAgainByAnotherIncarnation() {
-        cache(1_000).keep(OBJECT);
+        cache(1_000).put(OBJECT);
         assertEquals(Optional.of(OBJECT), cache(1_000).find(CHUNK));
     }
 
     @Test
     void aDamagedFileIsNoticedAndIgnored() throws IOException {
-        cache(1_000).keep(OBJECT);
+        cache(1_000).put(OBJECT);
         eachFile(FolderCacheTest::damage);
         assertEquals(Optional.empty(), cache(1_000).find(CHUNK));
     }
@@ -62,7 +62,7 @@
         FolderCache cache = cache(1_000);
         for (int number = 0; number < 20; number++) {
             ObjectKey key = new ObjectKey(JobHeader.CHUNK_KIND, "batch-1/d/" + number);
-            cache.keep(new StoredObject(key, 1, 7, "x".repeat(100)));
+            cache.put(new StoredObject(key, 1, 7, "x".repeat(100)));
         }
         long[] bytes = {0};
         eachFile(file -> bytes[0] += file.toFile().length());
--- a/entry/src/test/java/org/sardinelift/entry/batch/JobDecisionsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/JobDecisionsTest.java
@@ -39,10 +39,10 @@
 
     @Test
     void aJobWithoutHolderIsClaimedAndOneWhoseHolderWasLostIsTakenOver() {
-        jobs.claimed(header, claimed, Holder.NONE);
-        assertEquals("", jobs.held().get(0).takenOverFrom());
-        jobs.claimed(header, claimed.claim(SELF), LOST);
-        assertEquals("e1", jobs.held().get(0).takenOverFrom());
+        jobs.onClaimed(header, claimed, Holder.NONE);
+        assertEquals("", jobs.heldJobs().get(0).takenOverFrom());
+        jobs.onClaimed(header, claimed.claim(SELF), LOST);
+        assertEquals("e1", jobs.heldJobs().get(0).takenOverFrom());
         assertEquals(List.of(DecisionAction.JOB_CLAIMED, DecisionAction.JOB_TAKEN_OVER), actions());
         Map<String, String> figures = decisions().get(1).figures();
         assertEquals("e1", figures.get("from"));
@@ -51,13 +51,13 @@
 
     @Test
     void lateIsNotedOnceAndSoIsItsEnd() {
-        jobs.claimed(header, claimed, Holder.NONE);
-        jobs.progressed("job-1", 4, DUE_MS - 1, 1_000);
-        jobs.progressed("job-1", 3, DUE_MS + 1, 2_000);
-        jobs.progressed("job-1", 3, DUE_MS + 2, 3_000);
-        assertTrue(jobs.held().get(0).isLate());
-        jobs.progressed("job-1", 2, DUE_MS, 4_000);
-        jobs.progressed("job-1", 1, 0, DUE_MS + 1);
+        jobs.onClaimed(header, claimed, Holder.NONE);
+        jobs.onProgress("job-1", 4, DUE_MS - 1, 1_000);
+        jobs.onProgress("job-1", 3, DUE_MS + 1, 2_000);
+        jobs.onProgress("job-1", 3, DUE_MS + 2, 3_000);
+        assertTrue(jobs.heldJobs().get(0).isLate());
+        jobs.onProgress("job-1", 2, DUE_MS, 4_000);
+        jobs.onProgress("job-1", 1, 0, DUE_MS + 1);
         assertEquals(
                 List.of(
                         DecisionAction.JOB_CLAIMED,
@@ -69,13 +69,13 @@
 
     @Test
     void aJobThatEndedOrIsHeldByAnotherIsNoLongerHeldHere() {
-        jobs.claimed(header, claimed, Holder.NONE);
-        jobs.ended(header, claimed.claim(LOST));
-        assertEquals(List.of(), jobs.held());
-        jobs.claimed(header, claimed, Holder.NONE);
-        jobs.ended(header, claimed.commit(1, Map.of(0, new ChunkResult("mark", 1, 5, 0, 0))));
-        jobs.ended(header, claimed.requestCancel().finishCancel(1));
-        assertEquals(List.of(), jobs.held());
+        jobs.onClaimed(header, claimed, Holder.NONE);
+        jobs.onRunEnded(header, claimed.claim(LOST));
+        assertEquals(List.of(), jobs.heldJobs());
+        jobs.onClaimed(header, claimed, Holder.NONE);
+        jobs.onRunEnded(header, claimed.commit(1, Map.of(0, new ChunkResult("mark", 1, 5, 0, 0))));
+        jobs.onRunEnded(header, claimed.requestCancel().finishCancel(1));
+        assertEquals(List.of(), jobs.heldJobs());
         assertEquals(
                 List.of(
                         DecisionAction.JOB_CLAIMED,
--- a/entry/src/test/java/org/sardinelift/entry/batch/StateAudit.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/JobStateAudit.java
@@ -11,27 +11,27 @@
 import org.sardinelift.testkit.FakeObjectStore;
 
 /** Checks every state of a job that takes effect in the platform against the one before. */
-final class StateAudit {
+final class JobStateAudit {
     private final Map<String, JobState> last = new HashMap<>();
     private final boolean conditional;
     private String violation = "";
     private int writes;
 
-    private StateAudit(boolean conditional) {
+    private JobStateAudit(boolean conditional) {
         this.conditional = conditional;
     }
 
-    static StateAudit strict() {
-        return new StateAudit(true);
+    static JobStateAudit strict() {
+        return new JobStateAudit(true);
     }
 
     /** A platform whose updates of job states overwrite whatever is there. */
-    static StateAudit overwriting() {
-        return new StateAudit(false);
+    static JobStateAudit overwriting() {
+        return new JobStateAudit(false);
     }
 
     /** Begins anew, after jobs were removed. */
-    void forget() {
+    void reset() {
         last.clear();
     }
 
@@ -44,7 +44,7 @@
     }
 
     WriteResult write(FakeObjectStore store, ObjectKey key, long version, String value) {
-        boolean state = key.kind().equals(StateCell.KIND);
+        boolean state = key.kind().equals(JobStateUpdater.KIND);
         long expected = version;
         if (state && !conditional) {
             expected =
--- a/entry/src/test/java/org/sardinelift/entry/batch/RemovalTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/RemovalTest.java
@@ -35,7 +35,7 @@
     private final List<FaultyStore> ways = new ArrayList<>();
 
     private static BatchSettings settings() {
-        return Settings.with(
+        return TestSettings.with(
                 Map.of(
                         "chunkItems", 10,
                         "chunkUnrepeatable", 10,
@@ -119,7 +119,8 @@
         Fleet.Node entry = entry("e1");
         fleet.advance(START);
         FaultyStore way =
-                new FaultyStore(store, fleet.time().entry(), new Random(1), StateAudit.strict());
+                new FaultyStore(
+                        store, fleet.time().newEntry(), new Random(1), JobStateAudit.strict());
         Fleet.Node dying = fleet.start("e2", way, settings());
         fleet.advance(START);
         fleet.submit(dying, "evening", Fleet.chatLines(ITEMS));
@@ -127,7 +128,7 @@
             fleet.advance(Duration.ofMillis(1));
         }
         dying.control().kill();
-        way.cut(true);
+        way.setDisconnected(true);
         assertNotEquals(List.of(), ofJobs());
         fleet.advance(REMOVED);
         assertEquals(List.of(), ofJobs());
@@ -136,12 +137,12 @@
 
     @Test
     void aJobThatRunsLongerThanItsRetentionIsNotRemoved() {
-        fleet.dispatcher().slots(0);
+        fleet.dispatcher().setSlots(0);
         Fleet.Node entry = entry("e1");
         fleet.advance(START);
         String id = completed(entry, "evening");
         fleet.advance(RETENTION.multipliedBy(3));
-        fleet.dispatcher().slots(ITEMS);
+        fleet.dispatcher().setSlots(ITEMS);
         fleet.advance(RETENTION.minusMinutes(1));
         assertEquals(200, found(entry, id));
         fleet.advance(RETENTION.plus(REMOVED));
@@ -178,11 +179,12 @@
 
     private void runTwoLives(long seed) {
         Random random = new Random(seed);
-        StateAudit audit = StateAudit.strict();
+        JobStateAudit audit = JobStateAudit.strict();
         IntStream.range(0, 3)
                 .forEach(
                         n -> {
-                            ways.add(new FaultyStore(store, fleet.time().entry(), random, audit));
+                            ways.add(
+                                    new FaultyStore(store, fleet.time().newEntry(), random, audit));
                             fleet.start("e" + n, ways.get(n), settings());
                         });
         fleet.advance(START);
@@ -196,7 +198,7 @@
             heal();
             fleet.advance(REMOVED);
             assertEquals(List.of(), ofJobs(), "left after life " + life);
-            audit.forget();
+            audit.reset();
         }
     }
 
@@ -211,16 +213,16 @@
     }
 
     private void disturb(Random random, Duration time) {
-        ways.forEach(way -> way.faults(0.1));
+        ways.forEach(way -> way.setFaultRate(0.1));
         long until = fleet.time().nanos() + time.toNanos();
         while (fleet.time().nanos() < until) {
             int chosen = random.nextInt(ways.size());
             switch (random.nextInt(5)) {
                 case 0 -> fleet.nodes().get(chosen).control().freeze();
-                case 1 -> ways.get(chosen).cut(true);
+                case 1 -> ways.get(chosen).setDisconnected(true);
                 default -> {
-                    fleet.nodes().forEach(node -> node.control().wake());
-                    ways.forEach(way -> way.cut(false));
+                    fleet.nodes().forEach(node -> node.control().unfreeze());
+                    ways.forEach(way -> way.setDisconnected(false));
                 }
             }
             fleet.advance(Duration.ofSeconds(1 + random.nextInt(60)));
@@ -229,11 +231,11 @@
     }
 
     private void heal() {
-        fleet.nodes().forEach(node -> node.control().wake());
+        fleet.nodes().forEach(node -> node.control().unfreeze());
         ways.forEach(
                 way -> {
-                    way.cut(false);
-                    way.faults(0);
+                    way.setDisconnected(false);
+                    way.setFaultRate(0);
                 });
     }
 
--- a/entry/src/test/java/org/sardinelift/entry/batch/Settings.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/TestSettings.java
@@ -7,8 +7,8 @@
 import org.sardinelift.settings.SettingsResult;
 
 /** Settings that differ from the defaults in a few values, read as from a file. */
-final class Settings {
-    private Settings() {}
+final class TestSettings {
+    private TestSettings() {}
 
     static BatchSettings with(Map<String, Integer> values) {
         StringBuilder json = new StringBuilder("{");
--- a/entry/src/test/java/org/sardinelift/entry/batch/VirtualControl.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/VirtualControl.java
@@ -24,26 +24,26 @@
     /** The control thread of one entry. */
     final class Entry implements BatchControl {
         private boolean frozen;
-        private boolean dead;
+        private boolean isDead;
         private final java.util.List<Runnable> held = new java.util.ArrayList<>();
 
         void freeze() {
             frozen = true;
         }
 
-        void wake() {
+        void unfreeze() {
             frozen = false;
             held.forEach(this::execute);
             held.clear();
         }
 
         void kill() {
-            dead = true;
+            isDead = true;
             held.clear();
         }
 
-        boolean dead() {
-            return dead;
+        boolean isDead() {
+            return isDead;
         }
 
         @Override
@@ -72,7 +72,7 @@
         }
     }
 
-    Entry entry() {
+    Entry newEntry() {
         return new Entry();
     }
 
@@ -88,7 +88,7 @@
             now = Math.max(now, task.at());
             if (task.owner().frozen) {
                 task.owner().held.add(task.body());
-            } else if (!task.owner().dead) {
+            } else if (!task.owner().isDead) {
                 task.body().run();
             }
         }
--- a/entry/src/test/java/org/sardinelift/entry/call/CopyTableTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/call/DuplicateTableTest.java
@@ -20,7 +20,7 @@
 import org.sardinelift.core.poison.CrashLedger;
 import org.sardinelift.core.poison.CrashVerdict;
 
-class CopyTableTest {
+class DuplicateTableTest {
     private static final String POISON = "poison";
     private static final int ENTRIES = 2;
     private static final int TARGETS = 4;
@@ -47,14 +47,24 @@
 
     @Example
     void aCopyIsHeldWhileOthersAreOnATargetThatTakesNoMore() {
-        CopyTable copies = new CopyTable();
-        assertEquals(new CopyTable.Place.Any(), copies.place("f", name -> true, true));
+        DuplicateTable copies = new DuplicateTable();
+        assertEquals(
+                new DuplicateTable.Placement.Unpinned(),
+                copies.findPlacement("f", name -> true, true));
         copies.add("f", "c1");
-        assertEquals(new CopyTable.Place.With("c1"), copies.place("f", name -> true, true));
-        assertEquals(new CopyTable.Place.Held(), copies.place("f", name -> false, true));
-        assertEquals(new CopyTable.Place.Any(), copies.place("f", name -> false, false));
+        assertEquals(
+                new DuplicateTable.Placement.Pinned("c1"),
+                copies.findPlacement("f", name -> true, true));
+        assertEquals(
+                new DuplicateTable.Placement.Blocked(),
+                copies.findPlacement("f", name -> false, true));
+        assertEquals(
+                new DuplicateTable.Placement.Unpinned(),
+                copies.findPlacement("f", name -> false, false));
         copies.remove("f", "c1");
-        assertEquals(new CopyTable.Place.Any(), copies.place("f", name -> false, true));
+        assertEquals(
+                new DuplicateTable.Placement.Unpinned(),
+                copies.findPlacement("f", name -> false, true));
     }
 
     /** Something that happens at a time, milliseconds; ties keep their order. */
@@ -184,7 +194,7 @@
         private final int turn;
         private final CrashLedger ledger =
                 CrashLedger.of(new CrashBounds(LIMIT_MS, LIMIT_MS, SETTLE_MS, 1_000));
-        private final CopyTable copies = new CopyTable();
+        private final DuplicateTable copies = new DuplicateTable();
         private final Set<Integer> unhealthy = new HashSet<>();
         private final List<Run> running = new ArrayList<>();
 
@@ -206,14 +216,14 @@
         }
 
         private boolean start(Call call) {
-            CopyTable.Place place =
-                    copies.place(
+            DuplicateTable.Placement place =
+                    copies.findPlacement(
                             call.fingerprint, name -> usable(call, Integer.parseInt(name)), true);
-            if (place instanceof CopyTable.Place.Held) {
+            if (place instanceof DuplicateTable.Placement.Blocked) {
                 return false;
             }
             int target =
-                    place instanceof CopyTable.Place.With with
+                    place instanceof DuplicateTable.Placement.Pinned with
                             ? Integer.parseInt(with.companion())
                             : route(call);
             if (target < 0 || call.suspect && !tryTrial(call, target)) {
