--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobRecorder.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobRecorder.java
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Reads a record that another worker has written, or this one whose answer was lost. */
+    /** Reads a record that another worker has written, or this one with the answer lost. */
     private void readExisting(JobProgress job, int number) {
         JobObject.Record object = new JobObject.Record(job.spec().id(), number);
         storage.read(object)
