--- a/entry/src/main/java/org/sardinelift/entry/batch/Backoff.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/Backoff.java
@@ -3,24 +3,24 @@
 import java.time.Duration;
 import java.util.Random;
 
-/** Exponential pauses with jitter, so that instances don't come back together. */
+/** Exponential backoff with jitter, so that instances do not retry at the same moment. */
 final class Backoff {
     private static final int MAX_DOUBLINGS = 16;
 
-    private final Duration first;
-    private final Duration longest;
+    private final Duration firstPause;
+    private final Duration longestPause;
     private final Random random;
 
     Backoff(Duration first, Duration longest, long seed) {
-        this.first = first;
-        this.longest = longest;
+        this.firstPause = first;
+        this.longestPause = longest;
         this.random = new Random(seed);
     }
 
-    /** The pause after a number of failures in a row, from half of to the whole nominal time. */
+    /** Returns a random pause after consecutive failures, from half to all of the nominal time. */
     Duration pause(int failures) {
-        long nominal = first.toNanos() << Math.min(MAX_DOUBLINGS, Math.max(0, failures - 1));
-        long bounded = Math.min(nominal, longest.toNanos());
+        long nominal = firstPause.toNanos() << Math.min(MAX_DOUBLINGS, Math.max(0, failures - 1));
+        long bounded = Math.min(nominal, longestPause.toNanos());
         return Duration.ofNanos(Math.round(bounded * (1 + random.nextDouble()) / 2));
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchControl.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchControl.java
@@ -4,16 +4,16 @@
 import java.time.Duration;
 import org.sardinelift.runtime.ControlThread;
 
-/** The thread that owns the batch state, and its clocks. */
+/** The control thread, which owns the batch state, and its clocks. */
 interface BatchControl {
 
-    /** Runs a task on the control thread, after those handed over before. */
+    /** Runs a task on the control thread, after the tasks submitted before it. */
     void execute(Runnable task);
 
-    /** Runs a task on the control thread once, later. */
+    /** Runs a task on the control thread once, after a delay. */
     void schedule(Duration delay, Runnable task);
 
-    /** Runs a lengthy task away from the control thread. */
+    /** Runs a long task on another thread than the control thread. */
     void offload(Runnable task);
 
     /** Monotonic time, nanoseconds. */
@@ -22,7 +22,7 @@
     /** Wall clock, epoch milliseconds. */
     long epochMillis();
 
-    /** Runs a task again and again, the given time after each run has ended. */
+    /** Runs a task repeatedly, with the given pause after the end of each run. */
     default void repeat(Duration period, Runnable task) {
         schedule(
                 period,
@@ -35,8 +35,8 @@
                 });
     }
 
-    /** Puts the batch state on a control thread and lengthy tasks on a second one. */
-    static BatchControl of(ControlThread control, ControlThread lengthy, Clock clock) {
+    /** Runs batch tasks on a control thread and long tasks on a second one. */
+    static BatchControl of(ControlThread control, ControlThread longTasks, Clock clock) {
         return new BatchControl() {
             @Override
             public void execute(Runnable task) {
@@ -50,7 +50,7 @@
 
             @Override
             public void offload(Runnable task) {
-                lengthy.execute(task);
+                longTasks.execute(task);
             }
 
             @Override
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchHttp.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchHttp.java
@@ -18,12 +18,12 @@
 import org.sardinelift.http.HttpExchange;
 import org.tinylog.Logger;
 
-/** The callers' routes under {@code /v1/batches}. */
+/** HTTP routes for callers under {@code /v1/batches}. */
 public final class BatchHttp implements BatchRoutes {
     private static final String ROOT = "/v1/batches";
     private static final int MAX_JOB_KEY_CHARS = 256;
     private static final int OK = 200;
-    private static final Map<String, String> METHODS =
+    private static final Map<String, String> METHOD_BY_ACTION =
             Map.of("", "GET", "results", "GET", "cancel", "POST");
 
     private final BatchService service;
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Makes the routes.
+     * Creates the routes.
      *
      * @param service batch work on this entry
      * @param limiter counts each submission as one request of its team
@@ -47,22 +47,22 @@
 
     @Override
     public boolean handle(
-            HttpExchange exchange, TeamPlan team, String requestId, IntConsumer answered) {
-        ResponseContext ticket = new ResponseContext(requestId, answered);
+            HttpExchange exchange, TeamPlan team, String requestId, IntConsumer onAnswered) {
+        ResponseContext context = new ResponseContext(requestId, onAnswered);
         String path = exchange.path();
         if (!path.equals(ROOT) && !path.startsWith(ROOT + "/")) {
             return false;
         }
         String[] parts = path.substring(ROOT.length()).split("/", -1);
         String action = parts.length > 2 ? parts[2] : "";
-        Consumer<Reply> reply = answer -> respond(exchange, ticket, answer);
+        Consumer<Reply> reply = answer -> respond(exchange, context, answer);
         if (parts.length > 3) {
             reply.accept(problem(ProblemKind.NOT_FOUND, "there is no route " + path));
         } else if (parts.length == 1) {
             handleCollection(exchange, team, requestId, reply);
         } else {
             service.control()
-                    .execute(() -> handleJob(exchange, team, ticket, parts[1], action, reply));
+                    .execute(() -> handleJob(exchange, team, context, parts[1], action, reply));
         }
         return true;
     }
@@ -88,11 +88,11 @@
     private void handleJob(
             HttpExchange exchange,
             TeamPlan team,
-            ResponseContext ticket,
+            ResponseContext context,
             String id,
             String action,
             Consumer<Reply> reply) {
-        String allowed = METHODS.get(action);
+        String allowed = METHOD_BY_ACTION.get(action);
         if (allowed == null) {
             reply.accept(problem(ProblemKind.NOT_FOUND, "there is no route " + exchange.path()));
         } else if (!allowed.equals(exchange.method())) {
@@ -100,7 +100,7 @@
         } else if (action.equals("cancel")) {
             service.cancel().cancel(team.name(), id, reply);
         } else if (action.equals("results")) {
-            service.reader().streamResults(team.name(), id, new ExchangeSink(exchange, ticket));
+            service.reader().streamResults(team.name(), id, new ExchangeSink(exchange, context));
         } else {
             service.reader().status(team.name(), id, reply);
         }
@@ -153,11 +153,11 @@
         return Reply.problem(Problem.notRun(kind, detail));
     }
 
-    private static void respond(HttpExchange exchange, ResponseContext ticket, Reply reply) {
+    private static void respond(HttpExchange exchange, ResponseContext context, Reply reply) {
         Map<String, String> headers = new HashMap<>();
-        headers.put("x-request-id", ticket.requestId());
+        headers.put("x-request-id", context.requestId());
         if (reply.isProblem()) {
-            reply.body().put("requestId", ticket.requestId());
+            reply.body().put("requestId", context.requestId());
         }
         headers.put(
                 "content-type",
@@ -168,20 +168,20 @@
                                 headers.put(
                                         "retry-after",
                                         String.valueOf(ProblemWriter.retryAfterSeconds(pause))));
-        ticket.answered().accept(reply.status());
+        context.onAnswered().accept(reply.status());
         exchange.respond(
                 reply.status(), headers, reply.body().toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** What an answer carries and whom its end is told to. */
-    private record ResponseContext(String requestId, IntConsumer answered) {}
+    /** Request identifier of a response, and the listener for its status. */
+    private record ResponseContext(String requestId, IntConsumer onAnswered) {}
 
     /** Streams results as JSON lines. */
-    private record ExchangeSink(HttpExchange exchange, ResponseContext ticket)
+    private record ExchangeSink(HttpExchange exchange, ResponseContext context)
             implements JobReader.ResultSink {
         @Override
         public void refuse(Reply reply) {
-            respond(exchange, ticket, reply);
+            respond(exchange, context, reply);
         }
 
         @Override
@@ -203,14 +203,14 @@
         @Override
         public void end() {
             begin();
-            ticket.answered().accept(OK);
+            context.onAnswered().accept(OK);
             exchange.end();
         }
 
         @Override
         public void abort() {
             Logger.warn("Results can't be read from the platform; the connection is closed");
-            ticket.answered().accept(OK);
+            context.onAnswered().accept(OK);
             exchange.abort();
         }
 
@@ -222,7 +222,7 @@
                                 "content-type",
                                 "application/jsonl",
                                 "x-request-id",
-                                ticket.requestId()));
+                                context.requestId()));
             }
         }
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchJson.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchJson.java
@@ -16,7 +16,7 @@
 import org.sardinelift.core.batch.JobState;
 import org.sardinelift.core.batch.RemovalStage;
 
-/** JSON form of the objects that batch work keeps in the platform. */
+/** JSON encoding of the objects that batch work stores in the platform. */
 public final class BatchJson {
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Encodes what is decided about a job.
+     * Encodes the state of a job.
      *
      * @param state the state
      * @return value of its object of kind {@code job-state}
@@ -129,12 +129,12 @@
                 node.path("cancelled").asInt());
     }
 
-    /** Reads an object that this system wrote. */
+    /** Parses the value of an object that this system wrote. */
     static JsonNode parseStored(String json) {
         try {
             return MAPPER.readTree(json);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an object of the platform holds no JSON", e);
+            throw new IllegalStateException("a stored batch object is not valid JSON", e);
         }
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchService.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchService.java
@@ -16,7 +16,7 @@
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.runtime.ControlThread;
 
-/** Batch work on an entry: accepts jobs, runs those that fall to it, and shows results. */
+/** Batch work on an entry: accepts jobs, runs those assigned to it, and serves results. */
 public final class BatchService implements AutoCloseable {
     private final BatchControl control;
     private final BatchSettings settings;
@@ -72,16 +72,16 @@
     }
 
     /**
-     * Makes and starts batch work on an entry.
+     * Creates and starts batch work on an entry.
      *
-     * @param objects the platform's objects
-     * @param dispatcher runs the calls of items
-     * @param catalog the configuration in force
-     * @param fleet the instances taken to be live
+     * @param objects object store of the platform
+     * @param dispatcher sends the calls of items
+     * @param catalog current configuration
+     * @param fleet instances that are considered live
      * @param instance name of this entry
      * @param control the thread that owns the batch state
      * @param settings the settings
-     * @param decisions notes what becomes of jobs
+     * @param decisions records the decisions about jobs
      * @return the running service
      */
     public static BatchService start(
@@ -93,7 +93,7 @@
             ControlThread control,
             BatchSettings settings,
             JobDecisions decisions) {
-        ControlThread lengthy = ControlThread.start("batch-check");
+        ControlThread longTasks = ControlThread.start("batch-check");
         ObjectStore cached =
                 settings.dataFolder().isEmpty()
                         ? objects
@@ -101,7 +101,7 @@
                                 objects,
                                 new FolderCache(
                                         Path.of(settings.dataFolder()), settings.dataBytes()),
-                                lengthy::execute);
+                                longTasks::execute);
         BatchService service =
                 create(
                         cached,
@@ -109,10 +109,10 @@
                         catalog,
                         fleet,
                         new Holder(instance, UUID.randomUUID().toString()),
-                        BatchControl.of(control, lengthy, Clock.systemUTC()),
+                        BatchControl.of(control, longTasks, Clock.systemUTC()),
                         settings,
                         decisions);
-        service.onClose = lengthy::close;
+        service.onClose = longTasks::close;
         return service;
     }
 
@@ -143,7 +143,7 @@
     }
 
     /**
-     * Stops taking work, lets loaded chunks end, gives the jobs up to other entries and calls back.
+     * Stops claiming jobs, waits for loaded chunks, releases the jobs and calls back.
      *
      * @param done called once, on the control thread
      */
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchSettings.java
@@ -9,36 +9,36 @@
 /**
  * Settings of batch work on an entry.
  *
- * @param maxItems items in one job
- * @param maxBodyBytes body of one job, bytes
- * @param maxSubmissions jobs being accepted at once
+ * @param maxItems largest number of items in one job
+ * @param maxBodyBytes largest body of one job, bytes
+ * @param maxSubmissions largest number of submissions processed at once
  * @param packer how items are packed into objects
- * @param retry when an item is tried again
- * @param loadedChunks chunks in memory at once, those that wait for the platform included
+ * @param retry when an item is retried
+ * @param loadedChunks chunks in memory at once, including those waiting for the platform
  * @param chunksPerJob chunks of one job in memory at once
- * @param resultBytes results in memory at once, as far as they can be foreseen, bytes
- * @param maxRunning calls under way at once
- * @param itemDeadline time left for one call
- * @param maxResponseBytes answer of one call, bytes
+ * @param resultBytes estimated size of the results in memory at once, bytes
+ * @param maxRunning calls running at once
+ * @param itemDeadline time limit of one call
+ * @param maxResponseBytes largest response of one call, bytes
  * @param leasePeriod time between renewals of the lease
- * @param leaseValid time that a renewal holds for its holder
- * @param leaseTimeout time without a renewal after which others take the lease to have lapsed
- * @param claimPeriod time between looks for jobs to claim
- * @param pumpPeriod time between looks for free slots
- * @param commitDelay time for which results of several chunks are gathered into one update
+ * @param leaseValid time for which a renewal is valid for its holder
+ * @param leaseTimeout time without a renewal after which others treat the lease as lapsed
+ * @param claimPeriod time between searches for jobs to claim
+ * @param pumpPeriod time between checks for free slots
+ * @param commitDelay time in which results of several chunks are collected for one update
  * @param watchWait longest wait of one watch
- * @param watchPause pause between watches, in which changes gather
- * @param storePause first pause after the platform did not answer; doubles with each further one
- * @param storeLongestPause longest such pause
+ * @param watchPause pause between watches, in which changes accumulate
+ * @param storePause first pause after the platform did not answer; doubles each further time
+ * @param storeLongestPause longest pause after the platform did not answer
  * @param acceptAttempts attempts at a write before a job is refused
  * @param cancelGrace time for running calls to stop, and for a cancel to be confirmed
- * @param drainTimeout time for loaded chunks to end when the entry stops
- * @param retryAfter when a caller comes back after a refusal
- * @param dataFolder folder for a cache, empty for none; may be removed at any time
- * @param dataBytes files in that folder, bytes
- * @param seed seed of the jitter
+ * @param drainTimeout time for loaded chunks to complete when the entry stops
+ * @param retryAfter time after which a refused caller should retry
+ * @param dataFolder folder of the object cache, empty for none; may be deleted at any time
+ * @param dataBytes largest total size of the files in that folder, bytes
+ * @param seed seed of the jitter in pauses
  * @param retention when ended jobs are removed
- * @param sweepPause time between two calls of the platform that remove jobs
+ * @param sweepPause pause between two calls to the platform that remove jobs
  */
 public record BatchSettings(
         int maxItems,
@@ -75,10 +75,10 @@
     private static final long MS_PER_MINUTE = 60_000;
     private static final int WEEK_MINUTES = 10_080;
     private static final int YEAR_MINUTES = 527_040;
-    private static final int HOLD_MS = 600_000;
+    private static final int REMOVAL_HOLD_MS = 600_000;
 
     /**
-     * The settings in force where the file names none.
+     * Returns the settings that apply where the file names none.
      *
      * @return the defaults
      */
@@ -112,7 +112,7 @@
                 "",
                 512 * MB,
                 1,
-                new RetentionPolicy(WEEK_MINUTES * MS_PER_MINUTE, HOLD_MS),
+                new RetentionPolicy(WEEK_MINUTES * MS_PER_MINUTE, REMOVAL_HOLD_MS),
                 Duration.ofMillis(100));
     }
 
@@ -173,7 +173,7 @@
     private static RetentionPolicy retention(SettingsNode node) {
         return new RetentionPolicy(
                 node.integer("retentionMinutes", WEEK_MINUTES, 1, YEAR_MINUTES) * MS_PER_MINUTE,
-                node.integer("removalHoldMs", HOLD_MS, 1_000, Integer.MAX_VALUE));
+                node.integer("removalHoldMs", REMOVAL_HOLD_MS, 1_000, Integer.MAX_VALUE));
     }
 
     private static void check(BatchSettings read, SettingsNode node) {
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchWorker.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchWorker.java
@@ -19,10 +19,10 @@
 import org.sardinelift.core.outcome.ProblemKind;
 import org.sardinelift.entry.call.CallDispatcher;
 
-/** Runs the items of the jobs that this entry holds, within bounds of memory and free slots. */
+/** Runs the items of the jobs that this entry holds, within limits of memory and free slots. */
 final class BatchWorker {
-    /** Share of the largest chunk by which its memory fades with each smaller one. */
-    private static final int DECAY = 16;
+    /** Divisor of the step by which each smaller chunk lowers the estimated chunk size. */
+    private static final int CHUNK_SIZE_DECAY_DIVISOR = 16;
 
     private final JobStore store;
     private final BatchSettings settings;
@@ -35,12 +35,12 @@
     private final Map<String, JobRun> runs = new HashMap<>();
     private final BatchScheduler<ItemRun> scheduler = BatchScheduler.create();
     private final Holder self;
-    private long marks;
+    private long writeIds;
     private long chunkBytes;
-    private int running;
-    private boolean draining;
-    private boolean loadScheduled;
-    private boolean pumpScheduled;
+    private int runningCalls;
+    private boolean isDraining;
+    private boolean isLoadScheduled;
+    private boolean isDispatchScheduled;
 
     BatchWorker(
             JobStore store,
@@ -61,13 +61,13 @@
         this.listener = listener;
     }
 
-    /** Hears of runs that are over. */
+    /** Is notified of job runs that have ended. */
     interface JobRunListener {
         void onRunEnded(JobRun run, JobState state);
     }
 
     void start() {
-        control().repeat(settings.pumpPeriod(), this::pump);
+        control().repeat(settings.pumpPeriod(), this::dispatchItems);
     }
 
     JobStore store() {
@@ -86,14 +86,14 @@
         return runs;
     }
 
-    /** A mark for result objects that no other attempt uses. */
+    /** Returns an identifier for result objects that no other attempt uses. */
     String nextWriteId(long fence) {
-        marks++;
-        return fence + "-" + self.incarnation() + "-" + marks;
+        writeIds++;
+        return fence + "-" + self.incarnation() + "-" + writeIds;
     }
 
-    void startJob(JobHeader header, JobStateUpdater cell, JobState claimed) {
-        JobRun run = new JobRun(this, header, cell, claimed);
+    void startJob(JobHeader header, JobStateUpdater stateUpdater, JobState claimed) {
+        JobRun run = new JobRun(this, header, stateUpdater, claimed);
         runs.put(header.id(), run);
         run.start();
     }
@@ -104,21 +104,21 @@
         scheduleLoad();
     }
 
-    /** Checks every claim again after the lease had lapsed. */
+    /** Confirms every claim after the lease had lapsed. */
     void confirmClaims() {
         List.copyOf(runs.values()).forEach(JobRun::confirmClaim);
     }
 
-    /** Loads no further chunk. */
+    /** Stops loading chunks. */
     void drain() {
-        draining = true;
+        isDraining = true;
     }
 
     boolean isIdle() {
         return runs.values().stream().allMatch(run -> run.chunksInMemory() == 0);
     }
 
-    /** Reads the lines of a chunk with the services of today, away from the control thread. */
+    /** Parses the lines of a chunk with the current catalog, off the control thread. */
     void parseChunk(JobHeader header, String chunk, Consumer<List<BatchItem>> done) {
         control()
                 .offload(
@@ -129,14 +129,14 @@
     }
 
     private List<BatchItem> parseLines(JobHeader header, String chunk) {
-        ItemParser reader = new ItemParser(catalog.get(), plan(header.team()));
+        ItemParser parser = new ItemParser(catalog.get(), plan(header.team()));
         return chunk.lines()
                 .map(
                         line -> {
-                            ItemParser.ParsedLine read = reader.parse(line);
-                            return read instanceof ItemParser.ParsedLine.Valid valid
+                            ItemParser.ParsedLine parsed = parser.parse(line);
+                            return parsed instanceof ItemParser.ParsedLine.Valid valid
                                     ? valid.item()
-                                    : unroutable((ItemParser.ParsedLine.Invalid) read, line);
+                                    : unroutable((ItemParser.ParsedLine.Invalid) parsed, line);
                         })
                 .toList();
     }
@@ -167,15 +167,15 @@
     }
 
     void scheduleLoad() {
-        if (!loadScheduled) {
-            loadScheduled = true;
+        if (!isLoadScheduled) {
+            isLoadScheduled = true;
             control().execute(this::loadChunks);
         }
     }
 
     private void loadChunks() {
-        loadScheduled = false;
-        if (draining || catalog.get().revision() == 0) {
+        isLoadScheduled = false;
+        if (isDraining || catalog.get().revision() == 0) {
             return;
         }
         int inMemory = runs.values().stream().mapToInt(JobRun::chunksInMemory).sum();
@@ -203,16 +203,19 @@
         }
     }
 
-    /** Chunks that fit the memory if each brings results as large as those seen lately. */
+    /** Number of chunks that fit into memory if each has results as large as recent chunks had. */
     private int chunkLimit() {
         long byMemory = settings.resultBytes() / Math.max(1, chunkBytes);
         return (int) Math.max(1, Math.min(settings.loadedChunks(), byMemory));
     }
 
-    /** A chunk's results were committed and leave the memory. */
+    /** Updates the estimated chunk size when a chunk's results leave memory. */
     void onChunkCommitted(@Nullable ChunkRun chunk) {
         if (chunk != null) {
-            chunkBytes = Math.max(chunk.resultBytes(), chunkBytes - chunkBytes / DECAY);
+            chunkBytes =
+                    Math.max(
+                            chunk.resultBytes(),
+                            chunkBytes - chunkBytes / CHUNK_SIZE_DECAY_DIVISOR);
         }
     }
 
@@ -221,25 +224,25 @@
         return (double) byTeam.getOrDefault(team, 0) / Math.max(1, plan(team).batchWeight());
     }
 
-    void schedulePump() {
-        if (!pumpScheduled) {
-            pumpScheduled = true;
+    void scheduleDispatch() {
+        if (!isDispatchScheduled) {
+            isDispatchScheduled = true;
             control()
                     .execute(
                             () -> {
-                                pumpScheduled = false;
-                                pump();
+                                isDispatchScheduled = false;
+                                dispatchItems();
                             });
         }
     }
 
-    private void pump() {
+    private void dispatchItems() {
         long now = control().nanos();
         if (!lease.ownLease().mayStartRepeatable(now) || scheduler.waitingCount() == 0) {
             return;
         }
         FreeSlots slots = new FreeSlots(lease.ownLease().isValid(now), loads());
-        while (running < settings.maxRunning()) {
+        while (runningCalls < settings.maxRunning()) {
             Optional<ItemRun> next = scheduler.dequeue(slots::canStart);
             if (next.isEmpty()) {
                 return;
@@ -254,7 +257,7 @@
         return laneLoads.withWaiting(scheduler.waitingByLane());
     }
 
-    /** The free slots as seen at one moment, less those taken since. */
+    /** The free slots as of one moment, minus those used since. */
     private final class FreeSlots {
         private final boolean leaseValid;
         private final Map<String, Map<String, LaneShares.Load>> loads;
@@ -309,66 +312,66 @@
         Optional<TeamPlan> team =
                 Optional.ofNullable(catalog.get().teams().get(item.run().header().team()));
         if (team.isEmpty() || !catalog.get().services().containsKey(item.item().service())) {
-            item.run().endItem(item, noService(item));
+            item.run().endItem(item, noServiceLine(item));
             return;
         }
         laneLoads.onStarted(lane(item.item()), item.run().header().team());
         int attempt = item.startAttempt();
-        running++;
+        runningCalls++;
         ItemResponseCollector call =
                 new ItemResponseCollector(
                         settings.maxResponseBytes(),
-                        answer -> control().execute(() -> onAnswer(item, answer)));
+                        result -> control().execute(() -> onAttemptEnded(item, result)));
         item.onDispatched(
                 dispatcher.dispatch(
                         CallSpecFactory.create(item, attempt, team.get(), catalog.get(), settings),
                         call));
     }
 
-    private static ResultLine noService(ItemRun item) {
+    private static ResultLine noServiceLine(ItemRun item) {
         String reason =
                 item.item().isRoutable()
-                        ? "no service takes " + item.item().url() + " for this team any more"
+                        ? "no service accepts " + item.item().url() + " for this team any more"
                         : item.item().body();
         return ResultLine.failed(
                 item.item().customId(), Problem.notRun(ProblemKind.NOT_FOUND, reason));
     }
 
-    private void onAnswer(ItemRun item, ItemResponseCollector.Result answer) {
-        running--;
+    private void onAttemptEnded(ItemRun item, ItemResponseCollector.Result result) {
+        runningCalls--;
         laneLoads.onEnded(lane(item.item()), item.run().header().team());
-        if (answer instanceof ItemResponseCollector.Result.Failed failed
+        if (result instanceof ItemResponseCollector.Result.Failed failed
                 && failed.problem().kind() == ProblemKind.BODY_TOO_LARGE) {
             item.cancel("the answer is too large");
         }
-        item.run().onAttemptEnded(item, answer);
-        schedulePump();
+        item.run().onAttemptEnded(item, result);
+        scheduleDispatch();
     }
 
-    /** Gives every job up to other entries; calls back once that is confirmed, or after a time. */
+    /** Releases all jobs to other entries; calls back when confirmed or at the drain timeout. */
     void release(Runnable done) {
-        List<JobRun> held = List.copyOf(runs.values());
-        int[] missing = {held.size()};
-        Runnable once =
+        List<JobRun> heldRuns = List.copyOf(runs.values());
+        int[] remaining = {heldRuns.size()};
+        Runnable callOnce =
                 () -> {
-                    boolean first = missing[0] >= 0;
-                    missing[0] = -1;
+                    boolean first = remaining[0] >= 0;
+                    remaining[0] = -1;
                     if (first) {
                         done.run();
                     }
                 };
-        if (held.isEmpty()) {
-            once.run();
+        if (heldRuns.isEmpty()) {
+            callOnce.run();
             return;
         }
-        control().schedule(settings.drainTimeout(), once);
-        held.forEach(
+        control().schedule(settings.drainTimeout(), callOnce);
+        heldRuns.forEach(
                 run ->
                         run.release(
                                 () -> {
-                                    missing[0]--;
-                                    if (missing[0] == 0) {
-                                        once.run();
+                                    remaining[0]--;
+                                    if (remaining[0] == 0) {
+                                        callOnce.run();
                                     }
                                 }));
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/CachedObjectStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/CachedObjectStore.java
@@ -12,19 +12,19 @@
 import org.sardinelift.objects.WatchResult;
 import org.sardinelift.objects.WriteResult;
 
-/** The platform with a cache of the objects of batch work that never change once written. */
+/** Object store with a disk cache for the batch objects that never change once written. */
 final class CachedObjectStore implements ObjectStore {
     private static final Set<String> IMMUTABLE_KINDS =
             Set.of(JobHeader.CHUNK_KIND, ResultWriter.KIND);
 
     private final ObjectStore store;
     private final FolderCache cache;
-    private final Executor files;
+    private final Executor fileExecutor;
 
     CachedObjectStore(ObjectStore store, FolderCache cache, Executor files) {
         this.store = store;
         this.cache = cache;
-        this.files = files;
+        this.fileExecutor = files;
     }
 
     @Override
@@ -32,7 +32,7 @@
         if (!IMMUTABLE_KINDS.contains(key.kind())) {
             return store.read(key);
         }
-        return CompletableFuture.supplyAsync(() -> cache.find(key), files)
+        return CompletableFuture.supplyAsync(() -> cache.find(key), fileExecutor)
                 .thenCompose(
                         found ->
                                 found.isPresent()
@@ -43,7 +43,7 @@
 
     private ReadResult cacheFound(ReadResult result) {
         if (result instanceof ReadResult.Found found) {
-            files.execute(() -> cache.put(found.object()));
+            fileExecutor.execute(() -> cache.put(found.object()));
         }
         return result;
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/CallSpecFactory.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/CallSpecFactory.java
@@ -8,7 +8,7 @@
 import org.sardinelift.core.poison.Fingerprint;
 import org.sardinelift.entry.call.CallSpec;
 
-/** Makes the calls of items. */
+/** Builds the call of one attempt at a batch item. */
 final class CallSpecFactory {
     private CallSpecFactory() {}
 
@@ -41,7 +41,7 @@
                 traceparent(requestId));
     }
 
-    /** A root span that is the same however often it is worked out. */
+    /** Trace context of a root span, derived from the request id so that it is always the same. */
     private static String traceparent(String requestId) {
         String hash = Digests.sha256(requestId);
         return "00-" + hash.substring(0, 32) + "-" + hash.substring(32, 48) + "-01";
--- a/entry/src/main/java/org/sardinelift/entry/batch/ChunkRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ChunkRun.java
@@ -9,7 +9,7 @@
 import org.sardinelift.core.batch.ChunkResult;
 import org.sardinelift.core.outcome.RunOutcome;
 
-/** One chunk of a job in memory: its items and how they ended. */
+/** One chunk of a job in memory: its items and their results. */
 final class ChunkRun {
     private final int number;
     private final List<ItemRun> items = new ArrayList<>();
@@ -18,12 +18,12 @@
     private int resultBytes;
     private boolean sealed;
 
-    ChunkRun(JobRun run, int number, List<BatchItem> read) {
+    ChunkRun(JobRun run, int number, List<BatchItem> batchItems) {
         this.number = number;
-        this.lines = new ResultLine[read.size()];
-        this.openItems = read.size();
-        for (int index = 0; index < read.size(); index++) {
-            items.add(new ItemRun(run, this, index, read.get(index)));
+        this.lines = new ResultLine[batchItems.size()];
+        this.openItems = batchItems.size();
+        for (int index = 0; index < batchItems.size(); index++) {
+            items.add(new ItemRun(run, this, index, batchItems.get(index)));
         }
     }
 
@@ -35,7 +35,7 @@
         return items;
     }
 
-    /** Results held so far, about bytes. */
+    /** Approximate size of the results so far, bytes. */
     int resultBytes() {
         return resultBytes;
     }
@@ -44,12 +44,12 @@
         return openItems;
     }
 
-    /** Whether the results were packed. */
+    /** Whether the results were packed and can no longer change. */
     boolean sealed() {
         return sealed;
     }
 
-    /** Notes how an item ended; only the first end counts. */
+    /** Records the result of an item; only the first one counts. */
     boolean recordEnd(int index, ResultLine line) {
         if (sealed || lines[index] != null) {
             return false;
@@ -60,7 +60,7 @@
         return true;
     }
 
-    /** Ends what is open as cancelled. */
+    /** Records all open items as cancelled. */
     void cancelOpenItems() {
         items.forEach(
                 item -> {
@@ -79,7 +79,7 @@
                 .anyMatch(line -> line != null && line.status() != ResultLine.Status.CANCELLED);
     }
 
-    /** Packs the results into the values of objects; nothing changes after that. */
+    /** Packs the results into object values; no result is accepted after that. */
     List<String> seal(int maxBytes) {
         sealed = true;
         List<String> parts = new ArrayList<>();
@@ -100,9 +100,9 @@
         return parts;
     }
 
-    ChunkResult result(String mark, int parts) {
+    ChunkResult result(String writeId, int parts) {
         return new ChunkResult(
-                mark,
+                writeId,
                 parts,
                 count(ResultLine.Status.COMPLETED),
                 count(ResultLine.Status.FAILED),
--- a/entry/src/main/java/org/sardinelift/entry/batch/Digests.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/Digests.java
@@ -5,7 +5,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Content digests (SHA-256). */
+/** SHA-256 digest of text. */
 final class Digests {
     private static final String ALGORITHM = "SHA-256";
 
@@ -15,12 +15,13 @@
         this.digest = digest;
     }
 
-    /** A digest of text that comes in parts. */
+    /** Creates a digest of text that is added in parts. */
     static Digests create() {
         try {
             return new Digests(MessageDigest.getInstance(ALGORITHM));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(ALGORITHM + " is part of every Java 17", e);
+            throw new IllegalStateException(
+                    ALGORITHM + " is missing, though part of every Java 17", e);
         }
     }
 
@@ -33,8 +34,8 @@
     }
 
     static String sha256(String text) {
-        Digests whole = create();
-        whole.update(text);
-        return whole.hexDigest();
+        Digests digests = create();
+        digests.update(text);
+        return digests.hexDigest();
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/Expiry.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/Expiry.java
@@ -5,24 +5,24 @@
 import org.sardinelift.objects.StoredObject;
 
 /**
- * Says when to look at a job for its removal. The name starts with the time, so that those that are
- * due are listed without the others.
+ * Time at which a job is checked for removal. The object's name starts with the shard and the time
+ * bucket, so that the expiries that are due are listed without the others.
  *
  * @param team team of the job
  * @param id the job
- * @param createdMs when it was accepted, epoch milliseconds; tells its lives apart
- * @param chunkSet start of the names of its chunks
- * @param chunks number of its chunks
- * @param dueMs when to look, epoch milliseconds
+ * @param createdMs time of acceptance, epoch milliseconds; differs for jobs with the same job key
+ * @param chunkSet name prefix of its chunks
+ * @param chunkCount number of its chunks
+ * @param dueMs time of the check, epoch milliseconds
  */
 record Expiry(String team, String id, long createdMs, String chunkSet, int chunkCount, long dueMs) {
     /** Kind of these objects. */
     static final String KIND = "job-expiry";
 
-    /** Parts into which jobs are divided; each is swept by one entry at a time. */
+    /** Number of shards of the expiries; each is swept by one entry at a time. */
     static final int SHARDS = 8;
 
-    /** Time that is listed together, milliseconds. */
+    /** Length of a time bucket, whose expiries are listed together, milliseconds. */
     static final long BUCKET_MS = 60_000;
 
     static Expiry of(JobHeader header, long dueMs) {
--- a/entry/src/main/java/org/sardinelift/entry/batch/FolderCache.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/FolderCache.java
@@ -14,8 +14,8 @@
 import org.tinylog.Logger;
 
 /**
- * Bounded cache of objects that never change, in a folder that may vanish at any time. Each file
- * starts with the digest of the rest; a file that does not match is ignored and deleted.
+ * Size-limited disk cache of immutable objects, in a folder that may be deleted at any time. Each
+ * file starts with the digest of the rest; a file that does not match is ignored and deleted.
  */
 final class FolderCache {
     private static final String SUFFIX = ".object";
@@ -23,16 +23,16 @@
 
     private final Path folder;
     private final long maxBytes;
-    private long bytes = -1;
+    private long cachedBytes = -1;
 
     FolderCache(Path folder, long maxBytes) {
         this.folder = folder;
         this.maxBytes = maxBytes;
     }
 
-    /** The object as it was kept, or empty where it was not or the file is damaged. */
+    /** Returns the cached object, or empty if there is none or its file is damaged. */
     synchronized Optional<StoredObject> find(ObjectKey key) {
-        Path file = file(key);
+        Path file = cacheFile(key);
         try {
             if (!Files.exists(file)) {
                 return Optional.empty();
@@ -40,36 +40,40 @@
             String text = Files.readString(file);
             String content = text.substring(Math.min(DIGEST_CHARS, text.length()));
             if (text.startsWith(Digests.sha256(content))) {
-                return Optional.of(object(key, content));
+                return Optional.of(decode(key, content));
             }
-            Logger.warn("Cached {} is damaged; it is read from the platform", key);
+            Logger.warn("Cached {} is damaged; reading it from the platform", key);
             Files.deleteIfExists(file);
         } catch (IOException e) {
-            Logger.warn("Cached {} can't be read ({}); the platform is asked", key, e.getMessage());
+            Logger.warn(
+                    "Cached {} can't be read ({}); reading it from the platform",
+                    key,
+                    e.getMessage());
         }
         return Optional.empty();
     }
 
-    /** Keeps an object, best effort; the oldest files go where the bound is passed. */
+    /** Stores an object, best effort; deletes the oldest files when the limit is exceeded. */
     synchronized void put(StoredObject object) {
         String content = object.version() + " " + object.revision() + "\n" + object.value();
         byte[] encoded = (Digests.sha256(content) + content).getBytes(StandardCharsets.UTF_8);
         try {
             Files.createDirectories(folder);
-            Path part = folder.resolve(file(object.key()).getFileName() + ".part");
-            Files.write(part, encoded);
-            Files.move(part, file(object.key()), StandardCopyOption.REPLACE_EXISTING);
-            bytes = bytes < 0 ? Long.MAX_VALUE : bytes + encoded.length;
-            if (bytes > maxBytes) {
-                shrink();
+            Path partFile = folder.resolve(cacheFile(object.key()).getFileName() + ".part");
+            Files.write(partFile, encoded);
+            Files.move(partFile, cacheFile(object.key()), StandardCopyOption.REPLACE_EXISTING);
+            cachedBytes = cachedBytes < 0 ? Long.MAX_VALUE : cachedBytes + encoded.length;
+            if (cachedBytes > maxBytes) {
+                deleteOldest();
             }
         } catch (IOException e) {
-            bytes = -1;
-            Logger.warn("{} can't be cached ({}); work goes on", object.key(), e.getMessage());
+            cachedBytes = -1;
+            Logger.warn(
+                    "{} can't be cached ({}); continuing without it", object.key(), e.getMessage());
         }
     }
 
-    private void shrink() throws IOException {
+    private void deleteOldest() throws IOException {
         List<Path> oldestFirst;
         try (Stream<Path> files = Files.list(folder)) {
             oldestFirst =
@@ -77,17 +81,17 @@
                             .sorted(Comparator.comparingLong(file -> file.toFile().lastModified()))
                             .toList();
         }
-        bytes = oldestFirst.stream().mapToLong(file -> file.toFile().length()).sum();
+        cachedBytes = oldestFirst.stream().mapToLong(file -> file.toFile().length()).sum();
         for (Path file : oldestFirst) {
-            if (bytes <= maxBytes) {
+            if (cachedBytes <= maxBytes) {
                 return;
             }
-            bytes -= file.toFile().length();
+            cachedBytes -= file.toFile().length();
             Files.deleteIfExists(file);
         }
     }
 
-    private static StoredObject object(ObjectKey key, String content) {
+    private static StoredObject decode(ObjectKey key, String content) {
         int end = content.indexOf('\n');
         String[] numbers = content.substring(0, end).split(" ");
         return new StoredObject(
@@ -97,7 +101,7 @@
                 content.substring(end + 1));
     }
 
-    private Path file(ObjectKey key) {
+    private Path cacheFile(ObjectKey key) {
         return folder.resolve(Digests.sha256(key.kind() + "\n" + key.name()) + SUFFIX);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/ItemParser.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ItemParser.java
@@ -12,15 +12,15 @@
 import org.sardinelift.core.catalog.TeamPlan;
 import org.sardinelift.core.poison.Fingerprint;
 
-/** Reads one line of a job and finds the service that runs it. */
+/** Parses one line of a job and finds the service that runs it. */
 final class ItemParser {
-    private static final String PLAIN_PREFIX = "/services/";
+    private static final String PLAIN_SERVICE_PREFIX = "/services/";
     private static final Set<String> ENGINE_PATHS =
             Set.of("/v1/chat/completions", "/v1/completions");
     private static final Set<String> METHODS =
             Set.of("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE");
     private static final int MAX_CUSTOM_ID_CHARS = 256;
-    private static final int PREFIX_CHARS = 256;
+    private static final int PROMPT_PREFIX_CHARS = 256;
 
     private final Catalog catalog;
     private final TeamPlan team;
@@ -30,12 +30,12 @@
         this.team = team;
     }
 
-    /** What a line holds. */
+    /** Outcome of parsing a line. */
     sealed interface ParsedLine {
         /** A line that can be run. */
         record Valid(BatchItem item) implements ParsedLine {}
 
-        /** A line that can't, with the reason. */
+        /** A line that cannot be run, with the reason. */
         record Invalid(String customId, String reason) implements ParsedLine {}
     }
 
@@ -75,8 +75,8 @@
 
     private ParsedLine route(String customId, JsonNode node, String line) {
         String url = node.path("url").asText();
-        if (url.startsWith(PLAIN_PREFIX)) {
-            return plain(customId, node, line, url);
+        if (url.startsWith(PLAIN_SERVICE_PREFIX)) {
+            return parsePlain(customId, node, line, url);
         }
         if (!ENGINE_PATHS.contains(url) || !node.path("method").asText().equals("POST")) {
             return new ParsedLine.Invalid(
@@ -84,10 +84,10 @@
                     "url must be POST /v1/chat/completions, POST /v1/completions or"
                             + " /services/NAME/...");
         }
-        return engine(customId, node, line, url);
+        return parseEngine(customId, node, line, url);
     }
 
-    private ParsedLine engine(String customId, JsonNode node, String line, String url) {
+    private ParsedLine parseEngine(String customId, JsonNode node, String line, String url) {
         JsonNode body = node.path("body");
         String model = body.path("model").asText("");
         Optional<ServiceSpec> service = catalog.serviceOfModel(model);
@@ -110,12 +110,12 @@
                         url,
                         body.toString(),
                         true,
-                        prefix(model, body),
+                        promptPrefixGroup(model, body),
                         line));
     }
 
-    private ParsedLine plain(String customId, JsonNode node, String line, String url) {
-        String rest = url.substring(PLAIN_PREFIX.length());
+    private ParsedLine parsePlain(String customId, JsonNode node, String line, String url) {
+        String rest = url.substring(PLAIN_SERVICE_PREFIX.length());
         int slash = rest.indexOf('/');
         String name = slash < 0 ? rest : rest.substring(0, slash);
         ServiceSpec service = catalog.services().get(name);
@@ -138,13 +138,13 @@
                         line));
     }
 
-    private static String prefix(String model, JsonNode body) {
+    private static String promptPrefixGroup(String model, JsonNode body) {
         String prompt = body.path(body.has("messages") ? "messages" : "prompt").toString();
-        return prompt.length() < PREFIX_CHARS
+        return prompt.length() < PROMPT_PREFIX_CHARS
                 ? ""
                 : Fingerprint.of(
                         "",
                         model,
-                        prompt.substring(0, PREFIX_CHARS).getBytes(StandardCharsets.UTF_8));
+                        prompt.substring(0, PROMPT_PREFIX_CHARS).getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/ItemResponseCollector.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ItemResponseCollector.java
@@ -9,12 +9,12 @@
 import org.sardinelift.core.outcome.RunOutcome;
 import org.sardinelift.entry.call.CallListener;
 
-/** Gathers the answer of one attempt at an item, within a bound, and hands it over once. */
+/** Collects the response of one attempt at an item, up to a size limit, and reports it once. */
 final class ItemResponseCollector implements CallListener {
     private final int maxBytes;
     private final Consumer<Result> done;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private final AtomicBoolean ended = new AtomicBoolean();
+    private final AtomicBoolean hasEnded = new AtomicBoolean();
     private volatile int status;
 
     ItemResponseCollector(int maxBytes, Consumer<Result> done) {
@@ -22,18 +22,18 @@
         this.done = done;
     }
 
-    /** What came of an attempt. */
+    /** Result of an attempt. */
     sealed interface Result {
-        /** The whole answer. */
+        /** A complete response. */
         record Complete(int status, byte[] body) implements Result {}
 
-        /** No whole answer. */
+        /** No complete response. */
         record Failed(Problem problem) implements Result {}
     }
 
     @Override
-    public void onHead(int answerStatus, Map<String, String> headers) {
-        status = answerStatus;
+    public void onHead(int responseStatus, Map<String, String> headers) {
+        status = responseStatus;
     }
 
     @Override
@@ -60,9 +60,9 @@
         end(new Result.Failed(problem));
     }
 
-    private void end(Result answer) {
-        if (ended.compareAndSet(false, true)) {
-            done.accept(answer);
+    private void end(Result result) {
+        if (hasEnded.compareAndSet(false, true)) {
+            done.accept(result);
         }
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/ItemRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ItemRun.java
@@ -3,16 +3,16 @@
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.entry.call.CallHandle;
 
-/** One item of a loaded chunk. Owned by the control thread. */
+/** One item of a loaded chunk and its attempts. Used on the control thread only. */
 final class ItemRun {
     private final JobRun run;
     private final ChunkRun chunk;
     private final int index;
     private final BatchItem item;
-    private @Nullable CallHandle onDispatched;
+    private @Nullable CallHandle handle;
     private int failures;
     private int postponements;
-    private int starts;
+    private int attempts;
     private boolean isRunning;
 
     ItemRun(JobRun run, ChunkRun chunk, int index, BatchItem item) {
@@ -47,7 +47,7 @@
     }
 
     boolean wasStarted() {
-        return starts > 0;
+        return attempts > 0;
     }
 
     boolean isRunning() {
@@ -57,17 +57,17 @@
     /** Starts an attempt and returns its number. */
     int startAttempt() {
         isRunning = true;
-        starts++;
-        return starts;
+        attempts++;
+        return attempts;
     }
 
     void onDispatched(CallHandle call) {
-        onDispatched = call;
+        handle = call;
     }
 
     void onAttemptEnded() {
         isRunning = false;
-        onDispatched = null;
+        handle = null;
     }
 
     void countFailure() {
@@ -79,7 +79,7 @@
     }
 
     void cancel(String reason) {
-        CallHandle call = onDispatched;
+        CallHandle call = handle;
         if (isRunning && call != null) {
             call.cancel(reason);
         }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobAcceptance.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobAcceptance.java
@@ -17,11 +17,12 @@
 import org.sardinelift.objects.WriteResult;
 
 /**
- * Accepts jobs: chunks first, then the header, then the marker that makes the job run. Each is the
- * same whoever writes it, so a job sent again, also to other entries at once, is one job.
+ * Accepts jobs: writes the chunks, then the header, then the marker that makes the job run. Each
+ * object is the same whichever entry writes it, so a job that is sent again, even to several
+ * entries at once, remains one job.
  */
 final class JobAcceptance {
-    private static final int PARALLEL_CHUNKS = 8;
+    private static final int PARALLEL_CHUNK_WRITES = 8;
     private static final int OK = 200;
     private static final int CREATED = 201;
 
@@ -53,7 +54,7 @@
                     Reply.problem(
                             Problem.notRun(
                                     ProblemKind.OVERLOADED,
-                                    "this entry accepts "
+                                    "this entry accepts at most "
                                             + settings.maxSubmissions()
                                             + " jobs at once",
                                     settings.retryAfter())));
@@ -85,14 +86,14 @@
         }
     }
 
-    /** One job on its way into the platform. */
+    /** Writes one submission to the platform. */
     private final class SubmissionWriter {
         private final JobHeader header;
         private final List<List<Submission.StoredLine>> chunks;
         private final Consumer<Reply> done;
-        private int next;
-        private int written;
-        private boolean refused;
+        private int nextChunk;
+        private int writtenChunks;
+        private boolean isRefused;
         private final long startedNanos = store.control().nanos();
 
         SubmissionWriter(
@@ -124,17 +125,17 @@
                 replyUnavailable(RunOutcome.NOT_RUN);
                 return;
             }
-            for (int i = 0; i < PARALLEL_CHUNKS; i++) {
+            for (int i = 0; i < PARALLEL_CHUNK_WRITES; i++) {
                 writeChunk();
             }
         }
 
         private void writeChunk() {
-            if (next == chunks.size() || refused) {
+            if (nextChunk == chunks.size() || isRefused) {
                 return;
             }
-            int number = next;
-            next++;
+            int number = nextChunk;
+            nextChunk++;
             String value =
                     chunks.get(number).stream()
                             .map(Submission.StoredLine::json)
@@ -143,16 +144,16 @@
         }
 
         private void onChunk(JobStore.CreateResult creation) {
-            if (refused) {
+            if (isRefused) {
                 return;
             }
             if (!creation.isPresent()) {
-                refused = true;
+                isRefused = true;
                 replyUnavailable(RunOutcome.NOT_RUN);
                 return;
             }
-            written++;
-            if (written < chunks.size()) {
+            writtenChunks++;
+            if (writtenChunks < chunks.size()) {
                 writeChunk();
             } else if (store.control().nanos() - startedNanos
                     > settings.removalStepDelay().toNanos()) {
@@ -214,20 +215,25 @@
             }
         }
 
-        /** A read may be stale; only where the job key is certainly not taken yet that is said. */
+        /**
+         * Refuses a job whose key belongs to a job that is being removed. The read may be stale, so
+         * the job is reported as not run only if the stage is confirmed.
+         */
         private void refuseWhileRemoved(StoredObject object) {
             store.delete(
                     object.key(),
                     Long.MAX_VALUE,
                     result -> {
-                        boolean certain =
+                        boolean isConfirmed =
                                 result instanceof WriteResult.Conflict conflict
                                         && conflict.actualVersion() == object.version();
                         done.accept(
                                 Reply.problem(
                                         new Problem(
                                                 ProblemKind.CONFLICT,
-                                                certain ? RunOutcome.NOT_RUN : RunOutcome.UNKNOWN,
+                                                isConfirmed
+                                                        ? RunOutcome.NOT_RUN
+                                                        : RunOutcome.UNKNOWN,
                                                 "the former job with this job key has expired and"
                                                         + " is being removed; send the job again",
                                                 Optional.of(settings.retryAfter()))));
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobCanceller.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobCanceller.java
@@ -8,7 +8,7 @@
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.ReadResult;
 
-/** Cancels jobs, whichever entry runs them, and confirms once the cancel holds. */
+/** Cancels jobs, whichever entry runs them, and confirms once the cancel is in effect. */
 final class JobCanceller {
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
@@ -29,18 +29,18 @@
         reader.findHeader(team, id, header -> new CancelRequest(header, done).start(), done);
     }
 
-    /** One cancel on its way. */
+    /** One cancel request in progress. */
     private final class CancelRequest {
         private final JobHeader header;
         private final Consumer<Reply> done;
-        private final JobStateUpdater cell;
+        private final JobStateUpdater stateUpdater;
         private final long deadline;
-        private boolean answered;
+        private boolean isAnswered;
 
         CancelRequest(JobHeader header, Consumer<Reply> done) {
             this.header = header;
             this.done = done;
-            this.cell =
+            this.stateUpdater =
                     new JobStateUpdater(store, header.id(), () -> JobClaimer.initialState(header));
             this.deadline =
                     store.control().nanos() + settings.cancelGrace().multipliedBy(2).toNanos();
@@ -48,7 +48,7 @@
 
         void start() {
             store.control().schedule(settings.cancelGrace().multipliedBy(2), this::onDeadline);
-            cell.update(JobState::requestCancel, this::onRequested);
+            stateUpdater.update(JobState::requestCancel, this::onRequested);
         }
 
         private void onRequested(JobState state) {
@@ -62,7 +62,8 @@
             if (state.phase().isTerminal()) {
                 answer(replyFor(state));
             } else if (store.control().nanos() < deadline) {
-                store.control().schedule(settings.watchPause(), () -> cell.refresh(this::poll));
+                store.control()
+                        .schedule(settings.watchPause(), () -> stateUpdater.refresh(this::poll));
             }
         }
 
@@ -76,10 +77,10 @@
         }
 
         private void onDeadline() {
-            if (answered) {
+            if (isAnswered) {
                 return;
             }
-            cell.close();
+            stateUpdater.close();
             reader.readState(
                     header,
                     state ->
@@ -91,14 +92,14 @@
         }
 
         private void answer(Reply reply) {
-            if (!answered) {
-                answered = true;
-                cell.close();
+            if (!isAnswered) {
+                isAnswered = true;
+                stateUpdater.close();
                 done.accept(reply);
             }
         }
 
-        /** Tells the holder through the marker, which every entry watches. */
+        /** Notifies the holder through the marker, which every entry watches. */
         private void notifyHolder() {
             OpenJobs.Marker marker = new OpenJobs.Marker(header.id(), header.team(), true);
             store.read(
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobClaimer.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobClaimer.java
@@ -19,7 +19,7 @@
 import org.sardinelift.objects.ReadResult;
 import org.tinylog.Logger;
 
-/** Claims open jobs that no live entry holds and that fall to this entry. */
+/** Claims open jobs that no live entry holds and that are assigned to this entry. */
 final class JobClaimer {
     private final JobStore store;
     private final Holder self;
@@ -29,10 +29,10 @@
     private final BatchWorker worker;
     private final LeaseRenewer lease;
     private final Supplier<FleetView> fleet;
-    private final Map<String, Holder> heldBy = new HashMap<>();
-    private final Set<String> claiming = new HashSet<>();
+    private final Map<String, Holder> holderByJob = new HashMap<>();
+    private final Set<String> claimsInProgress = new HashSet<>();
     private final JobDecisions decisions;
-    private boolean draining;
+    private boolean isDraining;
 
     JobClaimer(
             JobStore store,
@@ -56,21 +56,21 @@
     }
 
     void drain() {
-        draining = true;
+        isDraining = true;
     }
 
-    /** Looks for jobs to claim; reads nothing of jobs that fall to others. */
+    /** Claims available jobs; reads nothing of jobs that are assigned to other entries. */
     void claimJobs() {
         shares.retainEntries(leases.liveInstances(store.control().nanos()));
-        heldBy.keySet().retainAll(jobs.markers().keySet());
-        if (draining || !lease.ownLease().isValid(store.control().nanos())) {
+        holderByJob.keySet().retainAll(jobs.markers().keySet());
+        if (isDraining || !lease.ownLease().isValid(store.control().nanos())) {
             return;
         }
         List<String> eligible = eligibleEntries();
         List.copyOf(jobs.markers().values()).stream()
                 .filter(marker -> !worker.runs().containsKey(marker.id()))
-                .filter(marker -> !claiming.contains(marker.id()))
-                .filter(marker -> isClaimable(heldBy.getOrDefault(marker.id(), Holder.NONE)))
+                .filter(marker -> !claimsInProgress.contains(marker.id()))
+                .filter(marker -> isClaimable(holderByJob.getOrDefault(marker.id(), Holder.NONE)))
                 .filter(marker -> isAssignedHere(marker.id(), eligible))
                 .forEach(this::claim);
     }
@@ -79,7 +79,7 @@
         return EntryRendezvous.choose(job, eligible).filter(self.instance()::equals).isPresent();
     }
 
-    /** Entries that may take work. */
+    /** Entries to which work may be assigned. */
     List<String> eligibleEntries() {
         Set<String> leaving =
                 fleet.get().entries().stream()
@@ -98,7 +98,7 @@
     }
 
     private void claim(OpenJobs.Marker marker) {
-        claiming.add(marker.id());
+        claimsInProgress.add(marker.id());
         store.read(
                 JobHeader.key(marker.team(), marker.id()),
                 read -> {
@@ -107,19 +107,21 @@
                                     ? Optional.of(BatchJson.header(found.object().value()))
                                     : Optional.empty();
                     header.filter(found -> found.stage() == RemovalStage.LIVE)
-                            .ifPresentOrElse(this::claim, () -> claiming.remove(marker.id()));
+                            .ifPresentOrElse(
+                                    this::claim, () -> claimsInProgress.remove(marker.id()));
                 });
     }
 
     private void claim(JobHeader header) {
-        JobStateUpdater cell = new JobStateUpdater(store, header.id(), () -> initialState(header));
+        JobStateUpdater stateUpdater =
+                new JobStateUpdater(store, header.id(), () -> initialState(header));
         boolean[] claimed = {false};
         Holder[] before = {Holder.NONE};
-        cell.update(
+        stateUpdater.update(
                 current -> {
                     before[0] = current.holder().equals(self) ? before[0] : current.holder();
                     claimed[0] =
-                            !draining
+                            !isDraining
                                     && !current.phase().isTerminal()
                                     && isClaimable(current.holder());
                     return claimed[0] ? current.claim(self) : current;
@@ -128,7 +130,7 @@
                     if (claimed[0] && !state.phase().isTerminal()) {
                         decisions.onClaimed(header, state, before[0]);
                     }
-                    onClaimAnswered(header, cell, state, claimed[0]);
+                    onClaimAnswered(header, stateUpdater, state, claimed[0]);
                 });
     }
 
@@ -137,31 +139,31 @@
     }
 
     private void onClaimAnswered(
-            JobHeader header, JobStateUpdater cell, JobState state, boolean claimed) {
-        claiming.remove(header.id());
+            JobHeader header, JobStateUpdater stateUpdater, JobState state, boolean claimed) {
+        claimsInProgress.remove(header.id());
         if (state.phase().isTerminal()) {
-            cell.close();
+            stateUpdater.close();
             removeMarker(header.id());
         } else if (claimed) {
-            heldBy.remove(header.id());
+            holderByJob.remove(header.id());
             Logger.info("Claimed {} under fence {}", header.id(), state.fence());
-            worker.startJob(header, cell, state);
+            worker.startJob(header, stateUpdater, state);
         } else {
-            cell.close();
-            heldBy.put(header.id(), state.holder());
+            stateUpdater.close();
+            holderByJob.put(header.id(), state.holder());
         }
     }
 
-    /** A run is over: the job ended, or another entry holds it. */
+    /** Handles the end of a run: the job ended, or another entry holds it. */
     void onRunEnded(JobRun run, JobState state) {
         String id = run.header().id();
         if (state.phase().isTerminal()) {
-            Logger.info("{} is {}", id, state.phase().label());
+            Logger.info("Job {} is {}", id, state.phase().label());
             removeMarker(id);
         } else {
             Optional.of(state.holder())
                     .filter(holder -> !holder.equals(self))
-                    .ifPresent(holder -> heldBy.put(id, holder));
+                    .ifPresent(holder -> holderByJob.put(id, holder));
         }
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobDecisions.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobDecisions.java
@@ -15,7 +15,7 @@
 import org.sardinelift.core.explain.DecisionRecorder;
 import org.sardinelift.core.explain.JobStatus;
 
-/** Notes what becomes of jobs at this entry, and knows the jobs that it holds. */
+/** Records the decisions about jobs at this entry, and tracks the jobs that it holds. */
 public final class JobDecisions {
     private static final int CREATED = 201;
 
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Makes an empty record.
+     * Creates a record without jobs.
      *
-     * @param decisions notes the decisions
+     * @param decisions recorder of the decisions
      * @return the record
      */
     public static JobDecisions of(DecisionRecorder decisions) {
@@ -44,9 +44,9 @@
     }
 
     /**
-     * The jobs that this entry holds; safe for any thread.
+     * Returns the jobs that this entry holds; thread-safe.
      *
-     * @return their status, by job
+     * @return their status, ordered by job identifier
      */
     public List<JobStatus> heldJobs() {
         return heldJobs.values().stream()
@@ -54,7 +54,6 @@
                 .toList();
     }
 
-    /** A submission was answered. */
     void onSubmissionAnswered(String team, String requestId, Reply reply) {
         if (reply.isProblem()) {
             recordDecision(
@@ -68,8 +67,8 @@
                 DecisionAction.JOB_ACCEPTED,
                 reply.body().path("id").asText(),
                 reply.status() == CREATED
-                        ? "all of it is kept in the platform"
-                        : "it was accepted before; it is the same job",
+                        ? "the whole job is stored in the platform"
+                        : "the same job was accepted before",
                 Map.of(
                         "team",
                         team,
@@ -82,13 +81,13 @@
     }
 
     void onClaimed(JobHeader header, JobState state, Holder before) {
-        boolean lost = before.isPresent() && !before.equals(state.holder());
+        boolean isTakenOver = before.isPresent() && !before.equals(state.holder());
         heldJobs.put(
                 header.id(),
                 new JobStatus(
                         header.id(),
                         header.team(),
-                        lost ? before.instance() : "",
+                        isTakenOver ? before.instance() : "",
                         state.counts().accepted(),
                         state.counts().open(),
                         header.dueMs(),
@@ -96,19 +95,19 @@
                         false));
         Map<String, String> figures = new HashMap<>(figures(header.team(), state.counts()));
         figures.put("fence", String.valueOf(state.fence()));
-        if (lost) {
+        if (isTakenOver) {
             figures.put("from", before.instance());
         }
         recordDecision(
-                lost ? DecisionAction.JOB_TAKEN_OVER : DecisionAction.JOB_CLAIMED,
+                isTakenOver ? DecisionAction.JOB_TAKEN_OVER : DecisionAction.JOB_CLAIMED,
                 header.id(),
-                lost
-                        ? "the lease of its holder lapsed and it falls to this entry"
-                        : "nobody holds it and it falls to this entry",
+                isTakenOver
+                        ? "the lease of its holder lapsed and the job is assigned to this entry"
+                        : "the job has no holder and is assigned to this entry",
                 Map.copyOf(figures));
     }
 
-    /** Tells how far a job is; notes where it gets late or no longer is. */
+    /** Updates the progress of a job; records when it becomes late and when it no longer is. */
     void onProgress(String job, int open, long expectedEndMs, long nowMs) {
         JobStatus before = heldJobs.get(job);
         if (before == null) {
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobHeader.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobHeader.java
@@ -5,17 +5,17 @@
 import org.sardinelift.objects.ObjectKey;
 
 /**
- * What was accepted; only its stage ever changes.
+ * Header of an accepted job; only its removal stage ever changes.
  *
  * @param id identifier of the job
  * @param team team that the job runs for
  * @param jobKey the caller's own key of the job
  * @param digest digest of the content
- * @param chunkItems items of each chunk
+ * @param chunkItems number of items of each chunk
  * @param createdMs when it was accepted, epoch milliseconds
  * @param dueMs when it is due, epoch milliseconds, {@link Long#MAX_VALUE} for never
- * @param chunkSet start of the names of the chunks, different in each life of a job key
- * @param stage how far its removal has come
+ * @param chunkSet name prefix of the chunks, different for each job that has had this job key
+ * @param stage how far the removal of the job has advanced
  * @param stageMs when that stage was reached, epoch milliseconds
  */
 record JobHeader(
@@ -41,7 +41,7 @@
         chunkItems = List.copyOf(chunkItems);
     }
 
-    /** The header of a job that is being accepted. */
+    /** Creates the header of a job that is being accepted. */
     static JobHeader accepted(
             String team,
             String jobKey,
@@ -63,7 +63,7 @@
                 createdMs);
     }
 
-    /** Start of the names of the chunks where the header names none. */
+    /** Name prefix of the chunks if the stored header has none. */
     static String defaultChunkSet(String id, String digest) {
         return id + "/" + digest.substring(0, DIGEST_CHARS);
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobReader.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobReader.java
@@ -20,7 +20,7 @@
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.ReadResult;
 
-/** Reads jobs and results for callers; any entry can. */
+/** Serves jobs and results to callers; any entry can do so for any job. */
 final class JobReader {
     private static final int OK = 200;
     private static final int MAX_LISTED = 100;
@@ -33,20 +33,20 @@
         this.settings = settings;
     }
 
-    /** Takes the lines of results. Called on the control thread. */
+    /** Receives the lines of results. Called on the control thread. */
     interface ResultSink {
         void refuse(Reply reply);
 
         void write(byte[] lines);
 
-        /** Whether the caller takes more now. */
+        /** Whether the connection accepts more data now. */
         boolean isWritable();
 
         boolean isOpen();
 
         void end();
 
-        /** Ends without completing, so that the caller sees the cut. */
+        /** Ends without completing, so that the caller sees a truncated response. */
         void abort();
     }
 
@@ -80,7 +80,7 @@
         readState(header, state -> done.accept(Reply.of(OK, statusJson(header, state))), done);
     }
 
-    /** Reads the state of a job; one that nobody has claimed yet has a marker instead. */
+    /** Reads the state of a job; a job that was never claimed has only a marker. */
     void readState(JobHeader header, Consumer<JobState> found, Consumer<Reply> otherwise) {
         store.read(
                 JobStateUpdater.key(header.id()),
@@ -112,7 +112,7 @@
                 });
     }
 
-    /** The newest jobs of a team. */
+    /** Lists the newest jobs of a team. */
     void listJobs(String team, Consumer<Reply> done) {
         store.list(
                 JobHeader.KIND,
@@ -163,7 +163,7 @@
                 });
     }
 
-    /** The status of a job as callers read it. */
+    /** Encodes the status of a job for callers. */
     ObjectNode statusJson(JobHeader header, JobState state) {
         JobCounts counts = state.counts();
         ObjectNode node = BatchJson.newObject().put("id", header.id()).put("object", "batch");
@@ -199,7 +199,7 @@
         return node;
     }
 
-    /** Reads results in the order of the input, as far as there are any. */
+    /** Streams the results that exist so far, in the order of the input. */
     void streamResults(String team, String id, ResultSink sink) {
         findHeader(
                 team,
@@ -207,7 +207,7 @@
                 header ->
                         readState(
                                 header,
-                                state -> new ResultStream(header, state, sink).next(),
+                                state -> new ResultStream(header, state, sink).writeNext(),
                                 sink::refuse),
                 sink::refuse);
     }
@@ -233,7 +233,7 @@
                         settings.retryAfter()));
     }
 
-    /** One caller reading results. */
+    /** Streams the results of one job to one caller. */
     private final class ResultStream {
         private final JobHeader header;
         private final JobState state;
@@ -247,15 +247,15 @@
             this.sink = sink;
         }
 
-        void next() {
+        void writeNext() {
             if (!sink.isOpen()) {
                 return;
             }
             if (!sink.isWritable()) {
-                store.control().schedule(settings.pumpPeriod(), this::next);
+                store.control().schedule(settings.pumpPeriod(), this::writeNext);
                 return;
             }
-            skip();
+            skipUnfinishedChunks();
             if (chunk == header.chunkItems().size()) {
                 sink.end();
                 return;
@@ -268,34 +268,35 @@
             store.read(key, settings.acceptAttempts(), read -> onRead(read, result == null));
         }
 
-        private void skip() {
-            boolean withInput = state.phase() == JobPhase.CANCELLED;
+        private void skipUnfinishedChunks() {
+            boolean hasCancelledLines = state.phase() == JobPhase.CANCELLED;
             while (chunk < header.chunkItems().size()
-                    && !withInput
+                    && !hasCancelledLines
                     && !state.chunks().containsKey(chunk)) {
                 chunk++;
             }
         }
 
-        private void onRead(ReadResult read, boolean input) {
+        private void onRead(ReadResult read, boolean isInput) {
             if (!(read instanceof ReadResult.Found found)) {
                 sink.abort();
                 return;
             }
             String lines = found.object().value();
-            sink.write((input ? cancelled(lines) : lines).getBytes(StandardCharsets.UTF_8));
+            sink.write((isInput ? cancelledLines(lines) : lines).getBytes(StandardCharsets.UTF_8));
             part++;
             ChunkResult result = state.chunks().get(chunk);
             if (result == null || part == result.parts()) {
                 chunk++;
                 part = 0;
             }
-            next();
+            writeNext();
         }
 
-        private String cancelled(String input) {
+        private String cancelledLines(String inputLines) {
             StringBuilder lines = new StringBuilder();
-            input.lines()
+            inputLines
+                    .lines()
                     .map(line -> BatchJson.parseStored(line).path("custom_id").asText())
                     .map(customId -> ResultLine.cancelled(customId, RunOutcome.NOT_RUN))
                     .forEach(line -> lines.append(line.json()).append('\n'));
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobRemoval.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobRemoval.java
@@ -17,11 +17,11 @@
 import org.tinylog.Logger;
 
 /**
- * One look at a job whose removal may be due, and the step that follows from it. Every step may be
- * taken again, by any entry: it changes nothing but what it has seen to hold.
+ * Checks one job whose removal may be due and performs the next step of the removal. Any entry may
+ * repeat a step, because it changes objects only at the expected version.
  */
 final class JobRemoval {
-    /** Version of an object that is written once. */
+    /** Version of an object that is written only once. */
     private static final long WRITTEN_ONCE_VERSION = 1;
 
     private final JobStore store;
@@ -40,7 +40,7 @@
         this.startedNanos = store.control().nanos();
     }
 
-    /** Looks; calls back with whether the expiry was dealt with. */
+    /** Starts the check; the callback receives whether the expiry was processed. */
     void start() {
         readConfirmed(headerKey, this::onHeader);
     }
@@ -48,7 +48,7 @@
     private void onHeader(Optional<StoredObject> found) {
         Optional<JobHeader> header =
                 found.map(object -> BatchJson.header(object.value()))
-                        .filter(own -> own.createdMs() == expiry.createdMs());
+                        .filter(candidate -> candidate.createdMs() == expiry.createdMs());
         if (header.isEmpty()) {
             deleteEach(chunkKeys(), WRITTEN_ONCE_VERSION, this::finish);
             return;
@@ -64,7 +64,7 @@
                 marker -> decide(new JobObjects(header, version, state, marker)));
     }
 
-    /** The objects of the job that may change, as they certainly were at one moment. */
+    /** The mutable objects of the job, each confirmed not to come from a stale read. */
     private record JobObjects(
             JobHeader header,
             long version,
@@ -123,7 +123,7 @@
                         state -> deleteEach(List.of(state.key()), state.version(), next), next);
     }
 
-    /** Deletes results of attempts that did not hold. */
+    /** Deletes the results of attempts that were never committed. */
     private void deleteUncommittedResults(Runnable next) {
         callAfterPause(
                 () ->
@@ -132,11 +132,11 @@
                                 expiry.id() + "/",
                                 result -> {
                                     if (result instanceof ListResult.Listed listed) {
-                                        List<ObjectKey> left =
+                                        List<ObjectKey> uncommitted =
                                                 listed.objects().stream()
                                                         .map(StoredObject::key)
                                                         .toList();
-                                        deleteEach(left, WRITTEN_ONCE_VERSION, next);
+                                        deleteEach(uncommitted, WRITTEN_ONCE_VERSION, next);
                                     } else {
                                         done.accept(false);
                                     }
@@ -167,7 +167,10 @@
                                 value,
                                 result -> {
                                     if (result instanceof WriteResult.Written) {
-                                        Logger.info("{} is {}", expiry.id(), stage);
+                                        Logger.info(
+                                                "Removal of job {} has reached stage {}",
+                                                expiry.id(),
+                                                stage);
                                         reschedule(now + settings.retention().stepDelayMs());
                                     } else {
                                         done.accept(false);
@@ -196,7 +199,7 @@
         deleteEach(List.of(expiry.key()), WRITTEN_ONCE_VERSION, () -> done.accept(true));
     }
 
-    /** Deletes objects one after another; one that is gone or was written anew is left. */
+    /** Deletes objects one after another; skips one that is gone or has another version. */
     private void deleteEach(List<ObjectKey> keys, long version, Runnable next) {
         if (keys.isEmpty()) {
             next.run();
@@ -218,8 +221,8 @@
     }
 
     /**
-     * Reads an object and makes sure of it: a read may be stale, but the answer to a deletion that
-     * can't succeed tells the version in force.
+     * Reads an object and confirms that the read was not stale: a deletion that cannot succeed is
+     * answered with the current version.
      */
     private void readConfirmed(ObjectKey key, Consumer<Optional<StoredObject>> next) {
         callAfterPause(
@@ -258,7 +261,7 @@
                                 }));
     }
 
-    /** Makes a call after the pause, unless what was seen is too old to act on. */
+    /** Makes a call after the pause, unless the objects were read too long ago to act on. */
     private void callAfterPause(Runnable call) {
         store.control()
                 .schedule(
@@ -267,7 +270,7 @@
                             long age = store.control().nanos() - startedNanos;
                             if (age > settings.removalStepDelay().toNanos() / 2) {
                                 Logger.info(
-                                        "The look at {} took too long; it is begun again",
+                                        "Check of {} took over half of removalHoldMs; restarting",
                                         expiry.id());
                                 done.accept(false);
                             } else {
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobRun.java
@@ -17,37 +17,37 @@
 import org.tinylog.Logger;
 
 /**
- * One job that this entry holds, from its claim until it ends or the claim is void. A chunk's
- * results are written first and count from the update of the state that names them.
+ * One job that this entry holds, from its claim until the job ends or the claim is lost. A chunk's
+ * results are written first and count once an update of the job state names them.
  */
 final class JobRun {
     private final BatchWorker worker;
     private final JobHeader header;
-    private final JobStateUpdater cell;
+    private final JobStateUpdater stateUpdater;
     private final ResultWriter results;
-    private final SortedMap<Integer, ChunkRun> loaded = new TreeMap<>();
-    private final Map<Integer, ChunkResult> ready = new HashMap<>();
+    private final SortedMap<Integer, ChunkRun> loadedChunks = new TreeMap<>();
+    private final Map<Integer, ChunkResult> uncommittedResults = new HashMap<>();
     private JobState state;
     private final long fence;
     private int nextChunk;
-    private int loading;
-    private boolean flushing;
-    private boolean verified = true;
-    private boolean cancelling;
-    private boolean finishing;
-    private boolean over;
-    private CompletionEstimate pace;
-
-    JobRun(BatchWorker worker, JobHeader header, JobStateUpdater cell, JobState claimed) {
+    private int loadingChunks;
+    private boolean isCommitPending;
+    private boolean isClaimConfirmed = true;
+    private boolean isCancelling;
+    private boolean isFinishing;
+    private boolean isOver;
+    private CompletionEstimate estimate;
+
+    JobRun(BatchWorker worker, JobHeader header, JobStateUpdater stateUpdater, JobState claimed) {
         this.worker = worker;
         this.header = header;
-        this.cell = cell;
+        this.stateUpdater = stateUpdater;
         this.results =
                 new ResultWriter(
                         worker.store(), header.id(), worker.settings().packer().maxBytes());
         this.state = claimed;
         this.fence = claimed.fence();
-        this.pace = new CompletionEstimate(worker.control().epochMillis(), 0);
+        this.estimate = new CompletionEstimate(worker.control().epochMillis(), 0);
     }
 
     JobHeader header() {
@@ -59,32 +59,32 @@
     }
 
     int chunksInMemory() {
-        return loaded.size() + loading;
+        return loadedChunks.size() + loadingChunks;
     }
 
     /** Whether items may start: the claim was confirmed since the lease last lapsed. */
     boolean mayStartItems() {
-        return verified && !cancelling && !over;
+        return isClaimConfirmed && !isCancelling && !isOver;
     }
 
-    /** Acts on what the claim found. */
+    /** Applies the state that the claim returned. */
     void start() {
         applyState(state);
     }
 
-    /** Makes sure of the claim: a cancel was asked for, or the lease had lapsed. */
+    /** Confirms the claim, after a cancel was requested or the lease had lapsed. */
     void confirmClaim() {
-        verified = false;
-        cell.confirm(
+        isClaimConfirmed = false;
+        stateUpdater.confirm(
                 found -> {
-                    verified = true;
+                    isClaimConfirmed = true;
                     applyState(found);
                 });
     }
 
-    boolean canLoadChunk(int perJob) {
+    boolean canLoadChunk(int maxChunks) {
         return mayStartItems()
-                && chunksInMemory() < perJob
+                && chunksInMemory() < maxChunks
                 && nextUnloaded() < header.chunkItems().size();
     }
 
@@ -99,18 +99,18 @@
     void loadChunk() {
         int number = nextUnloaded();
         nextChunk++;
-        loading++;
+        loadingChunks++;
         worker.store()
                 .read(header.chunkKey(number), Integer.MAX_VALUE, read -> onChunk(number, read));
     }
 
     private void onChunk(int number, ReadResult read) {
-        if (over || cancelling) {
-            loading--;
+        if (isOver || isCancelling) {
+            loadingChunks--;
             return;
         }
         if (!(read instanceof ReadResult.Found found)) {
-            Logger.warn("Chunk {} of {} can't be read yet; it is read again", number, header.id());
+            Logger.warn("Chunk {} of job {} can't be read; trying again", number, header.id());
             worker.control()
                     .schedule(
                             worker.store().backoff().pause(4),
@@ -119,17 +119,17 @@
                                             .read(
                                                     header.chunkKey(number),
                                                     Integer.MAX_VALUE,
-                                                    again -> onChunk(number, again)));
+                                                    reread -> onChunk(number, reread)));
             return;
         }
         worker.parseChunk(header, found.object().value(), items -> onItems(number, items));
     }
 
     private void onItems(int number, List<BatchItem> items) {
-        loading--;
-        if (!over && !cancelling) {
+        loadingChunks--;
+        if (!isOver && !isCancelling) {
             ChunkRun chunk = new ChunkRun(this, number, items);
-            loaded.put(number, chunk);
+            loadedChunks.put(number, chunk);
             enqueueItems(chunk);
         }
     }
@@ -140,11 +140,11 @@
         chunk.items().stream().filter(item -> item.item().isRepeatable()).forEach(worker::enqueue);
         if (state.mayHaveRun(chunk.number())) {
             unrepeatable.forEach(
-                    item -> endItem(item, failed(item, ItemRetryPolicy.outcomeUnknown())));
+                    item -> endItem(item, failedLine(item, ItemRetryPolicy.outcomeUnknown())));
         } else if (unrepeatable.stream().noneMatch(item -> item.item().isRoutable())) {
             unrepeatable.forEach(worker::enqueue);
         } else {
-            cell.update(
+            stateUpdater.update(
                     current -> current.recordIntent(fence, chunk.number()),
                     next -> {
                         applyState(next);
@@ -153,39 +153,39 @@
                         }
                     });
         }
-        worker.schedulePump();
+        worker.scheduleDispatch();
     }
 
-    private static ResultLine failed(ItemRun item, Problem problem) {
+    private static ResultLine failedLine(ItemRun item, Problem problem) {
         return ResultLine.failed(item.item().customId(), problem);
     }
 
-    /** An attempt at an item ended. */
-    void onAttemptEnded(ItemRun item, ItemResponseCollector.Result answer) {
+    void onAttemptEnded(ItemRun item, ItemResponseCollector.Result result) {
         item.onAttemptEnded();
-        if (over) {
+        if (isOver) {
             return;
         }
-        if (answer instanceof ItemResponseCollector.Result.Complete whole) {
-            onCompleteResponse(item, whole);
-        } else if (answer instanceof ItemResponseCollector.Result.Failed failed) {
-            onProblem(item, failed.problem(), failed(item, failed.problem()));
+        if (result instanceof ItemResponseCollector.Result.Complete complete) {
+            onCompleteResponse(item, complete);
+        } else if (result instanceof ItemResponseCollector.Result.Failed failure) {
+            onProblem(item, failure.problem(), failedLine(item, failure.problem()));
         }
-        if (cancelling) {
+        if (isCancelling) {
             tryFinishCancel(false);
         }
     }
 
-    private void onCompleteResponse(ItemRun item, ItemResponseCollector.Result.Complete whole) {
-        ResultLine line = ResultLine.answered(item.item().customId(), whole.status(), whole.body());
-        boolean transientStatus = whole.status() >= 500 || whole.status() == 429;
-        if (transientStatus && item.item().isRepeatable() && !cancelling) {
+    private void onCompleteResponse(ItemRun item, ItemResponseCollector.Result.Complete complete) {
+        ResultLine line =
+                ResultLine.answered(item.item().customId(), complete.status(), complete.body());
+        boolean isTransient = complete.status() >= 500 || complete.status() == 429;
+        if (isTransient && item.item().isRepeatable() && !isCancelling) {
             onProblem(
                     item,
                     Problem.failed(
                             ProblemKind.TARGET_FAILED,
                             RunOutcome.RUN,
-                            "the target answered with status " + whole.status()),
+                            "the target answered with status " + complete.status()),
                     line);
         } else {
             endItem(item, line);
@@ -193,16 +193,16 @@
     }
 
     private void onProblem(ItemRun item, Problem problem, ResultLine lastLine) {
-        if (cancelling) {
-            boolean stopped = problem.kind() == ProblemKind.CANCELLED;
+        if (isCancelling) {
+            boolean isStopped = problem.kind() == ProblemKind.CANCELLED;
             endItem(
                     item,
-                    stopped
+                    isStopped
                             ? ResultLine.cancelled(item.item().customId(), problem.outcome())
                             : lastLine);
             return;
         }
-        ItemRetryPolicy.Decision verdict =
+        ItemRetryPolicy.Decision decision =
                 worker.settings()
                         .retry()
                         .decide(
@@ -210,35 +210,35 @@
                                 item.item().isRepeatable(),
                                 item.failures() + 1,
                                 item.postponements() + 1);
-        if (verdict instanceof ItemRetryPolicy.Decision.Retry again) {
-            if (again.countsAsAttempt()) {
+        if (decision instanceof ItemRetryPolicy.Decision.Retry retry) {
+            if (retry.countsAsAttempt()) {
                 item.countFailure();
             } else {
                 item.countPostponement();
             }
-            worker.control().schedule(again.pause(), () -> enqueueAgain(item));
-        } else if (verdict instanceof ItemRetryPolicy.Decision.Fail ended) {
+            worker.control().schedule(retry.pause(), () -> enqueueAgain(item));
+        } else if (decision instanceof ItemRetryPolicy.Decision.Fail ended) {
             endItem(
                     item,
-                    ended.problem().equals(problem) ? lastLine : failed(item, ended.problem()));
+                    ended.problem().equals(problem) ? lastLine : failedLine(item, ended.problem()));
         }
     }
 
     private void enqueueAgain(ItemRun item) {
-        if (!over && !cancelling) {
+        if (!isOver && !isCancelling) {
             worker.enqueue(item);
-            worker.schedulePump();
+            worker.scheduleDispatch();
         }
     }
 
-    /** An item ends for good. */
+    /** Records the final result of an item. */
     void endItem(ItemRun item, ResultLine line) {
         ChunkRun chunk = item.chunk();
-        if (over || !chunk.recordEnd(item.index(), line)) {
+        if (isOver || !chunk.recordEnd(item.index(), line)) {
             return;
         }
-        pace = pace.plusEnded(1);
-        if (chunk.openItems() == 0 && !cancelling) {
+        estimate = estimate.plusEnded(1);
+        if (chunk.openItems() == 0 && !isCancelling) {
             writeResults(chunk);
         }
     }
@@ -251,17 +251,18 @@
     }
 
     private void onResultsWritten(int number, ChunkResult result) {
-        if (over) {
+        if (isOver) {
             results.delete(number, result);
             return;
         }
-        ready.put(number, result);
-        if (cancelling) {
+        uncommittedResults.put(number, result);
+        if (isCancelling) {
             tryFinishCancel(false);
-        } else if (!flushing) {
-            flushing = true;
-            boolean last = state.chunks().size() + ready.size() == header.chunkItems().size();
-            if (last) {
+        } else if (!isCommitPending) {
+            isCommitPending = true;
+            boolean isLast =
+                    state.chunks().size() + uncommittedResults.size() == header.chunkItems().size();
+            if (isLast) {
                 commitResults();
             } else {
                 worker.control().schedule(worker.settings().commitDelay(), this::commitResults);
@@ -270,112 +271,112 @@
     }
 
     private void commitResults() {
-        flushing = false;
-        if (over || cancelling || ready.isEmpty()) {
+        isCommitPending = false;
+        if (isOver || isCancelling || uncommittedResults.isEmpty()) {
             return;
         }
-        Map<Integer, ChunkResult> offered = Map.copyOf(ready);
-        ready.clear();
+        Map<Integer, ChunkResult> newResults = Map.copyOf(uncommittedResults);
+        uncommittedResults.clear();
         long now = worker.control().epochMillis();
-        long end = pace.expectedEndMs(now, openItems());
-        cell.update(
+        long end = estimate.expectedEndMs(now, openItems());
+        stateUpdater.update(
                 current -> {
-                    JobState committed = current.commit(fence, offered);
+                    JobState committed = current.commit(fence, newResults);
                     return committed.equals(current)
                             ? current
                             : committed.withExpectedEnd(committed.phase().isTerminal() ? now : end);
                 },
-                next -> onCommitted(offered, next));
+                next -> onCommitted(newResults, next));
     }
 
     long expectedEndMs() {
-        return pace.expectedEndMs(worker.control().epochMillis(), openItems());
+        return estimate.expectedEndMs(worker.control().epochMillis(), openItems());
     }
 
     int openItems() {
         int ended =
-                loaded.values().stream()
+                loadedChunks.values().stream()
                         .mapToInt(chunk -> chunk.items().size() - chunk.openItems())
                         .sum();
         return Math.max(0, state.counts().open() - ended);
     }
 
-    private void onCommitted(Map<Integer, ChunkResult> offered, JobState next) {
-        results.deleteUncommitted(offered, next);
-        offered.keySet().forEach(number -> worker.onChunkCommitted(loaded.remove(number)));
+    private void onCommitted(Map<Integer, ChunkResult> newResults, JobState next) {
+        results.deleteUncommitted(newResults, next);
+        newResults.keySet().forEach(number -> worker.onChunkCommitted(loadedChunks.remove(number)));
         applyState(next);
-        if (cancelling) {
+        if (isCancelling) {
             tryFinishCancel(false);
         }
     }
 
     private void applyState(JobState next) {
-        if (over) {
+        if (isOver) {
             return;
         }
         state = next;
         if (next.phase().isTerminal() || !next.isWritableUnder(fence)) {
             stop(next.phase().isTerminal() ? "the job has ended" : "another entry holds the job");
             worker.onRunEnded(this, next);
-        } else if (next.phase() == JobPhase.CANCELLING && !cancelling) {
-            beginCancel();
+        } else if (next.phase() == JobPhase.CANCELLING && !isCancelling) {
+            startCancel();
         } else {
             worker.scheduleLoad();
         }
     }
 
-    private void beginCancel() {
-        cancelling = true;
+    private void startCancel() {
+        isCancelling = true;
         worker.removeQueued(this);
-        running().forEach(item -> item.cancel("the batch is cancelled"));
+        runningItems().forEach(item -> item.cancel("the batch is cancelled"));
         worker.control().schedule(worker.settings().cancelGrace(), () -> tryFinishCancel(true));
         tryFinishCancel(false);
     }
 
-    private List<ItemRun> running() {
-        return loaded.values().stream()
+    private List<ItemRun> runningItems() {
+        return loadedChunks.values().stream()
                 .flatMap(chunk -> chunk.items().stream())
                 .filter(ItemRun::isRunning)
                 .toList();
     }
 
-    /** Ends the cancel once nothing runs any more, or at the end of the grace. */
-    private void tryFinishCancel(boolean atOnce) {
-        if (over || !cancelling || finishing || !atOnce && !running().isEmpty()) {
+    /** Completes the cancel once no item is running, or at the end of the grace period. */
+    private void tryFinishCancel(boolean isGraceOver) {
+        if (isOver || !isCancelling || isFinishing || !isGraceOver && !runningItems().isEmpty()) {
             return;
         }
-        for (ChunkRun chunk : List.copyOf(loaded.values())) {
+        for (ChunkRun chunk : List.copyOf(loadedChunks.values())) {
             if (!chunk.sealed()) {
                 chunk.cancelOpenItems();
                 if (chunk.hasUncancelledItems()) {
                     writeResults(chunk);
                 } else {
-                    loaded.remove(chunk.number());
+                    loadedChunks.remove(chunk.number());
                 }
             }
         }
-        if (!ready.keySet().containsAll(loaded.keySet())) {
+        if (!uncommittedResults.keySet().containsAll(loadedChunks.keySet())) {
             return;
         }
-        finishing = true;
-        Map<Integer, ChunkResult> offered = Map.copyOf(ready);
+        isFinishing = true;
+        Map<Integer, ChunkResult> newResults = Map.copyOf(uncommittedResults);
         long now = worker.control().epochMillis();
-        cell.update(
+        stateUpdater.update(
                 current -> {
-                    JobState ended = current.commit(fence, offered).finishCancel(fence);
+                    JobState ended = current.commit(fence, newResults).finishCancel(fence);
                     return ended.equals(current) ? current : ended.withExpectedEnd(now);
                 },
                 next -> {
-                    results.deleteUncommitted(offered, next);
+                    results.deleteUncommitted(newResults, next);
                     applyState(next);
                 });
     }
 
-    /** Gives the job up to another entry. */
+    /** Releases the job, so that another entry can claim it. */
     void release(Runnable done) {
-        verified = false;
+        isClaimConfirmed = false;
         worker.removeQueued(this);
-        cell.update(
+        stateUpdater.update(
                 current -> current.release(fence),
                 next -> {
                     applyState(next);
@@ -384,10 +385,10 @@
     }
 
     private void stop(String reason) {
-        over = true;
+        isOver = true;
         worker.removeQueued(this);
-        running().forEach(item -> item.cancel(reason));
-        loaded.clear();
-        cell.close();
+        runningItems().forEach(item -> item.cancel(reason));
+        loadedChunks.clear();
+        stateUpdater.close();
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobStateUpdater.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobStateUpdater.java
@@ -13,9 +13,9 @@
 import org.sardinelift.objects.WriteResult;
 
 /**
- * One job's state in the platform. Changes are transitions that may be applied again: after a
- * conflict or a lost answer they are decided anew on what is read back. Changes that wait are
- * folded into one update.
+ * Updates the state of one job in the platform. Changes are idempotent transitions: after a
+ * conflict or a lost answer they are applied again to the state read back. Pending changes are
+ * combined into one write.
  */
 final class JobStateUpdater {
     /** Kind of the states. */
@@ -23,20 +23,20 @@
 
     private final JobStore store;
     private final ObjectKey key;
-    private final Supplier<JobState> initial;
+    private final Supplier<JobState> initialState;
     private final List<Change> pending = new ArrayList<>();
-    private @Nullable JobState known;
+    private @Nullable JobState knownState;
     private long version;
-    private long newestSeen;
+    private long newestVersionSeen;
     private int failures;
-    private boolean busy;
-    private boolean outdated;
-    private boolean closed;
+    private boolean isBusy;
+    private boolean isOutdated;
+    private boolean isClosed;
 
-    JobStateUpdater(JobStore store, String id, Supplier<JobState> initial) {
+    JobStateUpdater(JobStore store, String id, Supplier<JobState> initialState) {
         this.store = store;
         this.key = key(id);
-        this.initial = initial;
+        this.initialState = initialState;
     }
 
     static ObjectKey key(String id) {
@@ -46,114 +46,118 @@
     private record Change(
             UnaryOperator<JobState> transition, boolean mustWrite, Consumer<JobState> done) {}
 
-    /** Changes the state; the listener hears the state in force once that is confirmed. */
+    /** Changes the state; the callback receives the resulting state once that is confirmed. */
     void update(UnaryOperator<JobState> transition, Consumer<JobState> done) {
         pending.add(new Change(transition, false, done));
-        step();
+        applyPending();
     }
 
     /** Reads the state again before the next change. */
     void refresh(Consumer<JobState> done) {
-        outdated = true;
+        isOutdated = true;
         update(state -> state, done);
     }
 
     /**
-     * Makes sure of the state in force by a write that changes nothing, as a read may be stale. A
-     * job that has ended is not written.
+     * Confirms the current state by a write that changes nothing, as a read may be stale. The state
+     * of a job that has ended is not written.
      */
     void confirm(Consumer<JobState> done) {
         pending.add(new Change(state -> state, true, done));
-        step();
+        applyPending();
     }
 
-    /** Gives up what waits; its listeners hear nothing. */
+    /** Drops pending changes; their callbacks are not called. */
     void close() {
-        closed = true;
+        isClosed = true;
         pending.clear();
     }
 
-    private void step() {
-        if (busy || closed || pending.isEmpty()) {
+    private void applyPending() {
+        if (isBusy || isClosed || pending.isEmpty()) {
             return;
         }
-        JobState current = outdated ? null : known;
+        JobState current = isOutdated ? null : knownState;
         if (current == null) {
-            busy = true;
-            outdated = false;
+            isBusy = true;
+            isOutdated = false;
             store.read(key, this::onRead);
             return;
         }
-        List<Change> folded = List.copyOf(pending);
+        List<Change> combined = List.copyOf(pending);
         JobState next = current;
-        for (Change change : folded) {
+        for (Change change : combined) {
             next = change.transition().apply(next);
         }
-        JobState decided = next;
+        JobState newState = next;
         boolean mustWrite =
-                !current.phase().isTerminal() && folded.stream().anyMatch(Change::mustWrite);
-        if (decided.equals(current) && !mustWrite) {
-            tell(folded, current);
+                !current.phase().isTerminal() && combined.stream().anyMatch(Change::mustWrite);
+        if (newState.equals(current) && !mustWrite) {
+            notifyDone(combined, current);
             return;
         }
-        busy = true;
+        isBusy = true;
         store.write(
-                key, version, BatchJson.state(decided), result -> onWrite(result, folded, decided));
+                key,
+                version,
+                BatchJson.state(newState),
+                result -> onWrite(result, combined, newState));
     }
 
     private void onRead(ReadResult result) {
-        busy = false;
-        if (result instanceof ReadResult.Found found && found.object().version() >= newestSeen) {
-            adopt(found.object());
-        } else if (result instanceof ReadResult.Absent && newestSeen == 0) {
-            known = initial.get();
+        isBusy = false;
+        if (result instanceof ReadResult.Found found
+                && found.object().version() >= newestVersionSeen) {
+            useRead(found.object());
+        } else if (result instanceof ReadResult.Absent && newestVersionSeen == 0) {
+            knownState = initialState.get();
             version = 0;
-            step();
+            applyPending();
         } else {
-            later();
+            retryLater();
         }
     }
 
-    private void adopt(StoredObject object) {
-        known = BatchJson.state(object.value());
+    private void useRead(StoredObject object) {
+        knownState = BatchJson.state(object.value());
         version = object.version();
-        newestSeen = version;
-        step();
+        newestVersionSeen = version;
+        applyPending();
     }
 
-    private void onWrite(WriteResult result, List<Change> folded, JobState decided) {
-        busy = false;
+    private void onWrite(WriteResult result, List<Change> combined, JobState newState) {
+        isBusy = false;
         if (result instanceof WriteResult.Written written) {
-            known = decided;
+            knownState = newState;
             version = written.version();
-            newestSeen = version;
+            newestVersionSeen = version;
             failures = 0;
-            tell(folded, decided);
+            notifyDone(combined, newState);
         } else if (result instanceof WriteResult.Conflict conflict) {
-            known = null;
-            newestSeen = Math.max(newestSeen, conflict.actualVersion());
-            step();
+            knownState = null;
+            newestVersionSeen = Math.max(newestVersionSeen, conflict.actualVersion());
+            applyPending();
         } else {
-            known = result instanceof WriteResult.Unclear ? null : known;
-            later();
+            knownState = result instanceof WriteResult.Unclear ? null : knownState;
+            retryLater();
         }
     }
 
-    private void tell(List<Change> folded, JobState state) {
-        pending.subList(0, Math.min(folded.size(), pending.size())).clear();
-        folded.forEach(change -> change.done().accept(state));
-        step();
+    private void notifyDone(List<Change> combined, JobState state) {
+        pending.subList(0, Math.min(combined.size(), pending.size())).clear();
+        combined.forEach(change -> change.done().accept(state));
+        applyPending();
     }
 
-    private void later() {
-        busy = true;
+    private void retryLater() {
+        isBusy = true;
         failures++;
         store.control()
                 .schedule(
                         store.backoff().pause(failures),
                         () -> {
-                            busy = false;
-                            step();
+                            isBusy = false;
+                            applyPending();
                         });
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobStore.java
@@ -8,7 +8,7 @@
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.WriteResult;
 
-/** The platform's objects with answers on the control thread. */
+/** Access of batch work to the object store; callbacks run on the control thread. */
 final class JobStore {
     private final ObjectStore store;
     private final BatchControl control;
@@ -20,13 +20,13 @@
         this.backoff = backoff;
     }
 
-    /** What became of the creation of an object that is the same whoever writes it. */
+    /** Result of creating an object whose content is the same whichever entry writes it. */
     enum CreateResult {
         CREATED,
         EXISTS,
-        /** Certainly not written. */
+        /** Known not to be written. */
         NOT_WRITTEN,
-        /** May or may not be written. */
+        /** Whether it was written is unknown. */
         UNCLEAR;
 
         boolean isPresent() {
@@ -66,7 +66,7 @@
         future.thenAccept(result -> control.execute(() -> done.accept(result)));
     }
 
-    /** Creates an object; a conflict means that it is there already, by whomever. */
+    /** Creates an object; a conflict means that it exists already, whichever entry wrote it. */
     void create(ObjectKey key, String value, int attempts, Consumer<CreateResult> done) {
         create(key, value, 1, attempts, false, done);
     }
@@ -76,7 +76,7 @@
             String value,
             int attempt,
             int attempts,
-            boolean unclear,
+            boolean isUnclear,
             Consumer<CreateResult> done) {
         write(
                 key,
@@ -88,20 +88,27 @@
                     } else if (result instanceof WriteResult.Conflict) {
                         done.accept(CreateResult.EXISTS);
                     } else {
-                        boolean nowUnclear = unclear || result instanceof WriteResult.Unclear;
+                        boolean isNowUnclear = isUnclear || result instanceof WriteResult.Unclear;
                         if (attempt >= attempts) {
                             done.accept(
-                                    nowUnclear ? CreateResult.UNCLEAR : CreateResult.NOT_WRITTEN);
+                                    isNowUnclear ? CreateResult.UNCLEAR : CreateResult.NOT_WRITTEN);
                             return;
                         }
                         control.schedule(
                                 backoff.pause(attempt),
-                                () -> create(key, value, attempt + 1, attempts, nowUnclear, done));
+                                () ->
+                                        create(
+                                                key,
+                                                value,
+                                                attempt + 1,
+                                                attempts,
+                                                isNowUnclear,
+                                                done));
                     }
                 });
     }
 
-    /** Reads an object with a bounded number of attempts; the last result is handed over. */
+    /** Reads an object with a limited number of attempts and passes on the last result. */
     void read(ObjectKey key, int attempts, Consumer<ReadResult> done) {
         read(key, 1, attempts, done);
     }
@@ -120,7 +127,7 @@
                 });
     }
 
-    /** Deletes an object whatever its version, best effort. */
+    /** Deletes an object whatever its version, best effort and without retries. */
     void deleteAnyVersion(ObjectKey key) {
         read(
                 key,
--- a/entry/src/main/java/org/sardinelift/entry/batch/JobSweeper.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/JobSweeper.java
@@ -16,42 +16,43 @@
 import org.tinylog.Logger;
 
 /**
- * Removes jobs whose retention has passed. Each shard of the expiries is swept by the entry that it
- * falls to; it lists one stretch of time after another, and only those that have passed.
+ * Removes jobs whose retention has passed. Each shard of the expiries is swept by the entry to
+ * which it is assigned. The entry lists one time bucket after another, and only buckets that have
+ * passed.
  */
 final class JobSweeper {
-    /** Kind of the objects that hold how far a shard is swept. */
+    /** Kind of the objects that store how far a shard has been swept. */
     static final String KIND = "job-sweep";
 
-    private static final Duration PERIOD = Duration.ofSeconds(1);
-    private static final long CLOCK_MARGIN_MS = Expiry.BUCKET_MS;
-    private static final int BUCKETS_PER_WRITE = 10;
+    private static final Duration SWEEP_PERIOD = Duration.ofSeconds(1);
+    private static final long SWEEP_MARGIN_MS = Expiry.BUCKET_MS;
+    private static final int BUCKETS_PER_CURSOR_WRITE = 10;
 
     private final JobStore store;
     private final BatchSettings settings;
     private final String self;
-    private final Supplier<Collection<String>> eligible;
+    private final Supplier<Collection<String>> eligibleEntries;
     private final Map<Integer, Cursor> cursors = new HashMap<>();
-    private int turn;
-    private boolean busy;
+    private int currentShard;
+    private boolean isBusy;
 
     JobSweeper(
             JobStore store,
             BatchSettings settings,
             String self,
-            Supplier<Collection<String>> eligible) {
+            Supplier<Collection<String>> eligibleEntries) {
         this.store = store;
         this.settings = settings;
         this.self = self;
-        this.eligible = eligible;
+        this.eligibleEntries = eligibleEntries;
     }
 
     /**
-     * How far a shard is swept.
+     * How far a shard has been swept.
      *
-     * @param bucket the first stretch of time that is not known to be empty
-     * @param storedBucket the stretch that the platform holds
-     * @param version version of the object there
+     * @param bucket first time bucket that is not known to be empty
+     * @param storedBucket bucket in the stored object
+     * @param version version of the stored object
      */
     private record Cursor(long bucket, long storedBucket, long version) {
         Cursor next() {
@@ -60,16 +61,16 @@
     }
 
     void start() {
-        store.control().repeat(PERIOD, this::sweep);
+        store.control().repeat(SWEEP_PERIOD, this::sweep);
     }
 
     private void sweep() {
-        Collection<String> entries = eligible.get();
+        Collection<String> entries = eligibleEntries.get();
         cursors.keySet().removeIf(shard -> !isAssignedHere(shard, entries));
-        turn = (turn + 1) % Expiry.SHARDS;
-        if (!busy && isAssignedHere(turn, entries)) {
-            busy = true;
-            sweepShard(turn);
+        currentShard = (currentShard + 1) % Expiry.SHARDS;
+        if (!isBusy && isAssignedHere(currentShard, entries)) {
+            isBusy = true;
+            sweepShard(currentShard);
         }
     }
 
@@ -81,9 +82,9 @@
         Cursor cursor = cursors.get(shard);
         if (cursor == null) {
             loadCursor(shard);
-        } else if ((cursor.bucket() + 1) * Expiry.BUCKET_MS + CLOCK_MARGIN_MS
+        } else if ((cursor.bucket() + 1) * Expiry.BUCKET_MS + SWEEP_MARGIN_MS
                 > store.control().epochMillis()) {
-            busy = false;
+            isBusy = false;
         } else {
             store.list(
                     Expiry.KIND,
@@ -97,17 +98,17 @@
                 .schedule(
                         settings.sweepPause(),
                         () -> {
-                            if (isAssignedHere(shard, eligible.get())) {
+                            if (isAssignedHere(shard, eligibleEntries.get())) {
                                 sweepShard(shard);
                             } else {
-                                busy = false;
+                                isBusy = false;
                             }
                         });
     }
 
     private void onDue(int shard, Cursor cursor, ListResult result) {
         if (!(result instanceof ListResult.Listed listed)) {
-            busy = false;
+            isBusy = false;
         } else if (listed.objects().isEmpty()) {
             advance(shard, cursor.next());
         } else {
@@ -124,11 +125,11 @@
                         store,
                         settings,
                         Expiry.of(due.get(0)),
-                        handled -> {
-                            if (handled) {
+                        isHandled -> {
+                            if (isHandled) {
                                 removeJobs(shard, due.subList(1, due.size()));
                             } else {
-                                busy = false;
+                                isBusy = false;
                             }
                         })
                 .start();
@@ -136,7 +137,7 @@
 
     private void advance(int shard, Cursor cursor) {
         cursors.put(shard, cursor);
-        if (cursor.bucket() - cursor.storedBucket() < BUCKETS_PER_WRITE) {
+        if (cursor.bucket() - cursor.storedBucket() < BUCKETS_PER_CURSOR_WRITE) {
             scheduleNextStep(shard);
             return;
         }
@@ -169,12 +170,12 @@
                     } else if (read instanceof ReadResult.Absent) {
                         initCursor(shard);
                     } else {
-                        busy = false;
+                        isBusy = false;
                     }
                 });
     }
 
-    /** Finds the earliest expiry of a shard that was never swept. */
+    /** Starts at the earliest expiry of a shard that was never swept. */
     private void initCursor(int shard) {
         store.list(
                 Expiry.KIND,
@@ -182,19 +183,18 @@
                 result -> {
                     if (result instanceof ListResult.Listed listed) {
                         long now = store.control().epochMillis();
-                        long first =
+                        long earliestMs =
                                 listed.objects().stream()
                                         .mapToLong(object -> Expiry.of(object).dueMs())
                                         .min()
                                         .orElse(now);
-                        Logger.info(
-                                "Shard {} of the ended jobs is swept for the first time", shard);
+                        Logger.info("Expiry shard {} is swept for the first time", shard);
                         setCursor(
                                 shard,
-                                Math.min(first, now) / Expiry.BUCKET_MS,
+                                Math.min(earliestMs, now) / Expiry.BUCKET_MS,
                                 ObjectStore.ABSENT_VERSION);
                     } else {
-                        busy = false;
+                        isBusy = false;
                     }
                 });
     }
--- a/entry/src/main/java/org/sardinelift/entry/batch/LaneLoads.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/LaneLoads.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.sardinelift.core.batch.LaneShares;
 
-/** Running and waiting calls by lane and team, as the leases carry them. */
+/** Running and waiting calls by lane and team, which the leases publish. */
 final class LaneLoads {
     private final Map<String, Map<String, Integer>> running = new HashMap<>();
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Loads by lane and team. */
+    /** Combines the running calls with the given waiting calls, by lane and team. */
     Map<String, Map<String, LaneShares.Load>> withWaiting(
             Map<String, Map<String, Integer>> waiting) {
         Map<String, Map<String, LaneShares.Load>> loads = new HashMap<>();
@@ -30,12 +30,13 @@
                 (lane, teams) ->
                         teams.forEach(
                                 (team, count) ->
-                                        of(loads, lane).put(team, new LaneShares.Load(count, 0))));
+                                        teamLoads(loads, lane)
+                                                .put(team, new LaneShares.Load(count, 0))));
         waiting.forEach(
                 (lane, teams) ->
                         teams.forEach(
                                 (team, count) ->
-                                        of(loads, lane)
+                                        teamLoads(loads, lane)
                                                 .compute(
                                                         team,
                                                         (name, load) ->
@@ -47,7 +48,7 @@
         return loads;
     }
 
-    private static Map<String, LaneShares.Load> of(
+    private static Map<String, LaneShares.Load> teamLoads(
             Map<String, Map<String, LaneShares.Load>> loads, String lane) {
         return loads.computeIfAbsent(lane, name -> new HashMap<>());
     }
@@ -73,7 +74,7 @@
                                         .properties()
                                         .forEach(
                                                 team ->
-                                                        of(loads, lane.getKey())
+                                                        teamLoads(loads, lane.getKey())
                                                                 .put(
                                                                         team.getKey(),
                                                                         load(team.getValue()))));
--- a/entry/src/main/java/org/sardinelift/entry/batch/LeaseRenewer.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/LeaseRenewer.java
@@ -10,7 +10,7 @@
 import org.sardinelift.objects.WriteResult;
 import org.tinylog.Logger;
 
-/** Renews this entry's lease, one write each period. */
+/** Renews this entry's lease with one write per period. */
 final class LeaseRenewer {
     private final JobStore store;
     private final BatchSettings settings;
@@ -21,8 +21,8 @@
     private final Runnable onRegained;
     private long version = ObjectStore.ABSENT_VERSION;
     private long renewals;
-    private boolean known;
-    private boolean stopped;
+    private boolean isVersionKnown;
+    private boolean isStopped;
 
     LeaseRenewer(
             JobStore store,
@@ -47,18 +47,18 @@
         renew();
     }
 
-    /** Gives the lease back. */
+    /** Releases the lease. */
     void stop() {
-        stopped = true;
+        isStopped = true;
         ownLease.onLost();
         store.deleteAnyVersion(key);
     }
 
     private void renew() {
-        if (stopped) {
+        if (isStopped) {
             return;
         }
-        if (!known) {
+        if (!isVersionKnown) {
             store.read(key, this::onRead);
             return;
         }
@@ -76,28 +76,28 @@
     private void onRead(ReadResult result) {
         if (result instanceof ReadResult.Unavailable) {
             ownLease.onUnanswered(store.control().nanos());
-            next();
+            scheduleRenewal();
             return;
         }
         version =
                 result instanceof ReadResult.Found found
                         ? Math.max(version, found.object().version())
                         : version;
-        known = true;
+        isVersionKnown = true;
         renew();
     }
 
     private void onWrite(WriteResult result, long sent) {
         if (result instanceof WriteResult.Written written) {
-            boolean held = ownLease.isValid(store.control().nanos());
+            boolean wasValid = ownLease.isValid(store.control().nanos());
             version = written.version();
             ownLease.onRenewed(sent);
-            if (!held) {
+            if (!wasValid) {
                 onRegained.run();
             }
         } else if (result instanceof WriteResult.Conflict conflict) {
             Logger.info(
-                    "The lease of {} has version {} instead of {}; it is renewed from there",
+                    "Lease of {} has version {}, expected {}; renewing it from that version",
                     self.instance(),
                     conflict.actualVersion(),
                     version);
@@ -105,13 +105,13 @@
             store.control().schedule(store.backoff().pause(1), this::renew);
             return;
         } else {
-            known = result instanceof WriteResult.NotWritten;
+            isVersionKnown = result instanceof WriteResult.NotWritten;
             ownLease.onUnanswered(store.control().nanos());
         }
-        next();
+        scheduleRenewal();
     }
 
-    private void next() {
+    private void scheduleRenewal() {
         store.control().schedule(settings.leasePeriod(), this::renew);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/batch/OpenJobs.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/OpenJobs.java
@@ -16,17 +16,18 @@
 import org.tinylog.Logger;
 
 /**
- * The open jobs and the entries' leases, from one list and one watch. An open job has a marker
- * object, which goes with the job's end, so that neither grows with the jobs of the past.
+ * The open jobs and the leases of the entries, kept up to date by one list and one watch. An open
+ * job has a marker object that is deleted when the job ends, so that neither the list nor the watch
+ * grows with the number of past jobs.
  */
 final class OpenJobs {
-    /** Kind of the markers; named by the job. */
+    /** Kind of the markers, which are named after the job. */
     static final String KIND = "job-open";
 
     /** Kind of the leases. */
     static final String LEASE_KIND = "lease";
 
-    /** Prefix of the names of the leases that batch work runs under. */
+    /** Name prefix of the leases for batch work. */
     static final String LEASE_PREFIX = "batch/";
 
     private final JobStore store;
@@ -59,7 +60,7 @@
      *
      * @param id the job
      * @param team its team
-     * @param cancel whether a cancel was asked for
+     * @param isCancelRequested whether a cancel was requested
      */
     record Marker(String id, String team, boolean isCancelRequested) {
         static ObjectKey key(String id) {
@@ -90,7 +91,7 @@
         return markers;
     }
 
-    /** Notes a marker that this entry wrote itself. */
+    /** Records a marker that this entry wrote itself, before the watch reports it. */
     void onMarkerWritten(Marker marker) {
         markers.put(marker.id(), marker);
         onChange.accept(marker);
@@ -101,7 +102,7 @@
             retryLater(this::start);
             return;
         }
-        store.list(LEASE_KIND, LEASE_PREFIX, leasesFound -> onLeases(listed, leasesFound));
+        store.list(LEASE_KIND, LEASE_PREFIX, listedLeases -> onLeases(listed, listedLeases));
     }
 
     private void onLeases(ListResult.Listed jobs, ListResult result) {
@@ -133,7 +134,7 @@
             revision = Math.max(revision, changes.revision());
             store.control().schedule(settings.watchPause(), this::watch);
         } else if (result instanceof WatchResult.Gap) {
-            Logger.info("The watch of open jobs has a gap; they are listed again");
+            Logger.info("Watch of open jobs and leases missed changes; listing them again");
             start();
         } else {
             retryLater(this::watch);
--- a/entry/src/main/java/org/sardinelift/entry/batch/Reply.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/Reply.java
@@ -9,11 +9,11 @@
 import org.sardinelift.entry.filter.ProblemWriter;
 
 /**
- * A whole answer to a caller.
+ * A complete HTTP response to a caller.
  *
  * @param status HTTP status code
  * @param body JSON body
- * @param retryAfter when to come back, where that makes sense
+ * @param retryAfter pause before a retry, if a retry makes sense
  */
 record Reply(int status, ObjectNode body, Optional<Duration> retryAfter) {
 
@@ -21,7 +21,7 @@
         return new Reply(status, body, Optional.empty());
     }
 
-    /** A refusal as problem details (RFC 9457). */
+    /** Creates a response with problem details (RFC 9457). */
     static Reply problem(Problem problem) {
         ObjectNode node =
                 (ObjectNode)
--- a/entry/src/main/java/org/sardinelift/entry/batch/ResultLine.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ResultLine.java
@@ -8,25 +8,25 @@
 import org.sardinelift.core.outcome.RunOutcome;
 
 /**
- * How an item ended.
+ * Final result of an item.
  *
- * @param status which count it adds to
- * @param json the line as callers read it
+ * @param status count that the item adds to
+ * @param json line that callers read
  */
 record ResultLine(Status status, String json) {
-    private static final int FIRST_SUCCESS = 200;
-    private static final int FIRST_REDIRECT = 300;
+    private static final int MIN_SUCCESS_STATUS = 200;
+    private static final int MIN_REDIRECT_STATUS = 300;
 
-    /** The counts that an item may add to. */
+    /** The counts that an item can add to. */
     enum Status {
         COMPLETED,
         FAILED,
         CANCELLED
     }
 
-    /** An answer of a target. */
+    /** Creates the line of an item that a target answered. */
     static ResultLine answered(String customId, int status, byte[] body) {
-        boolean success = status >= FIRST_SUCCESS && status < FIRST_REDIRECT;
+        boolean success = status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS;
         ObjectNode node = BatchJson.newObject().put("custom_id", customId);
         ObjectNode response = node.putObject("response").put("status_code", status);
         String text = new String(body, StandardCharsets.UTF_8);
@@ -48,12 +48,12 @@
         return new ResultLine(success ? Status.COMPLETED : Status.FAILED, node.toString());
     }
 
-    /** An item that ended with a reason instead of an answer. */
+    /** Creates the line of an item that failed without a response. */
     static ResultLine failed(String customId, Problem problem) {
         return new ResultLine(Status.FAILED, withoutAnswer(customId, problem));
     }
 
-    /** An item that a cancel ended. */
+    /** Creates the line of an item that was cancelled. */
     static ResultLine cancelled(String customId, RunOutcome outcome) {
         Problem problem = Problem.failed(ProblemKind.CANCELLED, outcome, "the batch was cancelled");
         return new ResultLine(Status.CANCELLED, withoutAnswer(customId, problem));
--- a/entry/src/main/java/org/sardinelift/entry/batch/ResultWriter.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/ResultWriter.java
@@ -24,23 +24,23 @@
         this.maxBytes = maxBytes;
     }
 
-    static ObjectKey resultKey(String job, int chunk, String mark, int part) {
-        return new ObjectKey(KIND, job + "/" + chunk + "-" + mark + "-" + part);
+    static ObjectKey resultKey(String job, int chunk, String writeId, int part) {
+        return new ObjectKey(KIND, job + "/" + chunk + "-" + writeId + "-" + part);
     }
 
-    /** Writes a chunk's results, however long that takes. */
-    void write(ChunkRun chunk, String mark, Consumer<ChunkResult> done) {
+    /** Writes a chunk's results, with retries until it succeeds. */
+    void write(ChunkRun chunk, String writeId, Consumer<ChunkResult> done) {
         List<String> parts = chunk.seal(maxBytes);
-        ChunkResult result = chunk.result(mark, parts.size());
-        int[] missing = {parts.size()};
+        ChunkResult result = chunk.result(writeId, parts.size());
+        int[] remaining = {parts.size()};
         for (int part = 0; part < parts.size(); part++) {
             store.create(
-                    resultKey(job, chunk.number(), mark, part),
+                    resultKey(job, chunk.number(), writeId, part),
                     parts.get(part),
                     Integer.MAX_VALUE,
                     written -> {
-                        missing[0]--;
-                        if (missing[0] == 0) {
+                        remaining[0]--;
+                        if (remaining[0] == 0) {
                             done.accept(result);
                         }
                     });
@@ -48,8 +48,8 @@
     }
 
     /** Deletes results that the state does not name. */
-    void deleteUncommitted(Map<Integer, ChunkResult> offered, JobState state) {
-        offered.forEach(
+    void deleteUncommitted(Map<Integer, ChunkResult> results, JobState state) {
+        results.forEach(
                 (chunk, result) -> {
                     if (!result.equals(state.chunks().get(chunk))) {
                         delete(chunk, result);
@@ -61,7 +61,7 @@
         resultKeys(job, chunk, result).forEach(store::deleteAnyVersion);
     }
 
-    /** The objects that hold a chunk's results. */
+    /** Keys of the objects that hold a chunk's results. */
     static Stream<ObjectKey> resultKeys(String job, int chunk, ChunkResult result) {
         return IntStream.range(0, result.parts())
                 .mapToObj(part -> resultKey(job, chunk, result.writeId(), part));
--- a/entry/src/main/java/org/sardinelift/entry/batch/Submission.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/Submission.java
@@ -13,9 +13,9 @@
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.ProblemKind;
 
-/** The body of a job as sent, checked as a whole before anything is written. */
+/** Checks the body of a submitted job as a whole before anything is written. */
 final class Submission {
-    private static final int MAX_NAMED_LINES = 1_000;
+    private static final int MAX_LINES_WITH_REASON = 1_000;
 
     private final BatchSettings settings;
     private final ItemParser reader;
@@ -37,12 +37,12 @@
         }
     }
 
-    /** What the check found. */
+    /** Outcome of the check. */
     sealed interface CheckResult {
         /** A job that can be accepted. */
         record Valid(List<List<StoredLine>> chunks, String digest) implements CheckResult {}
 
-        /** A job that can't. */
+        /** A job that cannot be accepted. */
         record Refused(Reply reply) implements CheckResult {}
     }
 
@@ -115,7 +115,7 @@
     private void invalid(int number, String reason) {
         invalidLines++;
         var node = invalid.addObject().put("line", number);
-        if (invalidLines <= MAX_NAMED_LINES) {
+        if (invalidLines <= MAX_LINES_WITH_REASON) {
             node.put("reason", reason);
         }
     }
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchFailureTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchFailureTest.java
@@ -21,15 +21,18 @@
 import org.sardinelift.entry.call.CallSpec;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** Single failures, each caused on purpose. */
+/**
+ * Single failures, each injected on purpose: a frozen holder, a killed entry, a platform outage, an
+ * item that always fails, a drain, a preemption, a late job and uneven load of two teams.
+ */
 class BatchFailureTest {
-    private static final Duration START = Duration.ofSeconds(10);
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(10);
 
     private final FakeObjectStore store = new FakeObjectStore();
     private final Fleet fleet = new Fleet();
     private final VirtualControl.Entry engine = fleet.time().newEntry();
 
-    private void callsTake(Duration time) {
+    private void setCallTime(Duration time) {
         fleet.dispatcher()
                 .setBehaviour(
                         (spec, listener) ->
@@ -41,11 +44,11 @@
                 IntStream.rangeClosed(1, count)
                         .mapToObj(number -> fleet.start("e" + number, store, settings))
                         .toList();
-        fleet.advance(START);
+        fleet.advance(SETTLE_TIME);
         return nodes;
     }
 
-    private String accepted(Fleet.Node node, String lines) {
+    private String submitAccepted(Fleet.Node node, String lines) {
         AtomicReference<Reply> reply = fleet.submit(node, "evening", lines);
         fleet.advance(Duration.ofMillis(10));
         assertEquals(201, reply.get().status());
@@ -70,7 +73,7 @@
                 .orElseThrow();
     }
 
-    private Fleet.Node other(Fleet.Node node) {
+    private Fleet.Node otherEntry(Fleet.Node node) {
         return fleet.nodes().stream().filter(next -> next != node).findFirst().orElseThrow();
     }
 
@@ -80,59 +83,59 @@
     }
 
     @Test
-    void aFrozenHolderIsNotDeceivedByAStaleRead() {
+    void aFrozenHolderDoesNotActOnAStaleRead() {
         assertNothingStartsAfterTheCancel(4);
     }
 
     private void assertNothingStartsAfterTheCancel(int staleReads) {
         fleet.dispatcher().setSlots(5);
-        callsTake(Duration.ofMillis(300));
-        Map<String, FaultyStore> ways = new HashMap<>();
+        setCallTime(Duration.ofMillis(300));
+        Map<String, FaultyStore> connections = new HashMap<>();
         for (String name : List.of("e1", "e2", "e3")) {
-            FaultyStore way =
+            FaultyStore connection =
                     new FaultyStore(
                             store, fleet.time().newEntry(), new Random(1), JobStateAudit.strict());
-            ways.put(name, way);
-            fleet.start(name, way, BatchSettings.defaults());
+            connections.put(name, connection);
+            fleet.start(name, connection, BatchSettings.defaults());
         }
-        fleet.advance(START);
+        fleet.advance(SETTLE_TIME);
         AtomicReference<Reply> accepted =
                 fleet.submit(fleet.nodes().get(0), "evening", Fleet.chatLines(400));
         fleet.advance(Duration.ofSeconds(3));
         String id = accepted.get().body().path("id").asText();
         Fleet.Node holder = holder(fleet.nodes().get(0), id);
-        Fleet.Node caller = other(holder);
+        Fleet.Node caller = otherEntry(holder);
         holder.control().freeze();
-        ways.get(holder.name()).pinReads(JobStateUpdater.key(id), staleReads);
+        connections.get(holder.name()).pinReads(JobStateUpdater.key(id), staleReads);
         AtomicReference<Reply> cancel = fleet.cancel(caller, id);
         fleet.advance(Duration.ofSeconds(15));
         assertEquals(200, cancel.get().status());
         int started = fleet.dispatcher().calls().size();
-        String results = readBack(caller, id);
+        String results = readResults(caller, id);
         holder.control().unfreeze();
         fleet.advance(Duration.ofSeconds(30));
         assertEquals(started, fleet.dispatcher().calls().size());
-        assertEquals(results, readBack(caller, id));
+        assertEquals(results, readResults(caller, id));
     }
 
-    private String readBack(Fleet.Node node, String id) {
+    private String readResults(Fleet.Node node, String id) {
         Fleet.StringSink sink = fleet.results(node, id);
         fleet.advance(Duration.ofSeconds(1));
         return sink.toString();
     }
 
     @Test
-    void anEntryKilledRightAfterItsAnswerLosesNothing() {
-        FaultyStore way =
+    void anEntryKilledRightAfterAcceptingAJobLosesNoItem() {
+        FaultyStore connection =
                 new FaultyStore(
                         store, fleet.time().newEntry(), new Random(1), JobStateAudit.strict());
-        Fleet.Node first = fleet.start("e0", way, BatchSettings.defaults());
+        Fleet.Node first = fleet.start("e0", connection, BatchSettings.defaults());
         Fleet.Node second = entries(2, BatchSettings.defaults()).get(0);
         AtomicReference<Reply> reply = fleet.submit(first, "evening", Fleet.chatLines(50));
         while (reply.get() == null) {
             fleet.advance(Duration.ofMillis(1));
         }
-        way.setDisconnected(true);
+        connection.setDisconnected(true);
         first.control().kill();
         fleet.advance(Duration.ofSeconds(20));
         String id = reply.get().body().path("id").asText();
@@ -142,11 +145,11 @@
     @Test
     void workGoesOnThroughAnOutageWithinMemoryAndIsCommittedAfterIt() {
         fleet.dispatcher().setSlots(50);
-        callsTake(Duration.ofSeconds(2));
+        setCallTime(Duration.ofSeconds(2));
         BatchSettings settings =
                 TestSettings.with(Map.of("loadedChunks", 3, "chunksPerJob", 10, "chunkItems", 100));
         List<Fleet.Node> nodes = entries(2, settings);
-        String id = accepted(nodes.get(0), Fleet.chatLines(1_000));
+        String id = submitAccepted(nodes.get(0), Fleet.chatLines(1_000));
         fleet.advance(Duration.ofMillis(900));
         int before = fleet.dispatcher().calls().size();
         store.down(true);
@@ -182,22 +185,23 @@
                             }
                         });
         List<Fleet.Node> nodes = entries(1, BatchSettings.defaults());
-        String id = accepted(nodes.get(0), Fleet.chatLines(1_000));
+        String id = submitAccepted(nodes.get(0), Fleet.chatLines(1_000));
         fleet.advance(Duration.ofSeconds(30));
         assertEquals("completed", status(nodes.get(0), id).body().path("status").asText());
         assertEquals(999, count(nodes.get(0), id, "completed"));
         assertEquals(1, count(nodes.get(0), id, "failed"));
         assertEquals(1_003, fleet.dispatcher().calls().size());
-        assertTrue(readBack(nodes.get(0), id).lines().toList().get(7).contains("the target died"));
+        assertTrue(
+                readResults(nodes.get(0), id).lines().toList().get(7).contains("the target died"));
     }
 
     @Test
-    void aDrainedEntryHandsItsJobsOverAndRunsNothingTwice() {
+    void aDrainedEntryReleasesItsJobsAndNoItemRunsTwice() {
         fleet.dispatcher().setSlots(20);
-        callsTake(Duration.ofMillis(200));
+        setCallTime(Duration.ofMillis(200));
         BatchSettings settings = TestSettings.with(Map.of("chunkItems", 50, "chunksPerJob", 1));
         List<Fleet.Node> nodes = entries(2, settings);
-        String id = accepted(nodes.get(0), Fleet.chatLines(600));
+        String id = submitAccepted(nodes.get(0), Fleet.chatLines(600));
         fleet.advance(Duration.ofSeconds(2));
         Fleet.Node holder = holder(nodes.get(0), id);
         boolean[] drained = {false};
@@ -205,20 +209,20 @@
         fleet.advance(Duration.ofSeconds(3));
         assertTrue(drained[0]);
         holder.control().kill();
-        Fleet.Node left = other(holder);
+        Fleet.Node remaining = otherEntry(holder);
         fleet.advance(Duration.ofSeconds(30));
-        assertEquals(600, count(left, id, "completed"));
+        assertEquals(600, count(remaining, id, "completed"));
         assertEquals(600, fleet.dispatcher().calls().size());
     }
 
     @Test
-    void aCallCutForOnlineWorkIsRunAgainAndCountsAsNoFailure() {
-        int[] cuts = {0};
+    void aPreemptedCallIsRetriedAndDoesNotCountAsFailure() {
+        int[] calls = {0};
         fleet.dispatcher()
                 .setBehaviour(
                         (spec, listener) -> {
-                            cuts[0]++;
-                            if (cuts[0] <= 20) {
+                            calls[0]++;
+                            if (calls[0] <= 20) {
                                 listener.onProblem(
                                         Problem.failed(
                                                 FailureCause.PREEMPTED.problemKind(RunOutcome.RUN),
@@ -229,15 +233,15 @@
                             }
                         });
         List<Fleet.Node> nodes = entries(1, BatchSettings.defaults());
-        String id = accepted(nodes.get(0), Fleet.chatLines(2));
+        String id = submitAccepted(nodes.get(0), Fleet.chatLines(2));
         fleet.advance(Duration.ofMinutes(10));
         assertEquals(2, count(nodes.get(0), id, "completed"));
     }
 
     @Test
-    void aLateJobIsReportedBeforeItIsLate() {
+    void aJobIsReportedAsLateBeforeItsDeadline() {
         fleet.dispatcher().setSlots(5);
-        callsTake(Duration.ofMillis(500));
+        setCallTime(Duration.ofMillis(500));
         List<Fleet.Node> nodes = entries(1, TestSettings.with(Map.of("chunkItems", 20)));
         long due = engine.epochMillis() + Duration.ofSeconds(40).toMillis();
         AtomicReference<Reply> reply =
@@ -254,7 +258,7 @@
     @Test
     void teamsShareTheSlotsOfTheFleetByWeightThoughTheirJobsRunOnDifferentEntries() {
         fleet.dispatcher().setSlots(40);
-        callsTake(Duration.ofMillis(200));
+        setCallTime(Duration.ofMillis(200));
         List<Fleet.Node> nodes = entries(2, BatchSettings.defaults());
         fleet.submit(
                 nodes.get(0),
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchFaultsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchFaultsTest.java
@@ -22,24 +22,28 @@
 import org.sardinelift.core.outcome.RunOutcome;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** Random interleavings of entries, faults of the platform, freezes, deaths and cancels. */
+/**
+ * Random sequences of platform faults, cut connections, freezes, crashes and cancels over several
+ * entries. Items would be lost, run twice or run after a cancel if an entry acted on a stale read,
+ * a lost answer or a claim that another entry had taken over.
+ */
 class BatchFaultsTest {
     private static final int ITEMS = 60;
     private static final int STEPS = 30;
     private static final double FAULTS = 0.15;
 
-    /** One run from one seed. */
+    /** One sequence, drawn from one seed. */
     private static final class Scenario {
         private final Random random;
         private final FakeObjectStore store = new FakeObjectStore();
         private final Fleet fleet = new Fleet();
         private final JobStateAudit audit;
-        private final List<FaultyStore> ways = new ArrayList<>();
+        private final List<FaultyStore> connections = new ArrayList<>();
         private final List<AtomicReference<Reply>> cancels = new ArrayList<>();
-        private final BatchSettings settings = small();
+        private final BatchSettings settings = smallSettings();
         private final VirtualControl.Entry engine;
         private int entries;
-        private boolean down;
+        private boolean isDown;
         private int startsAfterCancel;
         private int resultsAtCancel = -1;
 
@@ -51,7 +55,7 @@
             fleet.dispatcher()
                     .setBehaviour(
                             (spec, listener) -> {
-                                startsAfterCancel += confirmed() ? 1 : 0;
+                                startsAfterCancel += isCancelConfirmed() ? 1 : 0;
                                 Runnable end =
                                         () -> {
                                             if (spec.isIdempotent() && random.nextInt(10) == 0) {
@@ -68,7 +72,7 @@
                             });
         }
 
-        static BatchSettings small() {
+        static BatchSettings smallSettings() {
             return TestSettings.with(
                     Map.of(
                             "chunkItems", 10,
@@ -80,24 +84,24 @@
                             "watchPauseMs", 50));
         }
 
-        boolean confirmed() {
+        boolean isCancelConfirmed() {
             return cancels.stream()
                     .anyMatch(reply -> reply.get() != null && reply.get().status() == 200);
         }
 
         void startEntry() {
             entries++;
-            FaultyStore way = new FaultyStore(store, fleet.time().newEntry(), random, audit);
-            ways.add(way);
-            fleet.start("e" + entries, way, settings);
+            FaultyStore connection = new FaultyStore(store, fleet.time().newEntry(), random, audit);
+            connections.add(connection);
+            fleet.start("e" + entries, connection, settings);
         }
 
-        List<Fleet.Node> live() {
+        List<Fleet.Node> liveEntries() {
             return fleet.nodes().stream().filter(node -> !node.control().isDead()).toList();
         }
 
-        Fleet.Node any() {
-            List<Fleet.Node> live = live();
+        Fleet.Node anyEntry() {
+            List<Fleet.Node> live = liveEntries();
             return live.get(random.nextInt(live.size()));
         }
 
@@ -107,11 +111,11 @@
                     .collect(Collectors.joining("\n"));
         }
 
-        /** Submits until one entry confirms, as a caller does. */
-        String accept() {
+        /** Submits until an entry confirms the job, as a caller does. */
+        String submitUntilAccepted() {
             AtomicReference<Reply> reply = new AtomicReference<>();
             for (int i = 0; i < 50 && (reply.get() == null || reply.get().isProblem()); i++) {
-                reply = fleet.submit(any(), "evening", lines());
+                reply = fleet.submit(anyEntry(), "evening", lines());
                 fleet.advance(Duration.ofSeconds(10));
             }
             assertEquals(2, reply.get().status() / 100, () -> "never accepted");
@@ -119,16 +123,16 @@
         }
 
         void disturb(boolean mayKill) {
-            Fleet.Node node = any();
-            FaultyStore way = ways.get(fleet.nodes().indexOf(node));
+            Fleet.Node node = anyEntry();
+            FaultyStore connection = connections.get(fleet.nodes().indexOf(node));
             switch (random.nextInt(mayKill ? 9 : 8)) {
                 case 0 -> node.control().freeze();
-                case 1, 2 -> live().forEach(other -> other.control().unfreeze());
-                case 3 -> way.setDisconnected(true);
-                case 4 -> ways.forEach(other -> other.setDisconnected(false));
-                case 5 -> down(random.nextInt(3) == 0);
+                case 1, 2 -> liveEntries().forEach(other -> other.control().unfreeze());
+                case 3 -> connection.setDisconnected(true);
+                case 4 -> connections.forEach(other -> other.setDisconnected(false));
+                case 5 -> setPlatformDown(random.nextInt(3) == 0);
                 case 6 -> store.compact();
-                case 7 -> down(false);
+                case 7 -> setPlatformDown(false);
                 default -> {
                     node.control().kill();
                     startEntry();
@@ -136,45 +140,45 @@
             }
         }
 
-        void run(boolean cancelToo) {
+        void run(boolean hasCancel) {
             IntStream.range(0, 3).forEach(i -> startEntry());
             fleet.advance(Duration.ofSeconds(10));
-            ways.forEach(way -> way.setFaultRate(FAULTS));
-            String id = accept();
-            int cancelAt = cancelToo ? random.nextInt(STEPS) : -1;
+            connections.forEach(connection -> connection.setFaultRate(FAULTS));
+            String id = submitUntilAccepted();
+            int cancelAt = hasCancel ? random.nextInt(STEPS) : -1;
             for (int step = 0; step < STEPS; step++) {
                 disturb(random.nextInt(3) == 0);
                 if (step == cancelAt) {
-                    cancels.add(fleet.cancel(any(), id));
+                    cancels.add(fleet.cancel(anyEntry(), id));
                 }
                 fleet.advance(Duration.ofMillis(random.nextInt(4_000)));
-                noteCancel(id);
+                recordCancelConfirmed(id);
             }
             heal();
             fleet.advance(Duration.ofMinutes(5));
-            noteCancel(id);
+            recordCancelConfirmed(id);
             check(id);
         }
 
-        private void down(boolean isDown) {
-            down = isDown;
-            store.down(isDown);
+        private void setPlatformDown(boolean down) {
+            isDown = down;
+            store.down(down);
         }
 
-        private void noteCancel(String id) {
-            if (confirmed() && resultsAtCancel < 0) {
+        private void recordCancelConfirmed(String id) {
+            if (isCancelConfirmed() && resultsAtCancel < 0) {
                 resultsAtCancel = results(id).hashCode();
             }
         }
 
         void heal() {
-            down(false);
-            ways.forEach(
-                    way -> {
-                        way.setDisconnected(false);
-                        way.setFaultRate(0);
+            setPlatformDown(false);
+            connections.forEach(
+                    connection -> {
+                        connection.setDisconnected(false);
+                        connection.setFaultRate(0);
                     });
-            live().forEach(node -> node.control().unfreeze());
+            liveEntries().forEach(node -> node.control().unfreeze());
         }
 
         List<String> results(String id) {
@@ -184,7 +188,7 @@
                     reading.start("reader", new ReadOnlyStore(store), BatchSettings.defaults());
             Fleet.StringSink sink = reading.results(reader, id);
             reading.advance(Duration.ofSeconds(2));
-            store.down(down);
+            store.down(isDown);
             return sink.lines();
         }
 
@@ -207,7 +211,7 @@
                                     assertTrue(
                                             fleet.dispatcher().runCount("{\"pot\":" + n + "}") <= 1,
                                             () -> "notice " + n + " was sent twice"));
-            if (confirmed()) {
+            if (isCancelConfirmed()) {
                 assertEquals(0, startsAfterCancel, "starts after the confirmed cancel");
                 assertEquals(
                         resultsAtCancel, results.hashCode(), "results after the confirmed cancel");
@@ -216,7 +220,7 @@
     }
 
     @Property(tries = 100, seed = "42", shrinking = ShrinkingMode.OFF)
-    void everyItemEndsOnceThroughFaultsFreezesAndDeaths(@ForAll long seed) {
+    void everyItemEndsExactlyOnceDespiteFaultsFreezesAndCrashes(@ForAll long seed) {
         new Scenario(seed, JobStateAudit.strict()).run(false);
     }
 
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchMeasurementTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchMeasurementTest.java
@@ -22,22 +22,22 @@
 import org.sardinelift.testkit.FakeObjectStore;
 
 /**
- * Measures batch work beside the simpler ways, in virtual time, and prints a table: one write per
- * item; jobs split over entries without takeover. Only counts and virtual times are asserted; the
- * items a second of processor time are printed.
+ * Compares batch work in virtual time with two simpler designs and prints a table: one write per
+ * item, and jobs split over entries without takeover. Only counts and virtual times are asserted;
+ * items per second of processor time are only printed.
  */
 class BatchMeasurementTest {
     private static final int ITEMS = 20_000;
     private static final int LARGEST_JOB = 89_000;
     private static final int JOBS = 12;
     private static final int JOB_ITEMS = 400;
-    private static final Duration CALL = Duration.ofMillis(200);
+    private static final Duration CALL_TIME = Duration.ofMillis(200);
 
     private record Cost(double writesPerItem, double callsPerItem, double itemsPerSecond) {}
 
     private record Loss(int completed, double firstTakeoverSeconds, double endSeconds) {}
 
-    private static Cost cost(ChunkPacker packer, int items) {
+    private static Cost measureCost(ChunkPacker packer, int items) {
         Fleet fleet = new Fleet();
         CountingStore store = new CountingStore(new FakeObjectStore());
         BatchSettings settings = TestSettings.withPacker(packer);
@@ -66,8 +66,8 @@
         return status.get().body().path("request_counts").path("completed").asInt();
     }
 
-    /** Three entries hold twelve jobs; one dies early. */
-    private static Loss loss(boolean takeover) {
+    /** Three entries hold twelve jobs; one is killed early. */
+    private static Loss measureEntryLoss(boolean takeover) {
         Fleet fleet = new Fleet();
         FakeObjectStore store = new FakeObjectStore();
         VirtualControl.Entry engine = fleet.time().newEntry();
@@ -75,7 +75,8 @@
         fleet.dispatcher()
                 .setBehaviour(
                         (spec, listener) ->
-                                engine.schedule(CALL, () -> FakeDispatcher.answer(spec, listener)));
+                                engine.schedule(
+                                        CALL_TIME, () -> FakeDispatcher.answer(spec, listener)));
         BatchSettings settings =
                 takeover
                         ? BatchSettings.defaults()
@@ -94,13 +95,13 @@
         double died = fleet.time().nanos() / 1e9;
         nodes.get(2).control().kill();
         Fleet.Node reader = nodes.get(0);
-        List<Integer> before = held(fleet, reader, jobs, "e3");
+        List<Integer> before = jobsHeldBy(fleet, reader, jobs, "e3");
         double first = -1;
         while (fleet.time().nanos() / 1e9 - died < 120
                 && jobs.stream().mapToInt(job -> completed(fleet, reader, job)).sum()
                         < JOBS * JOB_ITEMS) {
             fleet.advance(Duration.ofMillis(200));
-            if (first < 0 && held(fleet, reader, jobs, "e3").size() < before.size()) {
+            if (first < 0 && jobsHeldBy(fleet, reader, jobs, "e3").size() < before.size()) {
                 first = fleet.time().nanos() / 1e9 - died;
             }
         }
@@ -108,7 +109,7 @@
         return new Loss(done, first, fleet.time().nanos() / 1e9 - died);
     }
 
-    private static List<Integer> held(
+    private static List<Integer> jobsHeldBy(
             Fleet fleet, Fleet.Node reader, List<AtomicReference<Reply>> jobs, String holder) {
         return IntStream.range(0, jobs.size())
                 .filter(
@@ -124,10 +125,10 @@
     }
 
     @Test
-    void chunksCostFarFewerCallsThanItems() {
-        cost(new ChunkPacker(500, 32, 900_000), ITEMS);
-        Cost chunks = cost(new ChunkPacker(500, 32, 900_000), ITEMS);
-        Cost single = cost(new ChunkPacker(1, 1, 900_000), ITEMS / 20);
+    void chunksNeedFarFewerCallsThanSingleItems() {
+        measureCost(new ChunkPacker(500, 32, 900_000), ITEMS);
+        Cost chunks = measureCost(new ChunkPacker(500, 32, 900_000), ITEMS);
+        Cost single = measureCost(new ChunkPacker(1, 1, 900_000), ITEMS / 20);
         print("way               writes/item  calls/item  items/s");
         print("chunks of 500     %11.5f  %10.5f  %7.0f", chunks);
         print("one write an item %11.5f  %10.5f  %7.0f", single);
@@ -137,8 +138,8 @@
 
     @Test
     void theJobsOfALostEntryAreTakenOverWithinSeconds() {
-        Loss claims = loss(true);
-        Loss split = loss(false);
+        Loss claims = measureEntryLoss(true);
+        Loss split = measureEntryLoss(false);
         print("way          completed of " + JOBS * JOB_ITEMS + "  takeover s  end s");
         print(row("claims", claims));
         print(row("static split", split));
@@ -148,7 +149,7 @@
     }
 
     @Test
-    void anEntryOnItsOwnThreadsCompletesALargestJob() throws InterruptedException {
+    void anEntryOnItsOwnThreadsCompletesAJobOfMaximumSize() throws InterruptedException {
         try (ControlThread control = ControlThread.start("batch");
                 BatchService service =
                         BatchService.start(
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchServiceTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchServiceTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** One or a few entries over a platform that works. */
+/** One or a few entries on a platform without faults. */
 class BatchServiceTest {
-    private static final Duration SETTLE = Duration.ofSeconds(20);
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(20);
 
     private final FakeObjectStore store = new FakeObjectStore();
     private final Fleet fleet = new Fleet();
@@ -24,9 +24,9 @@
     @Test
     void aJobIsAcceptedRunAndReadBackInInputOrder() {
         Fleet.Node entry = entry("e1");
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         var accepted = fleet.submit(entry, "evening", Fleet.chatLines(1_234));
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         assertEquals(201, accepted.get().status());
         String id = accepted.get().body().path("id").asText();
         var status = fleet.status(entry, id);
@@ -50,14 +50,14 @@
         Fleet.Node first = entry("e1");
         Fleet.Node second = entry("e2");
         Fleet.Node third = entry("e3");
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         String lines = Fleet.chatLines(700);
         var replies =
                 java.util.List.of(
                         fleet.submit(first, "evening", lines),
                         fleet.submit(second, "evening", lines),
                         fleet.submit(third, "evening", lines));
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         assertEquals(
                 1,
                 replies.stream()
@@ -67,15 +67,15 @@
         assertTrue(replies.stream().allMatch(reply -> reply.get().status() / 100 == 2));
         assertEquals(700, fleet.dispatcher().calls().size());
         var other = fleet.submit(second, "evening", Fleet.chatLines(701));
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         assertEquals("job_key_reused", other.get().body().path("kind").asText());
         assertEquals("not_run", other.get().body().path("outcome").asText());
     }
 
     @Test
-    void allBadLinesAreNamedAndNothingIsWritten() {
+    void allInvalidLinesAreReportedAndNothingIsWritten() {
         Fleet.Node entry = entry("e1");
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         long before = store.revision();
         String lines =
                 Fleet.chatLine(0)
@@ -100,10 +100,10 @@
     @Test
     void jobsOfOtherTeamsAreNotFound() {
         Fleet.Node entry = entry("e1");
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         var accepted =
                 fleet.submit(entry, Fleet.WHARF, "evening", Long.MAX_VALUE, Fleet.chatLines(3));
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         var status = fleet.status(entry, accepted.get().body().path("id").asText());
         fleet.advance(Duration.ofSeconds(1));
         assertEquals(404, status.get().status());
@@ -111,18 +111,18 @@
     }
 
     @Test
-    void anIdleFleetKeepsNoMarkersOfEndedJobs() {
+    void markersOfEndedJobsAreDeleted() {
         Fleet.Node entry = entry("e1");
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         fleet.submit(entry, "evening", Fleet.chatLines(3));
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         var listed =
                 (org.sardinelift.objects.ListResult.Listed) store.list(OpenJobs.KIND, "").join();
         assertTrue(listed.objects().isEmpty());
     }
 
     @Test
-    void largeAnswersAreSplitOverObjectsAndTooLargeOnesEndWithAReason() {
+    void largeResponsesAreSplitOverObjectsAndTooLargeOnesFailWithAReason() {
         fleet.dispatcher()
                 .setBehaviour(
                         (spec, listener) -> {
@@ -135,9 +135,9 @@
                             }
                         });
         Fleet.Node entry = entry("e1");
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         var accepted = fleet.submit(entry, "evening", Fleet.chatLines(100));
-        fleet.advance(SETTLE);
+        fleet.advance(SETTLE_TIME);
         var results = fleet.results(entry, accepted.get().body().path("id").asText());
         fleet.advance(Duration.ofSeconds(1));
         assertEquals(100, results.lines().size());
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchSessionTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchSessionTest.java
@@ -32,19 +32,19 @@
 import org.sardinelift.runtime.ControlThread;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** A whole batch session over HTTP against a golden file. */
+/** Compares a whole batch session over HTTP with a golden file. */
 class BatchSessionTest {
     private static final Path GOLDEN = Path.of("src/test/resources/batch-session.txt");
     private static final Path ACTUAL = Path.of("target/batch-session.txt");
     private static final Clock CLOCK =
             Clock.fixed(Instant.parse("2026-12-03T18:00:00Z"), ZoneOffset.UTC);
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     private final FakeDispatcher dispatcher = new FakeDispatcher();
     private final HttpClient client = HttpClient.newHttpClient();
     private final StringBuilder session = new StringBuilder();
     private final ControlThread control = ControlThread.start("batch");
-    private final ControlThread lengthy = ControlThread.start("lengthy");
+    private final ControlThread longTasks = ControlThread.start("lengthy");
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private BatchHttp routes;
     private HttpServer server;
@@ -58,7 +58,7 @@
                         () -> Fleet.CATALOG,
                         FleetView::empty,
                         new Holder("e1", "first"),
-                        BatchControl.of(control, lengthy, CLOCK),
+                        BatchControl.of(control, longTasks, CLOCK),
                         BatchSettings.defaults(),
                         JobDecisions.of(DecisionRecorder.of(DecisionLog.of(1), () -> 0)));
         routes = BatchHttp.of(service, (team, answer) -> answer.accept(new Admission.Admitted()));
@@ -81,12 +81,12 @@
     void stop() {
         server.close();
         control.close();
-        lengthy.close();
+        longTasks.close();
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS);
     }
 
     @Test
-    void theSessionReadsAsBefore() throws Exception {
+    void theSessionMatchesTheGoldenFile() throws Exception {
         String lines =
                 Fleet.chatLine(1)
                         + "\n"
@@ -126,7 +126,7 @@
         send("POST", "/v1/batches/" + id + "/cancel", "compliance", "", "");
         String slow = Fleet.chatLine(1) + "\n" + Fleet.chatLine(2).replace("pot 2", "slow");
         String second = id(send("POST", "/v1/batches", "wharf", "night", slow));
-        await().atMost(PATIENCE).until(() -> dispatcher.running() == 1);
+        await().atMost(TIMEOUT).until(() -> dispatcher.running() == 1);
         send("POST", "/v1/batches/" + second + "/cancel", "wharf", "", "");
         send("GET", "/v1/batches/" + second + "/results", "wharf", "", "");
         send("GET", "/v1/batches", "wharf", "", "");
@@ -143,7 +143,7 @@
     }
 
     private void awaitStatus(String team, String id, String status) {
-        await().atMost(PATIENCE)
+        await().atMost(TIMEOUT)
                 .until(
                         () ->
                                 call("GET", "/v1/batches/" + id, team, "", "")
--- a/entry/src/test/java/org/sardinelift/entry/batch/CountingStore.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/CountingStore.java
@@ -12,7 +12,7 @@
 import org.sardinelift.objects.WriteResult;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** Counts the calls of one or more entries by what they cost the platform. */
+/** Counts the reads, writes and watches of one or more entries. */
 final class CountingStore implements ObjectStore {
     private final FakeObjectStore store;
     private int reads;
--- a/entry/src/test/java/org/sardinelift/entry/batch/FakeDispatcher.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/FakeDispatcher.java
@@ -14,11 +14,11 @@
 import org.sardinelift.entry.call.CallListener;
 import org.sardinelift.entry.call.CallSpec;
 
-/** A dispatcher whose targets answer as the test says, at once unless it says otherwise. */
+/** A dispatcher whose targets answer as the test sets, by default at once. */
 final class FakeDispatcher implements CallDispatcher {
     private final Map<String, Integer> runsByBody = new HashMap<>();
     private final List<CallSpec> calls = new ArrayList<>();
-    private int setSlots = Integer.MAX_VALUE;
+    private int slots = Integer.MAX_VALUE;
     private int running;
     private int cancelled;
     private BiConsumer<CallSpec, CallListener> behaviour = FakeDispatcher::answer;
@@ -31,7 +31,7 @@
     }
 
     void setSlots(int free) {
-        setSlots = free;
+        slots = free;
     }
 
     void setBehaviour(BiConsumer<CallSpec, CallListener> next) {
@@ -59,7 +59,7 @@
         calls.add(spec);
         runsByBody.merge(new String(spec.body(), StandardCharsets.UTF_8), 1, Integer::sum);
         running++;
-        boolean[] over = {false};
+        boolean[] isOver = {false};
         CallListener counted =
                 new CallListener() {
                     @Override
@@ -87,15 +87,15 @@
                     }
 
                     private boolean end() {
-                        boolean first = !over[0];
-                        over[0] = true;
+                        boolean first = !isOver[0];
+                        isOver[0] = true;
                         running -= first ? 1 : 0;
                         return first;
                     }
                 };
         behaviour.accept(spec, counted);
         return reason -> {
-            if (!over[0]) {
+            if (!isOver[0]) {
                 cancelled++;
                 counted.onProblem(
                         Problem.failed(ProblemKind.CANCELLED, RunOutcome.RUN, "cancelled"));
@@ -105,6 +105,6 @@
 
     @Override
     public int freeBatchSlots(String service, String model) {
-        return Math.max(0, setSlots - running);
+        return Math.max(0, slots - running);
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/batch/FaultyStore.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/FaultyStore.java
@@ -16,18 +16,18 @@
 import org.sardinelift.testkit.FakeObjectStore;
 
 /**
- * One entry's way to the platform: answers take time, writes take effect before, after or instead
- * of their answer, reads may be stale, and the way may be cut.
+ * One entry's connection to the platform, with faults: answers are slow, reads may be stale, a
+ * write without an answer takes effect at once, later or never, and the connection may be cut.
  */
 final class FaultyStore implements ObjectStore {
     private final FakeObjectStore store;
     private final VirtualControl.Entry network;
     private final Random random;
     private final JobStateAudit audit;
-    private double setFaultRate;
-    private boolean setDisconnected;
+    private double faultRate;
+    private boolean isDisconnected;
     private @Nullable ObjectKey pinnedKey;
-    private @Nullable ReadResult pinned;
+    private @Nullable ReadResult pinnedResult;
     private int pinnedReads;
 
     FaultyStore(
@@ -41,31 +41,31 @@
         this.audit = audit;
     }
 
-    void setFaultRate(double share) {
-        setFaultRate = share;
+    void setFaultRate(double rate) {
+        faultRate = rate;
     }
 
-    void setDisconnected(boolean isCut) {
-        setDisconnected = isCut;
+    void setDisconnected(boolean disconnected) {
+        isDisconnected = disconnected;
     }
 
-    /** Lets the next reads of an object show what it holds now. */
+    /** Makes the next reads of an object return its present value, so that they become stale. */
     void pinReads(ObjectKey key, int reads) {
-        pinned = store.read(key).join();
+        pinnedResult = store.read(key).join();
         pinnedKey = key;
         pinnedReads = reads;
     }
 
-    private boolean strikes() {
-        return random.nextDouble() < setFaultRate;
+    private boolean drawFault() {
+        return random.nextDouble() < faultRate;
     }
 
     private Duration delay() {
-        int millis = strikes() ? 1 + random.nextInt(2_000) : 1 + random.nextInt(10);
+        int millis = drawFault() ? 1 + random.nextInt(2_000) : 1 + random.nextInt(10);
         return Duration.ofMillis(millis);
     }
 
-    private <T> CompletableFuture<T> later(Supplier<T> answer) {
+    private <T> CompletableFuture<T> answerLater(Supplier<T> answer) {
         CompletableFuture<T> future = new CompletableFuture<>();
         network.schedule(delay(), () -> future.complete(answer.get()));
         return future;
@@ -73,16 +73,16 @@
 
     @Override
     public CompletableFuture<ReadResult> read(ObjectKey key) {
-        return later(
+        return answerLater(
                 () -> {
-                    if (setDisconnected || strikes()) {
+                    if (isDisconnected || drawFault()) {
                         return new ReadResult.Unavailable("cut");
                     }
                     if (key.equals(pinnedKey) && pinnedReads > 0) {
                         pinnedReads--;
-                        return pinned;
+                        return pinnedResult;
                     }
-                    store.stale(strikes());
+                    store.stale(drawFault());
                     ReadResult result = store.read(key).join();
                     store.stale(false);
                     return result;
@@ -91,22 +91,22 @@
 
     @Override
     public CompletableFuture<WriteResult> write(ObjectKey key, long version, String value) {
-        return change(() -> audit.write(store, key, version, value));
+        return applyChange(() -> audit.write(store, key, version, value));
     }
 
     @Override
     public CompletableFuture<WriteResult> delete(ObjectKey key, long version) {
-        return change(() -> store.delete(key, version).join());
+        return applyChange(() -> store.delete(key, version).join());
     }
 
-    private CompletableFuture<WriteResult> change(Supplier<WriteResult> change) {
+    private CompletableFuture<WriteResult> applyChange(Supplier<WriteResult> change) {
         CompletableFuture<WriteResult> future = new CompletableFuture<>();
         network.schedule(
                 delay(),
                 () -> {
-                    if (setDisconnected) {
+                    if (isDisconnected) {
                         future.complete(new WriteResult.NotWritten("cut"));
-                    } else if (!strikes()) {
+                    } else if (!drawFault()) {
                         WriteResult result = change.get();
                         network.schedule(delay(), () -> future.complete(result));
                     } else {
@@ -123,19 +123,19 @@
 
     @Override
     public CompletableFuture<ListResult> list(String kind, String prefix) {
-        return later(
+        return answerLater(
                 () ->
-                        setDisconnected || strikes()
+                        isDisconnected || drawFault()
                                 ? new ListResult.Unavailable("cut")
                                 : store.list(kind, prefix).join());
     }
 
     @Override
     public CompletableFuture<WatchResult> watch(Set<String> kinds, long after, Duration wait) {
-        return later(
+        return answerLater(
                 () -> {
-                    if (setDisconnected || strikes()) {
-                        return strikes()
+                    if (isDisconnected || drawFault()) {
+                        return drawFault()
                                 ? new WatchResult.Gap()
                                 : new WatchResult.Unavailable("cut");
                     }
@@ -145,6 +145,6 @@
 
     @Override
     public CompletableFuture<InstancesResult> instances() {
-        return later(() -> store.instances().join());
+        return answerLater(() -> store.instances().join());
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/batch/Fleet.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/Fleet.java
@@ -20,7 +20,7 @@
 import org.sardinelift.core.fleet.FleetView;
 import org.sardinelift.objects.ObjectStore;
 
-/** Entries over one platform in virtual time. */
+/** Several entries on one platform, in virtual time. */
 final class Fleet {
     static final String MODEL = "registry-7b";
     static final TeamPlan COMPLIANCE =
@@ -56,7 +56,7 @@
         return dispatcher;
     }
 
-    /** Actions that the entries together noted about a subject. */
+    /** Actions that all entries recorded about a subject. */
     List<DecisionAction> decisionsAbout(String subject) {
         return log.find(Set.of(subject), 1_000).stream().map(DecisionRecord::action).toList();
     }
@@ -142,7 +142,7 @@
         return sink;
     }
 
-    /** Keeps the lines of results. */
+    /** Collects the lines of results. */
     static final class StringSink implements JobReader.ResultSink {
         private final StringBuilder text = new StringBuilder();
         private boolean ended;
--- a/entry/src/test/java/org/sardinelift/entry/batch/FolderCacheTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/FolderCacheTest.java
@@ -16,6 +16,7 @@
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.testkit.FakeObjectStore;
 
+/** Guards against serving damaged cache files, and against failing when the folder is gone. */
 class FolderCacheTest {
     private static final ObjectKey CHUNK = new ObjectKey(JobHeader.CHUNK_KIND, "batch-1/d/0");
     private static final StoredObject OBJECT = new StoredObject(CHUNK, 1, 7, "a\nb");
@@ -51,7 +52,7 @@
     }
 
     @Test
-    void aDamagedFileIsNoticedAndIgnored() throws IOException {
+    void aDamagedFileIsDetectedAndIgnored() throws IOException {
         cache(1_000).put(OBJECT);
         eachFile(FolderCacheTest::damage);
         assertEquals(Optional.empty(), cache(1_000).find(CHUNK));
@@ -70,8 +71,7 @@
     }
 
     @Test
-    void readsGoOnWhenTheFolderIsRemovedAndAreServedFromItWhenThePlatformIsDown()
-            throws IOException {
+    void readsSucceedWithoutTheFolderAndAreServedFromItWhenThePlatformIsDown() throws IOException {
         FakeObjectStore platform = new FakeObjectStore();
         platform.write(CHUNK, ObjectStore.ABSENT_VERSION, "a\nb").join();
         CachedObjectStore store = new CachedObjectStore(platform, cache(1_000), Runnable::run);
--- a/entry/src/test/java/org/sardinelift/entry/batch/JobDecisionsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/JobDecisionsTest.java
@@ -16,6 +16,7 @@
 import org.sardinelift.core.explain.DecisionRecord;
 import org.sardinelift.core.explain.DecisionRecorder;
 
+/** Guards against decisions about jobs that are missing, repeated or wrong about the holder. */
 class JobDecisionsTest {
     private static final long DUE_MS = 10_000;
     private static final Holder LOST = new Holder("e1", "first");
@@ -50,7 +51,7 @@
     }
 
     @Test
-    void lateIsNotedOnceAndSoIsItsEnd() {
+    void lateAndInTimeAreRecordedOncePerChange() {
         jobs.onClaimed(header, claimed, Holder.NONE);
         jobs.onProgress("job-1", 4, DUE_MS - 1, 1_000);
         jobs.onProgress("job-1", 3, DUE_MS + 1, 2_000);
@@ -68,7 +69,7 @@
     }
 
     @Test
-    void aJobThatEndedOrIsHeldByAnotherIsNoLongerHeldHere() {
+    void aJobThatEndedOrIsHeldByAnotherEntryIsNoLongerHeldHere() {
         jobs.onClaimed(header, claimed, Holder.NONE);
         jobs.onRunEnded(header, claimed.claim(LOST));
         assertEquals(List.of(), jobs.heldJobs());
--- a/entry/src/test/java/org/sardinelift/entry/batch/JobStateAudit.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/JobStateAudit.java
@@ -10,27 +10,27 @@
 import org.sardinelift.objects.WriteResult;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** Checks every state of a job that takes effect in the platform against the one before. */
+/** Checks every job state that is written to the platform against the previous one. */
 final class JobStateAudit {
     private final Map<String, JobState> last = new HashMap<>();
-    private final boolean conditional;
+    private final boolean isConditional;
     private String violation = "";
     private int writes;
 
-    private JobStateAudit(boolean conditional) {
-        this.conditional = conditional;
+    private JobStateAudit(boolean isConditional) {
+        this.isConditional = isConditional;
     }
 
     static JobStateAudit strict() {
         return new JobStateAudit(true);
     }
 
-    /** A platform whose updates of job states overwrite whatever is there. */
+    /** Audits a platform on which updates of job states overwrite any version. */
     static JobStateAudit overwriting() {
         return new JobStateAudit(false);
     }
 
-    /** Begins anew, after jobs were removed. */
+    /** Forgets all states, after jobs were removed. */
     void reset() {
         last.clear();
     }
@@ -44,9 +44,9 @@
     }
 
     WriteResult write(FakeObjectStore store, ObjectKey key, long version, String value) {
-        boolean state = key.kind().equals(JobStateUpdater.KIND);
+        boolean isState = key.kind().equals(JobStateUpdater.KIND);
         long expected = version;
-        if (state && !conditional) {
+        if (isState && !isConditional) {
             expected =
                     store.read(key).join() instanceof ReadResult.Found found
                             ? found.object().version()
@@ -55,7 +55,7 @@
         WriteResult result = store.write(key, expected, value).join();
         if (result instanceof WriteResult.Written) {
             writes++;
-            if (state) {
+            if (isState) {
                 check(key.name(), BatchJson.state(value));
             }
         }
@@ -66,20 +66,20 @@
         JobState before = last.put(job, next);
         JobCounts counts = next.counts();
         int sum = counts.completed() + counts.failed() + counts.cancelled() + counts.open();
-        note(sum == counts.accepted() && counts.open() >= 0, "counts " + counts);
+        require(sum == counts.accepted() && counts.open() >= 0, "counts " + counts);
         if (before != null) {
-            note(!before.phase().isTerminal(), "written after " + before.phase());
-            note(next.fence() >= before.fence(), "fence went back");
-            note(
+            require(!before.phase().isTerminal(), "written after " + before.phase());
+            require(next.fence() >= before.fence(), "fence went back");
+            require(
                     next.chunks().entrySet().containsAll(before.chunks().entrySet()),
                     "a committed result was lost or replaced");
-            note(before.counts().accepted() == counts.accepted(), "accepted items changed");
+            require(before.counts().accepted() == counts.accepted(), "accepted items changed");
         }
     }
 
-    private void note(boolean holds, String what) {
+    private void require(boolean holds, String violated) {
         if (!holds && violation.isEmpty()) {
-            violation = what;
+            violation = violated;
         }
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/batch/ReadOnlyStore.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/ReadOnlyStore.java
@@ -12,7 +12,7 @@
 import org.sardinelift.objects.WriteResult;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** Lets a test look at results without taking part: it can't write and so holds no lease. */
+/** Lets a test read results through an entry that claims no jobs, as it can't write its lease. */
 record ReadOnlyStore(FakeObjectStore store) implements ObjectStore {
     @Override
     public CompletableFuture<ReadResult> read(ObjectKey key) {
--- a/entry/src/test/java/org/sardinelift/entry/batch/RemovalTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/RemovalTest.java
@@ -20,19 +20,22 @@
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** Ended jobs leave the platform after their retention, whole and in no race with a new life. */
+/**
+ * Guards against objects left behind by removed jobs, and against removing objects of a new job
+ * that reuses the job key, when entries freeze, crash or lose answers.
+ */
 class RemovalTest {
     private static final int RETENTION_MINUTES = 8;
-    private static final int HOLD_MINUTES = 2;
+    private static final int REMOVAL_HOLD_MINUTES = 2;
     private static final Duration RETENTION = Duration.ofMinutes(RETENTION_MINUTES);
-    private static final Duration REMOVED = RETENTION.plusMinutes(7 * HOLD_MINUTES);
-    private static final Duration START = Duration.ofSeconds(10);
+    private static final Duration REMOVAL_TIME = RETENTION.plusMinutes(7 * REMOVAL_HOLD_MINUTES);
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(10);
     private static final int ITEMS = 40;
-    private static final int KEPT_JOBS = 50;
+    private static final int RETAINED_JOBS = 50;
 
     private final FakeObjectStore store = new FakeObjectStore();
     private final Fleet fleet = new Fleet();
-    private final List<FaultyStore> ways = new ArrayList<>();
+    private final List<FaultyStore> connections = new ArrayList<>();
 
     private static BatchSettings settings() {
         return TestSettings.with(
@@ -43,7 +46,7 @@
                         "claimPeriodMs", 1_000,
                         "watchPauseMs", 1_000,
                         "retentionMinutes", RETENTION_MINUTES,
-                        "removalHoldMs", HOLD_MINUTES * 60_000,
+                        "removalHoldMs", REMOVAL_HOLD_MINUTES * 60_000,
                         "sweepPauseMs", 20));
     }
 
@@ -51,7 +54,7 @@
         return fleet.start(name, store, settings());
     }
 
-    private List<StoredObject> ofJobs() {
+    private List<StoredObject> jobObjects() {
         return Stream.of("job", "job-open", "job-state", "job-chunk", "job-result", "job-expiry")
                 .flatMap(
                         kind ->
@@ -60,54 +63,54 @@
                 .toList();
     }
 
-    private String completed(Fleet.Node entry, String jobKey) {
+    private String submitJob(Fleet.Node entry, String jobKey) {
         AtomicReference<Reply> reply = fleet.submit(entry, jobKey, Fleet.chatLines(ITEMS));
-        fleet.advance(START);
+        fleet.advance(SETTLE_TIME);
         assertEquals(201, reply.get().status());
         return reply.get().body().path("id").asText();
     }
 
-    private int found(Fleet.Node entry, String id) {
+    private int statusCode(Fleet.Node entry, String id) {
         AtomicReference<Reply> status = fleet.status(entry, id);
         fleet.advance(Duration.ofSeconds(1));
         return status.get().status();
     }
 
     @Test
-    void anEndedJobIsReadableForItsRetentionAndThenLeavesNothing() {
+    void anEndedJobIsReadableForItsRetentionAndThenRemovedCompletely() {
         Fleet.Node entry = entry("e1");
-        fleet.advance(START);
-        String id = completed(entry, "evening");
-        fleet.advance(RETENTION.minus(START));
-        assertEquals(200, found(entry, id));
+        fleet.advance(SETTLE_TIME);
+        String id = submitJob(entry, "evening");
+        fleet.advance(RETENTION.minus(SETTLE_TIME));
+        assertEquals(200, statusCode(entry, id));
         Fleet.StringSink results = fleet.results(entry, id);
         fleet.advance(Duration.ofSeconds(1));
         assertEquals(ITEMS, results.lines().size());
-        fleet.advance(REMOVED.minus(RETENTION));
-        assertEquals(404, found(entry, id));
-        assertEquals(List.of(), ofJobs());
+        fleet.advance(REMOVAL_TIME.minus(RETENTION));
+        assertEquals(404, statusCode(entry, id));
+        assertEquals(List.of(), jobObjects());
     }
 
     @Test
     void aResendAfterTheRemovalIsANewJob() {
         Fleet.Node entry = entry("e1");
-        fleet.advance(START);
-        String id = completed(entry, "evening");
-        fleet.advance(REMOVED);
-        assertEquals(id, completed(entry, "evening"));
+        fleet.advance(SETTLE_TIME);
+        String id = submitJob(entry, "evening");
+        fleet.advance(REMOVAL_TIME);
+        assertEquals(id, submitJob(entry, "evening"));
         fleet.advance(Duration.ofMinutes(1));
         assertEquals(2 * ITEMS, fleet.dispatcher().calls().size());
-        assertEquals(200, found(entry, id));
+        assertEquals(200, statusCode(entry, id));
     }
 
     @Test
     void aResendDuringTheRemovalIsRefusedAsNotRun() {
         Fleet.Node entry = entry("e1");
-        fleet.advance(START);
-        completed(entry, "evening");
-        fleet.advance(RETENTION.plusMinutes(HOLD_MINUTES));
+        fleet.advance(SETTLE_TIME);
+        submitJob(entry, "evening");
+        fleet.advance(RETENTION.plusMinutes(REMOVAL_HOLD_MINUTES));
         AtomicReference<Reply> reply = fleet.submit(entry, "evening", Fleet.chatLines(ITEMS));
-        fleet.advance(START);
+        fleet.advance(SETTLE_TIME);
         assertEquals(409, reply.get().status());
         assertEquals("not_run", reply.get().body().path("outcome").asText());
         assertTrue(reply.get().retryAfter().isPresent());
@@ -117,51 +120,52 @@
     @Test
     void chunksOfASubmissionThatWasNeverAcceptedAreRemoved() {
         Fleet.Node entry = entry("e1");
-        fleet.advance(START);
-        FaultyStore way =
+        fleet.advance(SETTLE_TIME);
+        FaultyStore connection =
                 new FaultyStore(
                         store, fleet.time().newEntry(), new Random(1), JobStateAudit.strict());
-        Fleet.Node dying = fleet.start("e2", way, settings());
-        fleet.advance(START);
-        fleet.submit(dying, "evening", Fleet.chatLines(ITEMS));
+        Fleet.Node killed = fleet.start("e2", connection, settings());
+        fleet.advance(SETTLE_TIME);
+        fleet.submit(killed, "evening", Fleet.chatLines(ITEMS));
         while (((ListResult.Listed) store.list("job-chunk", "").join()).objects().isEmpty()) {
             fleet.advance(Duration.ofMillis(1));
         }
-        dying.control().kill();
-        way.setDisconnected(true);
-        assertNotEquals(List.of(), ofJobs());
-        fleet.advance(REMOVED);
-        assertEquals(List.of(), ofJobs());
-        assertEquals(404, found(entry, JobHeader.idOf("compliance", "evening")));
+        killed.control().kill();
+        connection.setDisconnected(true);
+        assertNotEquals(List.of(), jobObjects());
+        fleet.advance(REMOVAL_TIME);
+        assertEquals(List.of(), jobObjects());
+        assertEquals(404, statusCode(entry, JobHeader.idOf("compliance", "evening")));
     }
 
     @Test
     void aJobThatRunsLongerThanItsRetentionIsNotRemoved() {
         fleet.dispatcher().setSlots(0);
         Fleet.Node entry = entry("e1");
-        fleet.advance(START);
-        String id = completed(entry, "evening");
+        fleet.advance(SETTLE_TIME);
+        String id = submitJob(entry, "evening");
         fleet.advance(RETENTION.multipliedBy(3));
         fleet.dispatcher().setSlots(ITEMS);
         fleet.advance(RETENTION.minusMinutes(1));
-        assertEquals(200, found(entry, id));
-        fleet.advance(RETENTION.plus(REMOVED));
-        assertEquals(List.of(), ofJobs());
+        assertEquals(200, statusCode(entry, id));
+        fleet.advance(RETENTION.plus(REMOVAL_TIME));
+        assertEquals(List.of(), jobObjects());
     }
 
     @Test
-    void callsGrowWithWhatIsDueAndNotWithTheJobsThatAreKept() {
+    void callsGrowWithDueExpiriesAndNotWithRetainedJobs() {
         entry("e1");
-        fleet.advance(REMOVED);
+        fleet.advance(REMOVAL_TIME);
         int idle = callsIn(Duration.ofMinutes(2));
-        IntStream.range(0, KEPT_JOBS)
+        IntStream.range(0, RETAINED_JOBS)
                 .forEach(
                         n -> {
                             fleet.submit(fleet.nodes().get(0), "job-" + n, Fleet.chatLine(n));
                             fleet.advance(Duration.ofMillis(100));
                         });
-        fleet.advance(START.multipliedBy(3));
-        assertTrue(ofJobs().size() >= 4 * KEPT_JOBS, () -> "objects " + ofJobs().size());
+        fleet.advance(SETTLE_TIME.multipliedBy(3));
+        assertTrue(
+                jobObjects().size() >= 4 * RETAINED_JOBS, () -> "objects " + jobObjects().size());
         assertEquals(idle, callsIn(Duration.ofMinutes(2)), idle / 10);
     }
 
@@ -171,9 +175,9 @@
         return store.calls() - before;
     }
 
-    /** Jobs end, are removed and come again while entries freeze, die and lose answers. */
+    /** A job ends, is removed and is submitted again while entries freeze and lose answers. */
     @Property(tries = 20, seed = "44", shrinking = ShrinkingMode.OFF)
-    void faultsRemoveNothingOfALiveJobAndLeaveNothingOfAnOldOne(@ForAll long seed) {
+    void faultsRemoveNothingOfALiveJobAndLeaveNothingOfARemovedOne(@ForAll long seed) {
         new RemovalTest().runTwoLives(seed);
     }
 
@@ -183,11 +187,11 @@
         IntStream.range(0, 3)
                 .forEach(
                         n -> {
-                            ways.add(
+                            connections.add(
                                     new FaultyStore(store, fleet.time().newEntry(), random, audit));
-                            fleet.start("e" + n, ways.get(n), settings());
+                            fleet.start("e" + n, connections.get(n), settings());
                         });
-        fleet.advance(START);
+        fleet.advance(SETTLE_TIME);
         for (int life = 1; life <= 2; life++) {
             accept(random);
             disturb(random, RETENTION.minusMinutes(2));
@@ -196,8 +200,8 @@
             checkReadable(life);
             disturb(random, Duration.ofMinutes(12));
             heal();
-            fleet.advance(REMOVED);
-            assertEquals(List.of(), ofJobs(), "left after life " + life);
+            fleet.advance(REMOVAL_TIME);
+            assertEquals(List.of(), jobObjects(), "left after life " + life);
             audit.reset();
         }
     }
@@ -207,22 +211,22 @@
         for (int i = 0; i < 50 && (reply.get() == null || reply.get().isProblem()); i++) {
             Fleet.Node node = fleet.nodes().get(random.nextInt(fleet.nodes().size()));
             reply = fleet.submit(node, "evening", Fleet.chatLines(ITEMS));
-            fleet.advance(START);
+            fleet.advance(SETTLE_TIME);
         }
         assertEquals(2, reply.get().status() / 100, () -> "never accepted");
     }
 
     private void disturb(Random random, Duration time) {
-        ways.forEach(way -> way.setFaultRate(0.1));
+        connections.forEach(connection -> connection.setFaultRate(0.1));
         long until = fleet.time().nanos() + time.toNanos();
         while (fleet.time().nanos() < until) {
-            int chosen = random.nextInt(ways.size());
+            int chosen = random.nextInt(connections.size());
             switch (random.nextInt(5)) {
                 case 0 -> fleet.nodes().get(chosen).control().freeze();
-                case 1 -> ways.get(chosen).setDisconnected(true);
+                case 1 -> connections.get(chosen).setDisconnected(true);
                 default -> {
                     fleet.nodes().forEach(node -> node.control().unfreeze());
-                    ways.forEach(way -> way.setDisconnected(false));
+                    connections.forEach(connection -> connection.setDisconnected(false));
                 }
             }
             fleet.advance(Duration.ofSeconds(1 + random.nextInt(60)));
@@ -232,10 +236,10 @@
 
     private void heal() {
         fleet.nodes().forEach(node -> node.control().unfreeze());
-        ways.forEach(
-                way -> {
-                    way.setDisconnected(false);
-                    way.setFaultRate(0);
+        connections.forEach(
+                connection -> {
+                    connection.setDisconnected(false);
+                    connection.setFaultRate(0);
                 });
     }
 
