--- a/entry/src/test/java/org/sardinelift/entry/batch/TestSettings.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/TestSettings.java
@@ -6,7 +6,7 @@
 import org.sardinelift.settings.SettingsFile;
 import org.sardinelift.settings.SettingsResult;
 
-/** Settings that differ from the defaults in a few values, read as from a file. */
+/** Batch settings that differ from the defaults in a few values, parsed as from a file. */
 final class TestSettings {
     private TestSettings() {}
 
--- a/entry/src/test/java/org/sardinelift/entry/batch/VirtualControl.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/VirtualControl.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.PriorityQueue;
 
-/** Virtual time shared by several entries; each may be frozen and woken. */
+/** Virtual time shared by several entries, each of which can be frozen, unfrozen and killed. */
 final class VirtualControl {
     private static final long START_MS = 1_800_000_000_000L;
 
@@ -23,23 +23,23 @@
 
     /** The control thread of one entry. */
     final class Entry implements BatchControl {
-        private boolean frozen;
+        private boolean isFrozen;
         private boolean isDead;
-        private final java.util.List<Runnable> held = new java.util.ArrayList<>();
+        private final java.util.List<Runnable> deferredTasks = new java.util.ArrayList<>();
 
         void freeze() {
-            frozen = true;
+            isFrozen = true;
         }
 
         void unfreeze() {
-            frozen = false;
-            held.forEach(this::execute);
-            held.clear();
+            isFrozen = false;
+            deferredTasks.forEach(this::execute);
+            deferredTasks.clear();
         }
 
         void kill() {
             isDead = true;
-            held.clear();
+            deferredTasks.clear();
         }
 
         boolean isDead() {
@@ -86,8 +86,8 @@
         while (!tasks.isEmpty() && tasks.peek().at() <= until) {
             Task task = tasks.poll();
             now = Math.max(now, task.at());
-            if (task.owner().frozen) {
-                task.owner().held.add(task.body());
+            if (task.owner().isFrozen) {
+                task.owner().deferredTasks.add(task.body());
             } else if (!task.owner().isDead) {
                 task.body().run();
             }
