--- a/entry/src/main/java/org/sardinelift/entry/call/AttemptSpan.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/AttemptSpan.java
@@ -6,7 +6,7 @@
 import org.sardinelift.core.outcome.RunOutcome;
 import org.sardinelift.runtime.Telemetry;
 
-/** The span of one attempt at a companion, from its Start to its end. */
+/** Trace span of one attempt of a call, from its Start frame to its end. */
 final class AttemptSpan {
     private final Span span;
 
--- a/entry/src/main/java/org/sardinelift/entry/call/CallBounds.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallBounds.java
@@ -5,20 +5,21 @@
 import org.sardinelift.settings.SettingsNode;
 
 /**
- * Bounds of calls to targets.
+ * Settings of retries, routing and ejection for calls to targets.
  *
- * @param retryPolicy which failed attempts are followed by another
- * @param retryShare retries that each first attempt earns its team, 0 to 1
- * @param retryBurst retries that a team can save up
- * @param reattachTimeout longest time to wait for a new connection to a companion
- * @param targetWait longest time since its start for which a call that lost its target waits for
- *     another to come up
- * @param loadBound load above which affinity gives way, as a multiple of the mean load
- * @param spillPressure load for each slot above which calls leave the availability zone
+ * @param retryPolicy which failed attempts are retried, and when
+ * @param retryShare retry tokens that a team gains with each first attempt, 0 to 1
+ * @param retryBurst capacity of a team's retry budget
+ * @param reattachTimeout longest wait for a lost connection to a companion to be replaced
+ * @param targetWait time after its start for which a call that lost its target may wait for another
+ *     to become usable
+ * @param loadBound load from which a target is passed over despite affinity, as a multiple of the
+ *     mean load
+ * @param spillPressure mean load per slot from which calls may leave the availability zone
  * @param subsetSize targets of one service that this entry uses at most in each zone
- * @param failuresToEject failures in a row that keep a target out
- * @param firstEjection first pause of a failing target
- * @param longestEjection longest pause of a failing target
+ * @param failuresToEject consecutive failures after which a target is ejected
+ * @param firstEjection duration of a target's first ejection
+ * @param longestEjection longest ejection of a target
  */
 public record CallBounds(
         RetryPolicy retryPolicy,
@@ -34,10 +35,10 @@
         Duration longestEjection) {
 
     /**
-     * Reads the bounds.
+     * Reads the settings.
      *
      * @param node the settings object
-     * @return the bounds, defaults where fields are absent
+     * @return the settings, with defaults for absent fields
      */
     public static CallBounds read(SettingsNode node) {
         return new CallBounds(
--- a/entry/src/main/java/org/sardinelift/entry/call/CallDispatcher.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallDispatcher.java
@@ -1,6 +1,6 @@
 package org.sardinelift.entry.call;
 
-/** Routes calls to targets and sees them through retries, lost connections and target deaths. */
+/** Routes calls to targets and handles retries, lost connections and deaths of targets. */
 public interface CallDispatcher {
 
     /**
@@ -8,16 +8,16 @@
      *
      * @param spec the call
      * @param listener receives the answer, on one thread at a time
-     * @return the call under way
+     * @return handle to cancel the call
      */
     CallHandle dispatch(CallSpec spec, CallListener listener);
 
     /**
-     * Batch calls that the targets of a service would start at once.
+     * Returns how many batch calls the targets of a service would start at once.
      *
      * @param service service name
      * @param model model or adapter, empty for any
-     * @return free batch slots as last reported, less calls sent since
+     * @return free batch slots as last reported, minus batch calls sent since
      */
     int freeBatchSlots(String service, String model);
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CallHandle.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallHandle.java
@@ -1,12 +1,13 @@
 package org.sardinelift.entry.call;
 
-/** A call under way. */
+/** Handle to cancel a call that was dispatched. */
 public interface CallHandle {
 
     /**
-     * Stops the call at its target. The listener hears {@code CANCELLED} unless it ended before.
+     * Cancels the call and its attempt. The listener receives the problem {@code CANCELLED}, unless
+     * the call has ended before.
      *
-     * @param reason for the log and the explanation
+     * @param reason shown in the problem and in the recorded decision
      */
     void cancel(String reason);
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CallListener.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallListener.java
@@ -3,11 +3,14 @@
 import java.util.Map;
 import org.sardinelift.core.outcome.Problem;
 
-/** Receives a call's answer; exactly one of {@link #onEnd} and {@link #onProblem} comes last. */
+/**
+ * Receives a call's answer; exactly one of {@link #onEnd} and {@link #onProblem} is called last.
+ */
 public interface CallListener {
 
     /**
-     * Status and headers of the target's answer. Comes once, also when the call was moved.
+     * Called once with the status and headers of the target's answer, also if the call was retried
+     * or reattached.
      *
      * @param status HTTP status code
      * @param headers answer headers
@@ -15,19 +18,19 @@
     void onHead(int status, Map<String, String> headers);
 
     /**
-     * The next part of the body, in order, nothing lost or doubled.
+     * Called with each part of the body, in order, without gaps or duplicates.
      *
      * @param part body bytes
      */
     void onData(byte[] part);
 
-    /** The whole answer has come. */
+    /** Called when the answer is complete. */
     void onEnd();
 
     /**
-     * The call ended without a whole answer.
+     * Called when the call ended without a complete answer.
      *
-     * @param problem what was wrong and whether the call was run
+     * @param problem the failure, and whether the call has run
      */
     void onProblem(Problem problem);
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CallMetrics.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallMetrics.java
@@ -3,7 +3,7 @@
 import io.prometheus.metrics.core.metrics.Counter;
 import io.prometheus.metrics.core.metrics.Histogram;
 
-/** Metrics of calls from this entry to targets. */
+/** Metrics of the calls from this entry to targets. */
 final class CallMetrics {
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -13,18 +13,18 @@
                     .help("Attempts sent to targets")
                     .labelNames("lane", "kind")
                     .register();
-    private static final Counter ENDED =
+    private static final Counter ENDED_CALLS =
             Counter.builder()
                     .name("sardinelift_calls_ended_total")
                     .help("Calls ended, by what the caller got")
                     .labelNames("lane", "result")
                     .register();
-    private static final Counter REATTACHED =
+    private static final Counter REATTACHED_CALLS =
             Counter.builder()
                     .name("sardinelift_calls_reattached_total")
                     .help("Calls taken up again on a new connection")
                     .register();
-    private static final Histogram FIRST_PART =
+    private static final Histogram FIRST_PART_SECONDS =
             Histogram.builder()
                     .name("sardinelift_call_first_part_seconds")
                     .help("Time from dispatch to the first part of the answer")
@@ -35,19 +35,19 @@
 
     private CallMetrics() {}
 
-    static void countAttempt(String lane, boolean retry) {
-        ATTEMPTS.labelValues(lane, retry ? "retry" : "first").inc();
+    static void countAttempt(String lane, boolean isRetry) {
+        ATTEMPTS.labelValues(lane, isRetry ? "retry" : "first").inc();
     }
 
     static void countEnd(String lane, String result) {
-        ENDED.labelValues(lane, result).inc();
+        ENDED_CALLS.labelValues(lane, result).inc();
     }
 
     static void countReattached() {
-        REATTACHED.inc();
+        REATTACHED_CALLS.inc();
     }
 
     static void observeFirstPart(String lane, long nanos) {
-        FIRST_PART.labelValues(lane).observe(nanos / NANOS_PER_SECOND);
+        FIRST_PART_SECONDS.labelValues(lane).observe(nanos / NANOS_PER_SECOND);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CallProblems.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallProblems.java
@@ -7,23 +7,23 @@
 import org.sardinelift.core.outcome.ProblemKind;
 import org.sardinelift.core.outcome.RunOutcome;
 
-/** Problems by which calls end; each says what holds over all attempts of the call. */
+/** Creates the problems with which calls end; their outcome is that of all attempts together. */
 final class CallProblems {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
     private CallProblems() {}
 
     static Problem of(AttemptAction.Failed last, RunOutcome overall) {
-        Duration after = last.retryAfter().isZero() ? COME_BACK : last.retryAfter();
-        return of(last.cause().problemKind(overall), overall, last.detail(), after);
+        Duration retryAfter = last.retryAfter().isZero() ? DEFAULT_RETRY_AFTER : last.retryAfter();
+        return of(last.cause().problemKind(overall), overall, last.detail(), retryAfter);
     }
 
     static Problem noTarget(String service, RunOutcome overall) {
         return of(
                 ProblemKind.NO_TARGET,
                 overall,
-                "no target of " + service + " can take the call now",
-                COME_BACK);
+                "no target of service " + service + " can run the call now",
+                DEFAULT_RETRY_AFTER);
     }
 
     static Problem crashesTargets(RunOutcome overall) {
@@ -38,12 +38,13 @@
         if (overall == RunOutcome.NOT_RUN) {
             return Problem.notRun(kind, detail, retryAfter);
         }
-        ProblemKind truthful =
+        // NO_TARGET and OVERLOADED would claim that the call has not run.
+        ProblemKind reportedKind =
                 kind == ProblemKind.NO_TARGET || kind == ProblemKind.OVERLOADED
                         ? overall == RunOutcome.RUN
                                 ? ProblemKind.TARGET_FAILED
                                 : ProblemKind.OUTCOME_UNKNOWN
                         : kind;
-        return Problem.failed(truthful, overall, detail);
+        return Problem.failed(reportedKind, overall, detail);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CallRun.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CallRun.java
@@ -27,7 +27,7 @@
 import org.sardinelift.protocol.generated.Query;
 import org.sardinelift.protocol.generated.QueryAnswer;
 
-/** One call from its dispatch to its end, over all its attempts. Its lock guards all state. */
+/** One call from its dispatch to its end, with all its attempts. Its lock guards all its state. */
 final class CallRun implements CallHandle {
     private final CallSpec spec;
     private final CallListener listener;
@@ -35,20 +35,20 @@
     private final long deadlineNanos;
     private final Lane lane;
     private final long startedNanos;
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedTargets = new HashSet<>();
     private @Nullable CompanionLink companion;
     private @Nullable CallAttempt attempt;
     private @Nullable AttemptSpan span;
     private AttemptAction.@Nullable ResponseHead head;
-    private RunOutcome overall = RunOutcome.NOT_RUN;
+    private RunOutcome overallOutcome = RunOutcome.NOT_RUN;
     private String targetIncarnation = "";
-    private @Nullable Long firstAskedNanos;
+    private @Nullable Long firstChoiceNanos;
     private int attempts;
-    private int takenBackAttempt;
-    private boolean delivered;
-    private boolean suspect;
+    private int requeuedAttempt;
+    private boolean isHeadDelivered;
+    private boolean isSuspect;
     private @Nullable ScheduledFuture<?> deadlineTimer;
-    private boolean ended;
+    private boolean isEnded;
 
     CallRun(CallSpec spec, CallListener listener, FrameDispatcher dispatcher) {
         this.spec = spec;
@@ -70,7 +70,7 @@
     synchronized void start() {
         deadlineTimer = dispatcher.schedule(spec.deadline(), this::onDeadline);
         dispatcher.onFirstAttempt(spec.team().name());
-        next();
+        startNextAttempt();
     }
 
     @Override
@@ -80,13 +80,15 @@
 
     synchronized void onHead(CompanionLink from, Head frame) {
         if (isCurrent(from)) {
-            act(attempt.onHead(frame.getAttempt(), frame.getStatus(), headers(frame.getHeaders())));
+            apply(
+                    attempt.onHead(
+                            frame.getAttempt(), frame.getStatus(), headers(frame.getHeaders())));
         }
     }
 
     synchronized void onData(CompanionLink from, Data frame) {
         if (isCurrent(from)) {
-            act(attempt.onData(frame.getAttempt(), frame.getOffset(), frame.getBody()));
+            apply(attempt.onData(frame.getAttempt(), frame.getOffset(), frame.getBody()));
         }
     }
 
@@ -94,7 +96,7 @@
         if (isCurrent(from)) {
             targetIncarnation =
                     frame.getTargetIncarnation() == null ? "" : frame.getTargetIncarnation();
-            act(
+            apply(
                     attempt.onFinish(
                             frame.getAttempt(),
                             frame.getLength(),
@@ -109,7 +111,7 @@
 
     synchronized void onQueryAnswer(CompanionLink from, QueryAnswer frame) {
         if (isCurrent(from)) {
-            act(
+            apply(
                     attempt.onStateAnswer(
                             frame.getAttempt(),
                             frame.getState() == null
@@ -123,27 +125,30 @@
             return;
         }
         attempt.onDisconnected();
-        CallAttempt waiting = attempt;
+        CallAttempt disconnected = attempt;
         dispatcher.schedule(
-                dispatcher.bounds().reattachTimeout(), () -> onReattachTimeout(from, waiting));
+                dispatcher.bounds().reattachTimeout(), () -> onReattachTimeout(from, disconnected));
     }
 
     synchronized void onUp(CompanionLink from, Lane up, FrameConnection connection) {
         if (up == lane && isCurrent(from) && !attempt.isAttached()) {
             CallMetrics.countReattached();
-            act(attempt.onConnected(connection.peer().getIncarnation()));
+            apply(attempt.onConnected(connection.peer().getIncarnation()));
         }
     }
 
-    /** Stops an attempt that was not run alone; the call starts again as a suspect. */
+    /**
+     * Cancels the attempt in flight after a target died with an equal request; the call starts
+     * again as a suspect, which runs as the only suspect on a target.
+     */
     synchronized void requeueAsSuspect() {
-        if (ended || attempt == null || suspect || delivered || !spec.isIdempotent()) {
+        if (isEnded || attempt == null || isSuspect || isHeadDelivered || !spec.isIdempotent()) {
             return;
         }
         send(Frame.cancel(new Cancel(requestId(), attempt.number(), "became a suspect")));
-        overall = overall.combine(RunOutcome.UNKNOWN);
+        overallOutcome = overallOutcome.combine(RunOutcome.UNKNOWN);
         span.fail("taken back", RunOutcome.UNKNOWN);
-        takenBackAttempt = attempt.number();
+        requeuedAttempt = attempt.number();
         attempt = null;
         dispatcher.watchRequeued(this, companion);
         dispatcher.release(this, companion, lane, false);
@@ -152,23 +157,23 @@
                 DecisionAction.TAKEN_BACK,
                 "a target died with it in flight",
                 companion.name());
-        dispatcher.schedule(dispatcher.guard().trialPause(), this::next);
+        dispatcher.schedule(dispatcher.guard().trialPause(), this::startNextAttempt);
     }
 
-    /** The target may have died before the attempt that was taken back could be stopped. */
+    /** Reports the death of a target that died before it could cancel the requeued attempt. */
     synchronized void onFinishAfterRequeue(CompanionLink from, Finish frame) {
-        if (frame.getAttempt() == takenBackAttempt
+        if (frame.getAttempt() == requeuedAttempt
                 && frame.getFailure() == FailureKind.TARGET_DIED
                 && outcome(frame) != RunOutcome.NOT_RUN
                 && frame.getTargetIncarnation() != null) {
-            String life = frame.getTargetIncarnation();
-            dispatcher.guard().onTargetDeath(spec.fingerprint(), from.target(), life, false);
+            String incarnation = frame.getTargetIncarnation();
+            dispatcher.guard().onTargetDeath(spec.fingerprint(), from.target(), incarnation, false);
         }
     }
 
-    private synchronized void onReattachTimeout(CompanionLink from, CallAttempt waiting) {
-        if (isCurrent(from) && attempt == waiting) {
-            act(attempt.onReattachTimeout());
+    private synchronized void onReattachTimeout(CompanionLink from, CallAttempt disconnected) {
+        if (isCurrent(from) && attempt == disconnected) {
+            apply(attempt.onReattachTimeout());
         }
     }
 
@@ -177,45 +182,51 @@
     }
 
     private void abandon(FailureCause cause, String detail) {
-        if (ended) {
+        if (isEnded) {
             return;
         }
         if (attempt == null) {
-            end(CallProblems.of(cause.problemKind(overall), overall, detail, Duration.ZERO));
+            end(
+                    CallProblems.of(
+                            cause.problemKind(overallOutcome),
+                            overallOutcome,
+                            detail,
+                            Duration.ZERO));
             return;
         }
         send(Frame.cancel(new Cancel(requestId(), attempt.number(), detail)));
-        act(attempt.onAbandoned(cause, detail));
+        apply(attempt.onAbandoned(cause, detail));
     }
 
-    private synchronized void next() {
-        if (ended) {
+    private synchronized void startNextAttempt() {
+        if (isEnded) {
             return;
         }
-        CrashVerdict standing = dispatcher.guard().verdict(spec.fingerprint());
-        if (standing == CrashVerdict.REFUSED) {
-            end(CallProblems.crashesTargets(overall));
+        CrashVerdict verdict = dispatcher.guard().verdict(spec.fingerprint());
+        if (verdict == CrashVerdict.REFUSED) {
+            end(CallProblems.crashesTargets(overallOutcome));
             return;
         }
-        suspect = standing == CrashVerdict.SUSPECT;
-        TargetChoice choice = dispatcher.chooseTarget(this, lane, tried, suspect);
-        if (choice instanceof TargetChoice.Chosen taken) {
-            begin(taken.companion());
-        } else if (choice instanceof TargetChoice.Deferred wait) {
-            dispatcher.schedule(wait.delay(), this::next);
+        isSuspect = verdict == CrashVerdict.SUSPECT;
+        TargetChoice choice = dispatcher.chooseTarget(this, lane, triedTargets, isSuspect);
+        if (choice instanceof TargetChoice.Chosen chosen) {
+            startAttempt(chosen.companion());
+        } else if (choice instanceof TargetChoice.Deferred deferred) {
+            dispatcher.schedule(deferred.delay(), this::startNextAttempt);
         } else if (attempts > 0 && mayWaitForTarget()) {
-            dispatcher.schedule(dispatcher.bounds().retryPolicy().firstBackoff(), this::next);
+            dispatcher.schedule(
+                    dispatcher.bounds().retryPolicy().firstBackoff(), this::startNextAttempt);
         } else {
-            end(CallProblems.noTarget(spec.service().name(), overall));
+            end(CallProblems.noTarget(spec.service().name(), overallOutcome));
         }
     }
 
-    /** Whether the wait for other copies' ends is within its bound, counted for each attempt. */
+    /** Whether this attempt may wait longer for duplicates in flight to end. */
     boolean mayWaitForDuplicates(long nowNanos, Duration bound) {
-        if (firstAskedNanos == null) {
-            firstAskedNanos = nowNanos;
+        if (firstChoiceNanos == null) {
+            firstChoiceNanos = nowNanos;
         }
-        return nowNanos - firstAskedNanos < bound.toNanos();
+        return nowNanos - firstChoiceNanos < bound.toNanos();
     }
 
     private boolean mayWaitForTarget() {
@@ -223,9 +234,9 @@
         return waitedNanos < dispatcher.bounds().targetWait().toNanos();
     }
 
-    private void begin(CompanionLink chosen) {
+    private void startAttempt(CompanionLink chosen) {
         companion = chosen;
-        firstAskedNanos = null;
+        firstChoiceNanos = null;
         FrameConnection connection = chosen.connection(lane);
         attempts++;
         CallMetrics.countAttempt(lane.name(), attempts > 1);
@@ -233,59 +244,60 @@
         attempt = CallAttempt.begin(attempts, incarnation);
         head = null;
         span = dispatcher.startSpan(spec, attempts, chosen.name());
-        Frame start = StartFrames.of(spec, attempts, lane, left(), suspect, span.traceparent());
+        Frame start =
+                StartFrames.of(spec, attempts, lane, timeLeft(), isSuspect, span.traceparent());
         if (connection == null || !connection.send(start)) {
-            act(
+            apply(
                     attempt.onFinish(
                             attempts,
                             0,
                             RunOutcome.NOT_RUN,
                             FailureCause.CONNECTION_LOST,
-                            "no connection to " + chosen.name() + " is open",
+                            "the connection to companion " + chosen.name() + " is not open",
                             Duration.ZERO));
         } else if (!chosen.isCurrent(lane, connection)) {
-            // The connection was lost before this call could be asked after on it.
+            // The connection was lost before the link knew of this call, so onDown was not called.
             onDown(chosen, lane);
         }
     }
 
-    private void act(AttemptAction step) {
-        if (step instanceof AttemptAction.ResponseHead answered) {
+    private void apply(AttemptAction action) {
+        if (action instanceof AttemptAction.ResponseHead answered) {
             head = answered;
-        } else if (step instanceof AttemptAction.BodyPart deliver) {
-            passHead();
+        } else if (action instanceof AttemptAction.BodyPart deliver) {
+            forwardHead();
             listener.onData(deliver.part());
-        } else if (step instanceof AttemptAction.QueryState ask) {
+        } else if (action instanceof AttemptAction.QueryState ask) {
             send(Frame.query(new Query(requestId(), attempts, ask.offset())));
-        } else if (step instanceof AttemptAction.Completed) {
-            onWhole();
-        } else if (step instanceof AttemptAction.Failed failed) {
+        } else if (action instanceof AttemptAction.Completed) {
+            onCompleted();
+        } else if (action instanceof AttemptAction.Failed failed) {
             onFailed(failed);
         }
     }
 
-    private void onWhole() {
-        passHead();
+    private void onCompleted() {
+        forwardHead();
         markEnded();
         span.succeed();
         send(Frame.ack(new Ack(requestId(), attempts)));
         dispatcher.recordAnswered(this, companion, head, companion.onSuccess());
-        dispatcher.release(this, companion, lane, suspect);
+        dispatcher.release(this, companion, lane, isSuspect);
         dispatcher.guard().onCompleted(spec.fingerprint());
         dispatcher.onEnded(this, "answered");
         listener.onEnd();
     }
 
     private void markEnded() {
-        ended = true;
+        isEnded = true;
         if (deadlineTimer != null) {
             deadlineTimer.cancel(false);
         }
     }
 
-    private void passHead() {
-        if (!delivered && head != null) {
-            delivered = true;
+    private void forwardHead() {
+        if (!isHeadDelivered && head != null) {
+            isHeadDelivered = true;
             CallMetrics.observeFirstPart(lane.name(), dispatcher.nowNanos() - startedNanos);
             listener.onHead(head.status(), head.headers());
         }
@@ -293,22 +305,22 @@
 
     private void onFailed(AttemptAction.Failed failed) {
         CompanionLink failedOn = companion;
-        tried.add(failedOn.name());
-        overall = overall.combine(failed.outcome());
+        triedTargets.add(failedOn.name());
+        overallOutcome = overallOutcome.combine(failed.outcome());
         span.fail(failed.cause().name(), failed.outcome());
         send(Frame.ack(new Ack(requestId(), attempts)));
-        // The evidence comes first: once no copy is in flight, another may go to any target.
-        dispatcher.onAttemptFailed(this, failedOn, failed, targetIncarnation, suspect);
-        dispatcher.release(this, failedOn, lane, suspect);
+        // Evidence is reported before the release: after it a duplicate may go to any target.
+        dispatcher.onAttemptFailed(this, failedOn, failed, targetIncarnation, isSuspect);
+        dispatcher.release(this, failedOn, lane, isSuspect);
         attempt = null;
         Optional<Duration> pause =
-                gaveWay(failed.cause())
+                isLeftToJobRetry(failed.cause())
                         ? Optional.empty()
-                        : dispatcher.backoff(this, failed, attempts, delivered, left());
+                        : dispatcher.backoff(this, failed, attempts, isHeadDelivered, timeLeft());
         if (pause.isPresent()) {
             dispatcher.recordDecision(
                     this, DecisionAction.RETRIED, failed.detail(), failedOn.name());
-            dispatcher.schedule(pause.get(), this::next);
+            dispatcher.schedule(pause.get(), this::startNextAttempt);
         } else {
             end(problem(failed));
         }
@@ -316,11 +328,11 @@
 
     private Problem problem(AttemptAction.Failed failed) {
         return dispatcher.guard().verdict(spec.fingerprint()) == CrashVerdict.REFUSED
-                ? CallProblems.crashesTargets(overall)
-                : CallProblems.of(failed, overall);
+                ? CallProblems.crashesTargets(overallOutcome)
+                : CallProblems.of(failed, overallOutcome);
     }
 
-    private boolean gaveWay(FailureCause cause) {
+    private boolean isLeftToJobRetry(FailureCause cause) {
         return spec.isBatch()
                 && (cause == FailureCause.PREEMPTED || cause == FailureCause.QUEUE_FULL);
     }
@@ -340,10 +352,10 @@
     }
 
     private boolean isCurrent(CompanionLink from) {
-        return !ended && attempt != null && companion == from;
+        return !isEnded && attempt != null && companion == from;
     }
 
-    private Duration left() {
+    private Duration timeLeft() {
         return Duration.ofNanos(Math.max(0, deadlineNanos - dispatcher.nowNanos()));
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/call/CompanionLink.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CompanionLink.java
@@ -24,33 +24,34 @@
 import org.sardinelift.protocol.generated.QueryAnswer;
 import org.tinylog.Logger;
 
-/** One companion: a connection for each lane, its last report, and the calls that are with it. */
+/** One companion: a connection for each lane, its last load report and its calls in flight. */
 final class CompanionLink {
     private final InstanceInfo companion;
     private final Ejection ejection;
-    private final CompanionListener evidence;
+    private final CompanionListener companionListener;
     private final Map<Lane, LinkOpener.Link> links = new EnumMap<>(Lane.class);
     private final Map<Lane, FrameConnection> connections = new ConcurrentHashMap<>();
     private final Map<String, CallRun> runs = new ConcurrentHashMap<>();
-    private final Map<String, CallRun> takenBack = new ConcurrentHashMap<>();
+    private final Map<String, CallRun> requeued = new ConcurrentHashMap<>();
     private final AtomicInteger onlineInFlight = new AtomicInteger();
-    private final AtomicInteger batchSinceReport = new AtomicInteger();
+    private final AtomicInteger batchSentSinceReport = new AtomicInteger();
     private volatile @Nullable LoadReport report;
-    private volatile boolean setListedLeaving;
+    private volatile boolean isListedLeaving;
 
-    private CompanionLink(InstanceInfo companion, Ejection ejection, CompanionListener evidence) {
-        this.evidence = evidence;
+    private CompanionLink(
+            InstanceInfo companion, Ejection ejection, CompanionListener companionListener) {
+        this.companionListener = companionListener;
         this.companion = companion;
         this.ejection = ejection;
-        this.setListedLeaving = companion.isLeaving();
+        this.isListedLeaving = companion.isLeaving();
     }
 
     static CompanionLink open(
             InstanceInfo companion,
             Ejection ejection,
             LinkOpener opener,
-            CompanionListener evidence) {
-        CompanionLink link = new CompanionLink(companion, ejection, evidence);
+            CompanionListener companionListener) {
+        CompanionLink link = new CompanionLink(companion, ejection, companionListener);
         for (Lane lane : Lane.values()) {
             link.links.put(lane, opener.open(companion, lane, link.listener(lane)));
         }
@@ -62,19 +63,21 @@
     }
 
     String target() {
-        LoadReport last = report;
-        return last == null || last.getTarget() == null ? companion.target() : last.getTarget();
+        LoadReport lastReport = report;
+        return lastReport == null || lastReport.getTarget() == null
+                ? companion.target()
+                : lastReport.getTarget();
     }
 
     String targetIncarnation() {
-        LoadReport last = report;
-        return last == null || last.getTargetIncarnation() == null
+        LoadReport lastReport = report;
+        return lastReport == null || lastReport.getTargetIncarnation() == null
                 ? ""
-                : last.getTargetIncarnation();
+                : lastReport.getTargetIncarnation();
     }
 
-    void setListedLeaving(boolean leaving) {
-        setListedLeaving = leaving;
+    void setListedLeaving(boolean isLeaving) {
+        isListedLeaving = isLeaving;
     }
 
     @Nullable LoadReport report() {
@@ -98,66 +101,72 @@
     }
 
     Candidate candidate(Lane lane, long nowNanos) {
-        LoadReport last = report;
-        if (last == null) {
+        LoadReport lastReport = report;
+        if (lastReport == null) {
             return new Candidate(
                     name(), "", companion.zone(), Set.of(), 0, 0, 0, false, admission(nowNanos));
         }
         return new Candidate(
                 name(),
-                last.getServiceName(),
+                lastReport.getServiceName(),
                 companion.zone(),
-                last.getModels() == null ? Set.of() : Set.copyOf(last.getModels()),
-                last.getSlots(),
+                lastReport.getModels() == null ? Set.of() : Set.copyOf(lastReport.getModels()),
+                lastReport.getSlots(),
                 onlineInFlight.get(),
-                last.getOnlineRunning() + last.getOnlineQueued(),
-                usable(lane, last),
+                lastReport.getOnlineRunning() + lastReport.getOnlineQueued(),
+                isUsable(lane, lastReport),
                 admission(nowNanos));
     }
 
-    /** The target for the giver of orders; empty before its first report and while it leaves. */
+    /**
+     * Returns the target's state for rollouts; empty before its first report and while it leaves.
+     */
     Optional<TargetView> targetView() {
-        LoadReport last = report;
-        if (last == null || last.isLeaving() || setListedLeaving) {
+        LoadReport lastReport = report;
+        if (lastReport == null || lastReport.isLeaving() || isListedLeaving) {
             return Optional.empty();
         }
         return Optional.of(
                 new TargetView(
                         name(),
-                        last.getServiceName(),
-                        usable(Lane.CONTROL, last) && usable(Lane.ONLINE, last),
-                        last.getModels() == null ? Set.of() : Set.copyOf(last.getModels()),
-                        last.getVersions() == null ? Map.of() : Map.copyOf(last.getVersions()),
-                        last.getRole() == null ? "" : last.getRole()));
+                        lastReport.getServiceName(),
+                        isUsable(Lane.CONTROL, lastReport) && isUsable(Lane.ONLINE, lastReport),
+                        lastReport.getModels() == null
+                                ? Set.of()
+                                : Set.copyOf(lastReport.getModels()),
+                        lastReport.getVersions() == null
+                                ? Map.of()
+                                : Map.copyOf(lastReport.getVersions()),
+                        lastReport.getRole() == null ? "" : lastReport.getRole()));
     }
 
-    /** Sends an order; false where no control connection is open. */
+    /** Sends an order; returns false if no control connection is open. */
     boolean sendOrder(Order order) {
         FrameConnection connection = connections.get(Lane.CONTROL);
         return connection != null && connection.send(Frame.order(order));
     }
 
     int freeBatchSlots(String service, String model, long nowNanos) {
-        LoadReport last = report;
-        boolean fits =
-                last != null
-                        && usable(Lane.BATCH, last)
-                        && service.equals(last.getServiceName())
+        LoadReport lastReport = report;
+        boolean canServe =
+                lastReport != null
+                        && isUsable(Lane.BATCH, lastReport)
+                        && service.equals(lastReport.getServiceName())
                         && candidate(Lane.BATCH, nowNanos).canServe(model)
                         && admission(nowNanos) == Ejection.Admission.IN;
-        return fits ? Math.max(0, last.getBatchFree() - batchSinceReport.get()) : 0;
+        return canServe ? Math.max(0, lastReport.getBatchFree() - batchSentSinceReport.get()) : 0;
     }
 
     boolean tryReserve(CallRun run, Lane lane, long nowNanos) {
         synchronized (ejection) {
-            Ejection.Admission now = ejection.admission(nowNanos);
-            if (now == Ejection.Admission.OUT
-                    || now == Ejection.Admission.PROBE && !ejection.tryStartProbe(nowNanos)) {
+            Ejection.Admission admission = ejection.admission(nowNanos);
+            if (admission == Ejection.Admission.OUT
+                    || admission == Ejection.Admission.PROBE && !ejection.tryStartProbe(nowNanos)) {
                 return false;
             }
         }
         runs.put(run.requestId(), run);
-        (lane == Lane.BATCH ? batchSinceReport : onlineInFlight).incrementAndGet();
+        (lane == Lane.BATCH ? batchSentSinceReport : onlineInFlight).incrementAndGet();
         return true;
     }
 
@@ -167,13 +176,13 @@
         }
     }
 
-    /** Keeps the end of a call's attempt that was taken back from being missed. */
+    /** Keeps a requeued call, so that the end of its cancelled attempt is still received. */
     void watchRequeued(CallRun run) {
-        takenBack.put(run.requestId(), run);
+        requeued.put(run.requestId(), run);
     }
 
     void unwatchRequeued(CallRun run) {
-        takenBack.remove(run.requestId(), run);
+        requeued.remove(run.requestId(), run);
     }
 
     boolean onSuccess() {
@@ -198,10 +207,10 @@
         links.values().forEach(LinkOpener.Link::close);
     }
 
-    private boolean usable(Lane lane, LoadReport last) {
-        return !setListedLeaving
-                && !last.isLeaving()
-                && last.isHealthy()
+    private boolean isUsable(Lane lane, LoadReport lastReport) {
+        return !isListedLeaving
+                && !lastReport.isLeaving()
+                && lastReport.isHealthy()
                 && connections.containsKey(lane);
     }
 
@@ -216,7 +225,7 @@
             @Override
             public void onUp(FrameConnection connection) {
                 connections.put(lane, connection);
-                tellConnection(lane, true);
+                notifyConnection(lane, true);
                 runs.values().forEach(run -> run.onUp(CompanionLink.this, lane, connection));
             }
 
@@ -233,12 +242,12 @@
                     return;
                 }
                 Logger.info(
-                        "The {} connection to {} is down ({}); its calls are asked after on the"
+                        "The {} connection to {} is down ({}); its calls are queried on the"
                                 + " next one",
                         lane,
                         name(),
                         reason);
-                tellConnection(lane, false);
+                notifyConnection(lane, false);
                 runs.values().forEach(run -> run.onDown(CompanionLink.this, lane));
             }
         };
@@ -248,46 +257,47 @@
         switch (frame.getSetField()) {
             case HEAD -> {
                 Head head = frame.getHead();
-                with(runs, head.getRequestId(), run -> run.onHead(this, head));
+                withRun(runs, head.getRequestId(), run -> run.onHead(this, head));
             }
             case DATA -> {
                 Data data = frame.getData();
-                with(runs, data.getRequestId(), run -> run.onData(this, data));
+                withRun(runs, data.getRequestId(), run -> run.onData(this, data));
             }
             case FINISH -> {
                 Finish finish = frame.getFinish();
-                with(runs, finish.getRequestId(), run -> run.onFinish(this, finish));
-                with(
-                        takenBack,
+                withRun(runs, finish.getRequestId(), run -> run.onFinish(this, finish));
+                withRun(
+                        requeued,
                         finish.getRequestId(),
                         run -> run.onFinishAfterRequeue(this, finish));
             }
             case QUERY_ANSWER -> {
                 QueryAnswer answer = frame.getQueryAnswer();
-                with(runs, answer.getRequestId(), run -> run.onQueryAnswer(this, answer));
+                withRun(runs, answer.getRequestId(), run -> run.onQueryAnswer(this, answer));
             }
             case LOAD_REPORT -> onReport(frame.getLoadReport());
-            case ORDER_RESULT -> evidence.onOrderResult(frame.getOrderResult());
-            default -> Logger.debug("A {} frame from {} is not for calls", frame, name());
+            case ORDER_RESULT -> companionListener.onOrderResult(frame.getOrderResult());
+            default ->
+                    Logger.debug("Ignored frame {} from {}: it is not about a call", frame, name());
         }
     }
 
-    private void onReport(LoadReport next) {
-        LoadReport last = report;
-        report = next;
-        batchSinceReport.set(0);
-        if (next.isLeaving() && (last == null || !last.isLeaving())) {
-            evidence.onLeaving(name());
+    private void onReport(LoadReport received) {
+        LoadReport lastReport = report;
+        report = received;
+        batchSentSinceReport.set(0);
+        if (received.isLeaving() && (lastReport == null || !lastReport.isLeaving())) {
+            companionListener.onLeaving(name());
         }
     }
 
-    private void tellConnection(Lane lane, boolean up) {
+    private void notifyConnection(Lane lane, boolean isUp) {
         if (lane == Lane.CONTROL) {
-            evidence.onConnection(name(), up);
+            companionListener.onConnection(name(), isUp);
         }
     }
 
-    private static void with(
+    private static void withRun(
             Map<String, CallRun> from, @Nullable String requestId, Consumer<CallRun> action) {
         CallRun run = requestId == null ? null : from.get(requestId);
         if (run != null) {
--- a/entry/src/main/java/org/sardinelift/entry/call/CompanionListener.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CompanionListener.java
@@ -2,26 +2,26 @@
 
 import org.sardinelift.protocol.generated.OrderResult;
 
-/** Hears what connections to companions show about them. Called on traffic threads. */
+/** Receives what connections to companions show about them. Called on I/O threads. */
 public interface CompanionListener {
 
     /**
-     * A connection to an instance was opened or lost.
+     * Called when a connection to an instance was opened or lost.
      *
      * @param instance its name
-     * @param up whether one is open now
+     * @param isUp whether a connection is open now
      */
-    void onConnection(String instance, boolean up);
+    void onConnection(String instance, boolean isUp);
 
     /**
-     * An instance says that it is leaving.
+     * Called when an instance reports that it is leaving.
      *
      * @param instance its name
      */
     void onLeaving(String instance);
 
     /**
-     * A companion says what became of an order.
+     * Called when a companion reports the result of an order.
      *
      * @param result the result
      */
--- a/entry/src/main/java/org/sardinelift/entry/call/CompanionTable.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CompanionTable.java
@@ -14,20 +14,20 @@
 import org.sardinelift.core.route.Ejection;
 import org.sardinelift.protocol.generated.Lane;
 
-/** The companions of the fleet, each with its links. */
+/** The companions of the fleet, by name, each with its connections. */
 final class CompanionTable {
     private final CallBounds bounds;
     private final LinkOpener opener;
-    private final CompanionListener evidence;
+    private final CompanionListener companionListener;
     private final Map<String, CompanionLink> companions = new ConcurrentHashMap<>();
 
-    CompanionTable(CallBounds bounds, LinkOpener opener, CompanionListener evidence) {
+    CompanionTable(CallBounds bounds, LinkOpener opener, CompanionListener companionListener) {
         this.bounds = bounds;
         this.opener = opener;
-        this.evidence = evidence;
+        this.companionListener = companionListener;
     }
 
-    /** Opens links to new companions and closes those to companions that are gone and idle. */
+    /** Connects to new companions and closes the connections to unlisted ones without calls. */
     synchronized void update(FleetView view) {
         Set<String> listed = new HashSet<>();
         for (InstanceInfo companion : view.companions()) {
@@ -80,6 +80,6 @@
                         bounds.failuresToEject(),
                         bounds.firstEjection().toNanos(),
                         bounds.longestEjection().toNanos());
-        return CompanionLink.open(companion, ejection, opener, evidence);
+        return CompanionLink.open(companion, ejection, opener, companionListener);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
@@ -22,11 +22,11 @@
 import org.tinylog.Logger;
 
 /**
- * Shares evidence of target deaths with the other entries, and keeps refusals in the platform so
- * that a restart forgets none.
+ * Detects requests that crash targets. Exchanges evidence of target deaths with the other entries,
+ * and stores refusals in the platform so that they survive restarts.
  */
 public final class CrashGuard {
-    private static final String KIND = "quarantine";
+    private static final String QUARANTINE_KIND = "quarantine";
 
     private final String instance;
     private final CrashLedger ledger;
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Makes a guard; nothing is read before {@link #start}.
+     * Creates a guard; nothing is read before {@link #start}.
      *
      * @param instance name of this entry
-     * @param bounds bounds
+     * @param bounds time and size limits
      * @param peers the other entries
      * @param store the platform
      * @param timers runs timeouts
@@ -76,28 +76,28 @@
     }
 
     /**
-     * Starts to hear of evidence and to read the quarantine.
+     * Starts to receive evidence and to read the quarantine periodically.
      *
      * @param control the control thread
      */
     public void start(ControlThread control) {
         peers.listen(new EvidenceListener());
-        control.execute(this::refresh);
-        control.repeat(bounds.refresh(), this::refresh);
+        control.execute(this::readQuarantine);
+        control.repeat(bounds.refresh(), this::readQuarantine);
     }
 
     /**
-     * What is known of a request.
+     * Returns the verdict on a request.
      *
      * @param fingerprint hash of the request
-     * @return its standing
+     * @return the verdict
      */
     public synchronized CrashVerdict verdict(String fingerprint) {
         return ledger.verdict(fingerprint, nowMs());
     }
 
     /**
-     * Sets who takes calls back from targets when they become suspects.
+     * Sets the listener that requeues the calls of a request that became a suspect.
      *
      * @param listener receives the fingerprint, on any thread
      */
@@ -105,16 +105,18 @@
         suspectListener = listener;
     }
 
-    /** Entries take turns, so that two of them never try a suspect on two targets at once. */
+    /**
+     * Entries take turns, so that no two of them run trials of a suspect on two targets at once.
+     */
     synchronized boolean tryStartTrial(String fingerprint, String target) {
-        long turnMs = turn(fingerprint) * bounds.turn().toMillis();
+        long turnMs = turnOf(fingerprint) * bounds.turn().toMillis();
         return ledger.tryStartTrial(fingerprint, target, turnMs, nowMs());
     }
 
-    private long turn(String fingerprint) {
-        long own = Rendezvous.weight(fingerprint, instance);
+    private long turnOf(String fingerprint) {
+        long ownWeight = Rendezvous.weight(fingerprint, instance);
         return peers.connected().stream()
-                .filter(peer -> Rendezvous.weight(fingerprint, peer) > own)
+                .filter(peer -> Rendezvous.weight(fingerprint, peer) > ownWeight)
                 .count();
     }
 
@@ -134,59 +136,68 @@
         return bounds.trialPause();
     }
 
-    void onTargetDeath(String fingerprint, String target, String targetIncarnation, boolean alone) {
+    void onTargetDeath(
+            String fingerprint, String target, String targetIncarnation, boolean isSingleSuspect) {
         synchronized (this) {
-            ledger.onTargetDeath(fingerprint, target + "#" + targetIncarnation, alone, nowMs());
+            ledger.onTargetDeath(
+                    fingerprint, target + "#" + targetIncarnation, isSingleSuspect, nowMs());
         }
         peers.broadcast(
                 Frame.crashEvidence(
-                        new CrashEvidence(fingerprint, target, targetIncarnation, alone, false)));
+                        new CrashEvidence(
+                                fingerprint, target, targetIncarnation, isSingleSuspect, false)));
         suspectListener.accept(fingerprint);
         timers.schedule(
-                () -> settle(fingerprint), bounds.settle().toMillis(), TimeUnit.MILLISECONDS);
+                () -> refuseIfConfirmed(fingerprint),
+                bounds.settle().toMillis(),
+                TimeUnit.MILLISECONDS);
     }
 
-    private void settle(String fingerprint) {
-        long until;
+    private void refuseIfConfirmed(String fingerprint) {
+        long untilMs;
         synchronized (this) {
             if (ledger.verdict(fingerprint, nowMs()) != CrashVerdict.REFUSED) {
                 return;
             }
-            until = ledger.refusedUntilMs(fingerprint);
+            untilMs = ledger.refusedUntilMs(fingerprint);
         }
         Logger.warn(
-                "Targets died with request {} in flight; it is refused on every entry until {}",
+                "Targets died with request {} in flight; every entry refuses it until {}",
                 fingerprint,
-                Instant.ofEpochMilli(until));
+                Instant.ofEpochMilli(untilMs));
         peers.broadcast(Frame.crashEvidence(new CrashEvidence(fingerprint, "", "", false, true)));
         store.write(
-                new ObjectKey(KIND, fingerprint), ObjectStore.ABSENT_VERSION, Long.toString(until));
+                new ObjectKey(QUARANTINE_KIND, fingerprint),
+                ObjectStore.ABSENT_VERSION,
+                Long.toString(untilMs));
     }
 
-    private void refresh() {
-        store.list(KIND, "")
+    private void readQuarantine() {
+        store.list(QUARANTINE_KIND, "")
                 .thenAccept(
                         result -> {
                             if (result instanceof ListResult.Listed listed) {
-                                listed.objects().forEach(this::onKept);
+                                listed.objects().forEach(this::onQuarantined);
                             }
                         });
     }
 
-    private void onKept(StoredObject object) {
-        long until;
+    private void onQuarantined(StoredObject object) {
+        long untilMs;
         try {
-            until = Long.parseLong(object.value().trim());
+            untilMs = Long.parseLong(object.value().trim());
         } catch (NumberFormatException e) {
-            Logger.error("Quarantine of {} holds no time; it was ignored", object.key().name());
+            Logger.error(
+                    "Quarantine of request {} was ignored: its value is not a time in milliseconds",
+                    object.key().name());
             return;
         }
-        if (until <= nowMs()) {
+        if (untilMs <= nowMs()) {
             store.delete(object.key(), object.version());
             return;
         }
         synchronized (this) {
-            ledger.onRefused(object.key().name(), until);
+            ledger.onRefused(object.key().name(), untilMs);
         }
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/call/DuplicateTable.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/DuplicateTable.java
@@ -7,77 +7,78 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Where the calls in flight with equal content are. A further copy goes to the same target. Where
- * that target takes no more calls it may have died of the content, so the copy is held until the
- * copies in flight have ended, or for a bounded time: an entry that does not know yet what became
- * of them sends no copy to a second target.
+ * Targets of the calls in flight, by content. A duplicate of a call in flight goes to the same
+ * target. If that target takes no more calls, the content may have crashed it; the duplicate then
+ * waits, for a bounded time, until those in flight have ended, so that an entry which does not know
+ * their outcome yet sends none to a second target.
  */
 final class DuplicateTable {
-    private static final int LOCKS = 64;
+    private static final int LOCK_COUNT = 64;
 
-    private final Object[] locks = Stream.generate(Object::new).limit(LOCKS).toArray();
-    private final Map<String, Copies> byFingerprint = new ConcurrentHashMap<>();
+    private final Object[] locks = Stream.generate(Object::new).limit(LOCK_COUNT).toArray();
+    private final Map<String, Duplicates> byFingerprint = new ConcurrentHashMap<>();
 
-    /** Where a copy may go. */
+    /** Target to which a duplicate may be sent. */
     sealed interface Placement {
-        /** To the copies in flight. */
+        /** Only the companion of the duplicates in flight. */
         record Pinned(String companion) implements Placement {}
 
-        /** Nowhere yet. */
+        /** No target yet: duplicates in flight must end first. */
         record Blocked() implements Placement {}
 
-        /** To any target. */
+        /** Any target. */
         record Unpinned() implements Placement {}
     }
 
-    /** Copies of one request on one target. */
-    private record Copies(String companion, int count) {
-        Copies plus(int change) {
-            return new Copies(companion, count + change);
+    /** Number of calls in flight with one content, and their companion. */
+    private record Duplicates(String companion, int count) {
+        Duplicates plus(int change) {
+            return new Duplicates(companion, count + change);
         }
     }
 
-    /** Held while a target is chosen, so that no two copies are sent apart. */
+    /** Returns the lock to hold while a target is chosen, so that duplicates go to one target. */
     Object lockFor(String fingerprint) {
-        return locks[Math.floorMod(fingerprint.hashCode(), LOCKS)];
+        return locks[Math.floorMod(fingerprint.hashCode(), LOCK_COUNT)];
     }
 
     /**
-     * Where a copy may go; called with the {@link #lockFor} of the fingerprint.
+     * Returns where a duplicate may go; the caller holds the {@link #lockFor} of the fingerprint.
      *
      * @param fingerprint hash of the request
-     * @param usable whether a companion can take the copy
-     * @param mayHold whether the copy may be held for longer
-     * @return the place
+     * @param isUsable whether a companion, by name, can run the duplicate
+     * @param mayWait whether the duplicate may wait longer
+     * @return the placement
      */
-    Placement findPlacement(String fingerprint, Predicate<String> usable, boolean mayHold) {
-        Copies copies = byFingerprint.get(fingerprint);
-        if (copies == null) {
+    Placement findPlacement(String fingerprint, Predicate<String> isUsable, boolean mayWait) {
+        Duplicates duplicates = byFingerprint.get(fingerprint);
+        if (duplicates == null) {
             return new Placement.Unpinned();
         }
-        if (usable.test(copies.companion())) {
-            return new Placement.Pinned(copies.companion());
+        if (isUsable.test(duplicates.companion())) {
+            return new Placement.Pinned(duplicates.companion());
         }
-        return mayHold ? new Placement.Blocked() : new Placement.Unpinned();
+        return mayWait ? new Placement.Blocked() : new Placement.Unpinned();
     }
 
     void add(String fingerprint, String companion) {
         byFingerprint.compute(
                 fingerprint,
-                (key, copies) ->
-                        copies == null || !copies.companion().equals(companion)
-                                ? new Copies(companion, 1)
-                                : copies.plus(1));
+                (ignored, duplicates) ->
+                        duplicates == null || !duplicates.companion().equals(companion)
+                                ? new Duplicates(companion, 1)
+                                : duplicates.plus(1));
     }
 
     void remove(String fingerprint, String companion) {
-        byFingerprint.computeIfPresent(fingerprint, (key, copies) -> less(copies, companion));
+        byFingerprint.computeIfPresent(
+                fingerprint, (ignored, duplicates) -> withoutOne(duplicates, companion));
     }
 
-    private static @Nullable Copies less(Copies copies, String companion) {
-        if (!copies.companion().equals(companion)) {
-            return copies;
+    private static @Nullable Duplicates withoutOne(Duplicates duplicates, String companion) {
+        if (!duplicates.companion().equals(companion)) {
+            return duplicates;
         }
-        return copies.count() == 1 ? null : copies.plus(-1);
+        return duplicates.count() == 1 ? null : duplicates.plus(-1);
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/FrameDispatcher.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/FrameDispatcher.java
@@ -32,7 +32,7 @@
 import org.sardinelift.runtime.Telemetry;
 import org.tinylog.Logger;
 
-/** Sends calls to companions as frames, over three connections to each. */
+/** Sends calls to companions as frames, over three connections to each, one per lane. */
 public final class FrameDispatcher implements CallDispatcher {
     private final Router router;
     private final CallBounds bounds;
@@ -41,10 +41,10 @@
     private final CrashGuard guard;
     private final DecisionLog decisions;
     private final Telemetry telemetry;
-    private final DuplicateTable copies = new DuplicateTable();
+    private final DuplicateTable duplicates = new DuplicateTable();
     private final CompanionTable companions;
     private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
-    private final Set<CallRun> running = ConcurrentHashMap.newKeySet();
+    private final Set<CallRun> runs = ConcurrentHashMap.newKeySet();
 
     private FrameDispatcher(
             Router router,
@@ -66,17 +66,17 @@
     }
 
     /**
-     * Makes a dispatcher without companions.
+     * Creates a dispatcher without companions.
      *
      * @param instance name of this entry
      * @param zone availability zone of this entry
-     * @param bounds bounds of calls
+     * @param bounds settings of calls
      * @param opener opens connections to companions
-     * @param evidence hears what the connections show
+     * @param companionListener is notified of what the connections show
      * @param timers runs timeouts
      * @param random random numbers from 0 to 1, for jitter
      * @param guard knows the requests that crash targets
-     * @param decisions record of decisions
+     * @param decisions log of routing decisions
      * @param telemetry records a span for each attempt
      * @return the dispatcher
      */
@@ -85,7 +85,7 @@
             String zone,
             CallBounds bounds,
             LinkOpener opener,
-            CompanionListener evidence,
+            CompanionListener companionListener,
             ScheduledExecutorService timers,
             DoubleSupplier random,
             CrashGuard guard,
@@ -98,15 +98,15 @@
                         bounds.loadBound(),
                         bounds.spillPressure(),
                         bounds.subsetSize());
-        CompanionTable companions = new CompanionTable(bounds, opener, evidence);
+        CompanionTable companions = new CompanionTable(bounds, opener, companionListener);
         return new FrameDispatcher(
                 router, bounds, companions, timers, random, guard, decisions, telemetry);
     }
 
     /**
-     * Opens links to new companions and closes those to companions that are gone and idle.
+     * Connects to new companions and closes the connections to unlisted ones without calls.
      *
-     * @param view the instances taken to be live
+     * @param view the live members
      */
     public void update(FleetView view) {
         companions.update(view);
@@ -115,7 +115,7 @@
     @Override
     public CallHandle dispatch(CallSpec spec, CallListener listener) {
         CallRun run = new CallRun(spec, listener, this);
-        running.add(run);
+        runs.add(run);
         run.start();
         return run;
     }
@@ -126,38 +126,39 @@
     }
 
     /**
-     * Calls under way, online and batch.
+     * Returns the number of online and batch calls in flight.
      *
-     * @return their number
+     * @return number of calls
      */
     public int callsInFlight() {
-        return running.size();
+        return runs.size();
     }
 
     /**
-     * Takes calls of a request that became a suspect back from their targets, to run them alone.
+     * Cancels the attempts of a request that became a suspect and retries it as the only suspect on
+     * a target.
      *
      * @param fingerprint hash of the request
      */
     public void requeueSuspects(String fingerprint) {
-        running.stream()
+        runs.stream()
                 .filter(run -> run.spec().fingerprint().equals(fingerprint))
                 .forEach(run -> timers.execute(run::requeueAsSuspect));
     }
 
     /**
-     * What this entry knows of each companion's target.
+     * Returns what this entry knows of each companion's target.
      *
-     * @return one candidate for each companion, by name
+     * @return one candidate for each companion
      */
     public List<Candidate> candidates() {
         return companions.candidates(Lane.ONLINE, nowNanos());
     }
 
     /**
-     * The companions' targets for the giver of orders.
+     * Returns the state of the companions' targets for rollouts.
      *
-     * @return those that have reported and are not leaving
+     * @return targets that have reported and are not leaving
      */
     public List<TargetView> targetViews() {
         return companions.targetViews();
@@ -168,14 +169,14 @@
      *
      * @param companion name of the companion
      * @param order the order
-     * @return false where no connection is open
+     * @return false if no connection is open
      */
     public boolean sendOrder(String companion, Order order) {
         CompanionLink link = companions.find(companion);
         return link != null && link.sendOrder(order);
     }
 
-    /** Closes all links. */
+    /** Closes all connections. */
     public void close() {
         companions.close();
     }
@@ -188,7 +189,7 @@
         return System.nanoTime();
     }
 
-    /** Runs a task later; the future cancels it, so that it holds nothing until it is due. */
+    /** Runs a task later; cancelling the future frees the task before it is due. */
     ScheduledFuture<?> schedule(Duration delay, Runnable task) {
         return timers.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
     }
@@ -208,56 +209,57 @@
         }
     }
 
-    TargetChoice chooseTarget(CallRun run, Lane lane, Set<String> tried, boolean suspect) {
+    TargetChoice chooseTarget(CallRun run, Lane lane, Set<String> triedTargets, boolean isSuspect) {
         String fingerprint = run.spec().fingerprint();
-        synchronized (copies.lockFor(fingerprint)) {
-            CrashVerdict standing = guard.verdict(fingerprint);
-            if (standing != (suspect ? CrashVerdict.SUSPECT : CrashVerdict.CLEAR)) {
+        synchronized (duplicates.lockFor(fingerprint)) {
+            CrashVerdict verdict = guard.verdict(fingerprint);
+            if (verdict != (isSuspect ? CrashVerdict.SUSPECT : CrashVerdict.CLEAR)) {
                 return new TargetChoice.Deferred(Duration.ZERO);
             }
-            return chooseOne(run, lane, tried, suspect);
+            return chooseUnderLock(run, lane, triedTargets, isSuspect);
         }
     }
 
-    private TargetChoice chooseOne(CallRun run, Lane lane, Set<String> tried, boolean suspect) {
+    private TargetChoice chooseUnderLock(
+            CallRun run, Lane lane, Set<String> triedTargets, boolean isSuspect) {
         CallSpec spec = run.spec();
-        boolean byPrefix = !suspect && !spec.prefixKey().isEmpty();
+        boolean hasPrefix = !isSuspect && !spec.prefixKey().isEmpty();
         RouteRequest request =
                 new RouteRequest(
                         spec.service().name(),
                         spec.model(),
-                        byPrefix ? spec.prefixKey() : spec.fingerprint(),
-                        tried,
-                        suspect);
-        long now = nowNanos();
-        List<Candidate> pool = companions.candidates(lane, now);
-        DuplicateTable.Placement place =
-                copies.findPlacement(
+                        hasPrefix ? spec.prefixKey() : spec.fingerprint(),
+                        triedTargets,
+                        isSuspect);
+        long nowNanos = nowNanos();
+        List<Candidate> pool = companions.candidates(lane, nowNanos);
+        DuplicateTable.Placement placement =
+                duplicates.findPlacement(
                         spec.fingerprint(),
-                        name -> usable(pool, name, request).isPresent(),
-                        run.mayWaitForDuplicates(now, guard.settle()));
-        if (place instanceof DuplicateTable.Placement.Blocked) {
+                        name -> findUsable(pool, name, request).isPresent(),
+                        run.mayWaitForDuplicates(nowNanos, guard.settle()));
+        if (placement instanceof DuplicateTable.Placement.Blocked) {
             return new TargetChoice.Deferred(guard.trialPause());
         }
         Optional<Candidate> chosen =
-                place instanceof DuplicateTable.Placement.Pinned with
-                        ? usable(pool, with.companion(), request)
+                placement instanceof DuplicateTable.Placement.Pinned pinned
+                        ? findUsable(pool, pinned.companion(), request)
                         : router.choose(pool, request);
         while (chosen.isPresent()) {
             Candidate target = chosen.get();
             CompanionLink link = companions.find(target.name());
             if (link != null
-                    && suspect
+                    && isSuspect
                     && !guard.tryStartTrial(spec.fingerprint(), target.name())) {
                 return new TargetChoice.Deferred(guard.trialPause());
             }
-            if (link != null && link.tryReserve(run, lane, now)) {
-                copies.add(spec.fingerprint(), target.name());
-                decisions.add(RouteDecision.of(run, target, pool, place, suspect));
+            if (link != null && link.tryReserve(run, lane, nowNanos)) {
+                duplicates.add(spec.fingerprint(), target.name());
+                decisions.add(RouteDecision.of(run, target, pool, placement, isSuspect));
                 return new TargetChoice.Chosen(link);
             }
             guard.endTrial(spec.fingerprint(), target.name());
-            if (place instanceof DuplicateTable.Placement.Pinned) {
+            if (placement instanceof DuplicateTable.Placement.Pinned) {
                 return new TargetChoice.Deferred(guard.trialPause());
             }
             pool.remove(target);
@@ -266,15 +268,15 @@
         return new TargetChoice.NoTarget();
     }
 
-    void release(CallRun run, CompanionLink from, Lane lane, boolean suspect) {
+    void release(CallRun run, CompanionLink from, Lane lane, boolean isSuspect) {
         from.release(run, lane);
-        copies.remove(run.spec().fingerprint(), from.name());
-        if (suspect) {
+        duplicates.remove(run.spec().fingerprint(), from.name());
+        if (isSuspect) {
             guard.endTrial(run.spec().fingerprint(), from.name());
         }
     }
 
-    /** Hears for a while of the death of a target from which a call was taken back. */
+    /** Watches for the settle time whether the target of a requeued call has died. */
     void watchRequeued(CallRun run, CompanionLink from) {
         from.watchRequeued(run);
         schedule(guard.settle(), () -> from.unwatchRequeued(run));
@@ -285,19 +287,20 @@
             CompanionLink on,
             AttemptAction.Failed failed,
             String targetIncarnation,
-            boolean suspect) {
+            boolean isSuspect) {
         if (!failed.cause().isTargetFault()) {
             on.onInconclusive();
         } else if (on.onFailure(nowNanos())) {
             Logger.warn(
-                    "Target {} failed again ({}); it is left out for a pause",
+                    "Target {} was ejected for a time after repeated failures; the last: {}",
                     on.name(),
                     failed.detail());
-            noteTarget(run, DecisionAction.LEFT_OUT, failed.detail(), on.name());
+            recordTargetDecision(run, DecisionAction.LEFT_OUT, failed.detail(), on.name());
         }
         if (failed.cause() == FailureCause.TARGET_DIED && failed.outcome() != RunOutcome.NOT_RUN) {
-            String life = targetIncarnation.isEmpty() ? on.targetIncarnation() : targetIncarnation;
-            guard.onTargetDeath(run.spec().fingerprint(), on.target(), life, suspect);
+            String incarnation =
+                    targetIncarnation.isEmpty() ? on.targetIncarnation() : targetIncarnation;
+            guard.onTargetDeath(run.spec().fingerprint(), on.target(), incarnation, isSuspect);
         }
     }
 
@@ -305,8 +308,8 @@
             CallRun run,
             AttemptAction.Failed failed,
             int attempts,
-            boolean delivered,
-            Duration left) {
+            boolean isHeadDelivered,
+            Duration timeLeft) {
         RetryBudget budget = budget(run.spec().team().name());
         synchronized (budget) {
             return bounds.retryPolicy()
@@ -314,8 +317,8 @@
                             failed,
                             attempts,
                             run.spec().isIdempotent(),
-                            delivered,
-                            left,
+                            isHeadDelivered,
+                            timeLeft,
                             random.getAsDouble(),
                             budget);
         }
@@ -329,11 +332,12 @@
             CallRun run,
             CompanionLink by,
             AttemptAction.@Nullable ResponseHead head,
-            boolean letIn) {
+            boolean isReadmitted) {
         String answer = head == null ? "without a head" : "status " + head.status();
         recordDecision(run, DecisionAction.ANSWERED, answer, by.name());
-        if (letIn) {
-            noteTarget(run, DecisionAction.LET_IN, "a call on it was answered", by.name());
+        if (isReadmitted) {
+            recordTargetDecision(
+                    run, DecisionAction.LET_IN, "a call on it was answered", by.name());
         }
     }
 
@@ -350,7 +354,8 @@
         decisions.add(RouteDecision.of(run, action, problem.detail(), figures));
     }
 
-    private void noteTarget(CallRun run, DecisionAction action, String reason, String target) {
+    private void recordTargetDecision(
+            CallRun run, DecisionAction action, String reason, String target) {
         decisions.add(
                 new DecisionRecord(
                         System.currentTimeMillis(),
@@ -361,21 +366,21 @@
     }
 
     /**
-     * Calls under way by team.
+     * Returns the calls in flight by team.
      *
-     * @param batch whether batch items are counted, or else online calls
-     * @return their number for each team that has any
+     * @param isBatch whether batch items are counted, or else online calls
+     * @return number of calls for each team that has any
      */
-    public Map<String, Long> callsByTeam(boolean batch) {
-        return running.stream()
-                .filter(run -> run.spec().isBatch() == batch)
+    public Map<String, Long> callsByTeam(boolean isBatch) {
+        return runs.stream()
+                .filter(run -> run.spec().isBatch() == isBatch)
                 .collect(
                         Collectors.groupingBy(
                                 run -> run.spec().team().name(), Collectors.counting()));
     }
 
     void onEnded(CallRun run, String result) {
-        running.remove(run);
+        runs.remove(run);
         CallMetrics.countEnd(run.spec().isBatch() ? "BATCH" : "ONLINE", result);
     }
 
@@ -384,7 +389,7 @@
                 team, name -> RetryBudget.of(bounds.retryShare(), bounds.retryBurst()));
     }
 
-    private static Optional<Candidate> usable(
+    private static Optional<Candidate> findUsable(
             List<Candidate> pool, String name, RouteRequest request) {
         return pool.stream()
                 .filter(candidate -> candidate.name().equals(name))
--- a/entry/src/main/java/org/sardinelift/entry/call/LinkOpener.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/LinkOpener.java
@@ -8,7 +8,7 @@
 @FunctionalInterface
 public interface LinkOpener {
 
-    /** A link that reconnects by itself until it is closed. */
+    /** A connection that is reopened after a loss until it is closed. */
     interface Link {
         /** Closes the link for good. */
         void close();
@@ -18,8 +18,8 @@
      * Opens a link.
      *
      * @param companion the companion
-     * @param lane what the link carries
-     * @param listener hears of connections and frames
+     * @param lane lane that the link carries
+     * @param listener is notified of connections and frames
      * @return the open link
      */
     Link open(InstanceInfo companion, Lane lane, FrameListener listener);
--- a/entry/src/main/java/org/sardinelift/entry/call/PoisonBounds.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/PoisonBounds.java
@@ -4,15 +4,15 @@
 import org.sardinelift.settings.SettingsNode;
 
 /**
- * Bounds of dealing with requests that crash targets.
+ * Time and size limits of the detection of requests that crash targets.
  *
- * @param suspectFor time after which a suspect is clear again
+ * @param suspectFor time after its last death after which a suspect is clear again
  * @param refuseFor time for which a request that crashes targets is refused
- * @param maxEntries requests remembered
- * @param settle time for evidence of a death to come from every entry
+ * @param maxEntries largest number of requests remembered
+ * @param settle time for evidence of a death to arrive from every entry
  * @param turn time for which an entry leaves a suspect's trial to the entry before it
- * @param trialPause pause before a suspect asks again for its turn
- * @param refresh interval at which the platform's quarantine is read again
+ * @param trialPause time after which a call that must wait for a trial tries again
+ * @param refresh interval at which the quarantine is read from the platform
  */
 public record PoisonBounds(
         Duration suspectFor,
@@ -24,10 +24,10 @@
         Duration refresh) {
 
     /**
-     * Reads the bounds.
+     * Reads the settings.
      *
      * @param node the settings object
-     * @return the bounds, defaults where fields are absent
+     * @return the settings, with defaults for absent fields
      */
     public static PoisonBounds read(SettingsNode node) {
         return new PoisonBounds(
--- a/entry/src/main/java/org/sardinelift/entry/call/RouteDecision.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/RouteDecision.java
@@ -8,27 +8,30 @@
 import org.sardinelift.core.explain.DecisionRecord;
 import org.sardinelift.core.route.Candidate;
 
-/** Records of what was decided about a call, with the figures that the choice went by. */
+/** Creates the records of decisions about calls, with the figures on which they were based. */
 final class RouteDecision {
-    /** Loads of other targets that one record shows at most. */
-    private static final int MAX_LOADS = 4;
+    private static final int MAX_OTHER_LOADS = 4;
 
     private RouteDecision() {}
 
     static DecisionRecord of(
             CallRun run, DecisionAction action, String reason, Map<String, String> figures) {
-        Map<String, String> all = new HashMap<>(figures);
-        all.put("team", run.spec().team().name());
+        Map<String, String> allFigures = new HashMap<>(figures);
+        allFigures.put("team", run.spec().team().name());
         return new DecisionRecord(
-                System.currentTimeMillis(), run.requestId(), action, reason, Map.copyOf(all));
+                System.currentTimeMillis(),
+                run.requestId(),
+                action,
+                reason,
+                Map.copyOf(allFigures));
     }
 
     static DecisionRecord of(
             CallRun run,
             Candidate target,
             List<Candidate> pool,
-            DuplicateTable.Placement place,
-            boolean suspect) {
+            DuplicateTable.Placement placement,
+            boolean isSuspect) {
         List<Candidate> others =
                 pool.stream()
                         .filter(other -> other.isUsable() && other != target)
@@ -42,15 +45,16 @@
         if (!others.isEmpty()) {
             figures.put("others", loads(others));
         }
-        return of(run, DecisionAction.ROUTED, reason(run, place, suspect), figures);
+        return of(run, DecisionAction.ROUTED, reason(run, placement, isSuspect), figures);
     }
 
-    private static String reason(CallRun run, DuplicateTable.Placement place, boolean suspect) {
-        if (suspect) {
-            return "alone on its target, as targets died with it in flight";
+    private static String reason(
+            CallRun run, DuplicateTable.Placement placement, boolean isSuspect) {
+        if (isSuspect) {
+            return "the only suspect on its target, as targets died with it in flight";
         }
-        if (place instanceof DuplicateTable.Placement.Pinned) {
-            return "beside the same request, which runs there already";
+        if (placement instanceof DuplicateTable.Placement.Pinned) {
+            return "the target on which the same request runs already";
         }
         return run.spec().prefixKey().isEmpty()
                 ? "the less loaded of its first two targets"
@@ -59,7 +63,7 @@
 
     private static String loads(List<Candidate> others) {
         return others.stream()
-                .limit(MAX_LOADS)
+                .limit(MAX_OTHER_LOADS)
                 .map(other -> other.name() + ":" + load(other))
                 .collect(Collectors.joining(" "));
     }
--- a/entry/src/main/java/org/sardinelift/entry/call/StartFrames.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/StartFrames.java
@@ -6,7 +6,7 @@
 import org.sardinelift.protocol.generated.Lane;
 import org.sardinelift.protocol.generated.Start;
 
-/** Builds the frame that starts an attempt. */
+/** Builds the Start frame of an attempt. */
 final class StartFrames {
     private StartFrames() {}
 
@@ -14,8 +14,8 @@
             CallSpec spec,
             int attempt,
             Lane lane,
-            Duration left,
-            boolean suspect,
+            Duration timeLeft,
+            boolean isSuspect,
             String traceparent) {
         Start start = new Start();
         start.setRequestId(spec.requestId());
@@ -28,11 +28,11 @@
         start.setPath(spec.path());
         start.setHeaders(spec.headers());
         start.setBody(ByteBuffer.wrap(spec.body()));
-        start.setDeadlineMs(left.toMillis());
+        start.setDeadlineMs(timeLeft.toMillis());
         start.setIdempotent(spec.isIdempotent());
         start.setFingerprint(spec.fingerprint());
         start.setTraceparent(traceparent);
-        start.setSuspect(suspect);
+        start.setSuspect(isSuspect);
         start.setPrefixKey(spec.prefixKey());
         return Frame.start(start);
     }
--- a/entry/src/main/java/org/sardinelift/entry/call/TargetChoice.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/TargetChoice.java
@@ -2,23 +2,24 @@
 
 import java.time.Duration;
 
-/** Where an attempt goes. */
+/** Result of choosing a target for an attempt. */
 sealed interface TargetChoice {
 
     /**
-     * To a companion, which counts the call from now on.
+     * A companion was chosen, and the call reserved on it.
      *
      * @param companion the companion
      */
     record Chosen(CompanionLink companion) implements TargetChoice {}
 
     /**
-     * Nowhere yet: another suspect is on the target, or what became of other copies is not known.
+     * The choice must be repeated: another suspect is on the target, or the outcome of duplicates
+     * in flight is not known yet.
      *
-     * @param delay time after which to ask again
+     * @param delay time after which to choose again
      */
     record Deferred(Duration delay) implements TargetChoice {}
 
-    /** Nowhere: no target can take the call. */
+    /** No target can run the call. */
     record NoTarget() implements TargetChoice {}
 }
--- a/entry/src/main/java/org/sardinelift/entry/call/package-info.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/package-info.java
@@ -1,4 +1,4 @@
-/** Calls from an entry to targets, whatever lane they travel on. */
+/** Calls from an entry to targets, online and batch. */
 @NullMarked
 package org.sardinelift.entry.call;
 
--- a/entry/src/test/java/org/sardinelift/entry/call/DuplicateTableTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/call/DuplicateTableTest.java
@@ -20,24 +20,32 @@
 import org.sardinelift.core.poison.CrashLedger;
 import org.sardinelift.core.poison.CrashVerdict;
 
+/**
+ * Guards against a request that crashes targets and kills more than two of them. That could happen
+ * if its copies, sent through two entries, went to several targets before evidence of a death
+ * arrives.
+ */
 class DuplicateTableTest {
     private static final String POISON = "poison";
     private static final int ENTRIES = 2;
     private static final int TARGETS = 4;
     private static final int COPIES = 10;
-    private static final int DEAD_MS = 100;
-    private static final int FRAME_MS = 20;
+    private static final int RESTART_MS = 100;
+    private static final int MAX_FRAME_DELAY_MS = 20;
 
-    /** A start under way, its answer, and evidence of it, after evidence of another death. */
-    private static final int SETTLE_MS = 4 * FRAME_MS + 1;
+    /** Four frames: evidence of another death, a Start in flight, its answer and its evidence. */
+    private static final int SETTLE_MS = 4 * MAX_FRAME_DELAY_MS + 1;
 
     private static final int RETRY_MS = 2;
     private static final int RUN_MS = 20;
-    private static final int LIMIT_MS = 100_000;
+    private static final int TIME_LIMIT_MS = 100_000;
 
-    /** Evidence and reports of targets come late, and in any order towards the answers. */
+    /**
+     * Evidence and reports of targets are delayed at random, so they arrive before or after
+     * answers.
+     */
     @Property(seed = "54", tries = 500)
-    void copiesThroughTwoEntriesKillAtMostTwoTargets(@ForAll Random random) {
+    void duplicatesThroughTwoEntriesKillAtMostTwoTargets(@ForAll Random random) {
         Fleet fleet = new Fleet(random);
         fleet.run();
         assertEquals(ENTRIES * COPIES, fleet.completed, "innocent requests completed");
@@ -46,44 +54,44 @@
     }
 
     @Example
-    void aCopyIsHeldWhileOthersAreOnATargetThatTakesNoMore() {
-        DuplicateTable copies = new DuplicateTable();
+    void aDuplicateWaitsWhileOthersAreOnATargetThatTakesNoMore() {
+        DuplicateTable duplicates = new DuplicateTable();
         assertEquals(
                 new DuplicateTable.Placement.Unpinned(),
-                copies.findPlacement("f", name -> true, true));
-        copies.add("f", "c1");
+                duplicates.findPlacement("f", name -> true, true));
+        duplicates.add("f", "c1");
         assertEquals(
                 new DuplicateTable.Placement.Pinned("c1"),
-                copies.findPlacement("f", name -> true, true));
+                duplicates.findPlacement("f", name -> true, true));
         assertEquals(
                 new DuplicateTable.Placement.Blocked(),
-                copies.findPlacement("f", name -> false, true));
+                duplicates.findPlacement("f", name -> false, true));
         assertEquals(
                 new DuplicateTable.Placement.Unpinned(),
-                copies.findPlacement("f", name -> false, false));
-        copies.remove("f", "c1");
+                duplicates.findPlacement("f", name -> false, false));
+        duplicates.remove("f", "c1");
         assertEquals(
                 new DuplicateTable.Placement.Unpinned(),
-                copies.findPlacement("f", name -> false, true));
+                duplicates.findPlacement("f", name -> false, true));
     }
 
-    /** Something that happens at a time, milliseconds; ties keep their order. */
+    /** An action at a simulated time in milliseconds; actions at one time keep their order. */
     private record Event(long atMs, long order, Runnable action) {}
 
-    /** A call of one entry. */
+    /** A call of one entry, with its current attempt. */
     private static final class Call {
         final String fingerprint;
         final Set<Integer> tried = new HashSet<>();
         int target = -1;
         int attempt;
-        boolean suspect;
+        boolean isSuspect;
 
         Call(String fingerprint) {
             this.fingerprint = fingerprint;
         }
     }
 
-    /** A call on a target. */
+    /** An attempt of a call on a target. */
     private record Run(Entry entry, Call call, int attempt) {}
 
     private static final class Fleet {
@@ -93,7 +101,7 @@
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(
                         Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
-        private final Map<String, Long> lastByConnection = new HashMap<>();
+        private final Map<String, Long> lastArrivalByConnection = new HashMap<>();
         private long order;
         long nowMs;
         int deaths;
@@ -109,13 +117,13 @@
         void run() {
             for (Entry entry : entries) {
                 for (int copy = 0; copy < COPIES; copy++) {
-                    Call poison = new Call(POISON);
-                    Call good = new Call("good " + entry.turn + " " + copy);
-                    after(random.nextInt(RUN_MS), () -> entry.next(poison));
-                    after(random.nextInt(RUN_MS), () -> entry.next(good));
+                    Call crashing = new Call(POISON);
+                    Call innocent = new Call("good " + entry.turn + " " + copy);
+                    after(random.nextInt(RUN_MS), () -> entry.startNextAttempt(crashing));
+                    after(random.nextInt(RUN_MS), () -> entry.startNextAttempt(innocent));
                 }
             }
-            while (!events.isEmpty() && nowMs < LIMIT_MS) {
+            while (!events.isEmpty() && nowMs < TIME_LIMIT_MS) {
                 Event event = events.poll();
                 nowMs = event.atMs();
                 event.action().run();
@@ -126,10 +134,10 @@
             events.add(new Event(nowMs + delayMs, order++, action));
         }
 
-        /** Frames of one connection keep their order. */
+        /** Runs an action after a random delay; frames of one connection keep their order. */
         void send(String connection, Runnable action) {
-            long at = nowMs + 1 + random.nextInt(FRAME_MS);
-            at = lastByConnection.merge(connection, at, Math::max);
+            long at = nowMs + 1 + random.nextInt(MAX_FRAME_DELAY_MS);
+            at = lastArrivalByConnection.merge(connection, at, Math::max);
             events.add(new Event(at, order++, action));
         }
     }
@@ -163,24 +171,24 @@
         }
 
         private void die() {
-            String life = name + "#" + ++fleet.deaths;
-            deadUntilMs = fleet.nowMs + DEAD_MS;
-            List<Run> lost = List.copyOf(inFlight);
+            String incarnation = name + "#" + ++fleet.deaths;
+            deadUntilMs = fleet.nowMs + RESTART_MS;
+            List<Run> lostRuns = List.copyOf(inFlight);
             inFlight.clear();
-            lost.forEach(run -> answer(run, () -> run.entry().onDied(run, life)));
+            lostRuns.forEach(run -> answer(run, () -> run.entry().onTargetDied(run, incarnation)));
             report(false);
-            fleet.after(DEAD_MS, () -> report(true));
+            fleet.after(RESTART_MS, () -> report(true));
         }
 
         private void end(Run run) {
             if (inFlight.remove(run)) {
-                answer(run, () -> run.entry().onWhole(run));
+                answer(run, () -> run.entry().onCompleted(run));
             }
         }
 
-        private void report(boolean healthy) {
+        private void report(boolean isHealthy) {
             for (Entry entry : fleet.entries) {
-                fleet.send("r" + name + entry.turn, () -> entry.onReport(name, healthy));
+                fleet.send("r" + name + entry.turn, () -> entry.onReport(name, isHealthy));
             }
         }
 
@@ -193,9 +201,9 @@
         private final Fleet fleet;
         private final int turn;
         private final CrashLedger ledger =
-                CrashLedger.of(new CrashBounds(LIMIT_MS, LIMIT_MS, SETTLE_MS, 1_000));
-        private final DuplicateTable copies = new DuplicateTable();
-        private final Set<Integer> unhealthy = new HashSet<>();
+                CrashLedger.of(new CrashBounds(TIME_LIMIT_MS, TIME_LIMIT_MS, SETTLE_MS, 1_000));
+        private final DuplicateTable duplicates = new DuplicateTable();
+        private final Set<Integer> unhealthyTargets = new HashSet<>();
         private final List<Run> running = new ArrayList<>();
 
         Entry(Fleet fleet, int turn) {
@@ -203,33 +211,33 @@
             this.turn = turn;
         }
 
-        void next(Call call) {
-            CrashVerdict standing = ledger.verdict(call.fingerprint, fleet.nowMs);
-            if (standing == CrashVerdict.REFUSED) {
+        void startNextAttempt(Call call) {
+            CrashVerdict verdict = ledger.verdict(call.fingerprint, fleet.nowMs);
+            if (verdict == CrashVerdict.REFUSED) {
                 fleet.refused++;
                 return;
             }
-            call.suspect = standing == CrashVerdict.SUSPECT;
+            call.isSuspect = verdict == CrashVerdict.SUSPECT;
             if (!start(call)) {
-                fleet.after(RETRY_MS, () -> next(call));
+                fleet.after(RETRY_MS, () -> startNextAttempt(call));
             }
         }
 
         private boolean start(Call call) {
-            DuplicateTable.Placement place =
-                    copies.findPlacement(
-                            call.fingerprint, name -> usable(call, Integer.parseInt(name)), true);
-            if (place instanceof DuplicateTable.Placement.Blocked) {
+            DuplicateTable.Placement placement =
+                    duplicates.findPlacement(
+                            call.fingerprint, name -> isUsable(call, Integer.parseInt(name)), true);
+            if (placement instanceof DuplicateTable.Placement.Blocked) {
                 return false;
             }
             int target =
-                    place instanceof DuplicateTable.Placement.Pinned with
-                            ? Integer.parseInt(with.companion())
+                    placement instanceof DuplicateTable.Placement.Pinned pinned
+                            ? Integer.parseInt(pinned.companion())
                             : route(call);
-            if (target < 0 || call.suspect && !tryTrial(call, target)) {
+            if (target < 0 || call.isSuspect && !tryTrial(call, target)) {
                 return false;
             }
-            copies.add(call.fingerprint, Integer.toString(target));
+            duplicates.add(call.fingerprint, Integer.toString(target));
             call.target = target;
             Run run = new Run(this, call, ++call.attempt);
             running.add(run);
@@ -250,7 +258,7 @@
             int target =
                     IntStream.range(0, TARGETS)
                             .map(step -> (first + step) % TARGETS)
-                            .filter(name -> usable(call, name))
+                            .filter(name -> isUsable(call, name))
                             .findFirst()
                             .orElse(-1);
             if (target < 0) {
@@ -259,19 +267,19 @@
             return target;
         }
 
-        private boolean usable(Call call, int target) {
-            return !unhealthy.contains(target) && !call.tried.contains(target);
+        private boolean isUsable(Call call, int target) {
+            return !unhealthyTargets.contains(target) && !call.tried.contains(target);
         }
 
-        void onReport(int target, boolean healthy) {
-            if (healthy) {
-                unhealthy.remove(target);
+        void onReport(int target, boolean isHealthy) {
+            if (isHealthy) {
+                unhealthyTargets.remove(target);
             } else {
-                unhealthy.add(target);
+                unhealthyTargets.add(target);
             }
         }
 
-        void onWhole(Run run) {
+        void onCompleted(Run run) {
             if (release(run)) {
                 ledger.onCompleted(run.call().fingerprint);
                 fleet.completed++;
@@ -281,38 +289,44 @@
         void onNotRun(Run run) {
             if (release(run)) {
                 run.call().tried.add(run.call().target);
-                fleet.after(fleet.random.nextInt(FRAME_MS), () -> next(run.call()));
+                fleet.after(
+                        fleet.random.nextInt(MAX_FRAME_DELAY_MS),
+                        () -> startNextAttempt(run.call()));
             }
         }
 
-        void onDied(Run run, String life) {
+        void onTargetDied(Run run, String incarnation) {
             String fingerprint = run.call().fingerprint;
-            boolean alone = run.call().suspect;
-            onEvidence(fingerprint, life, alone);
+            boolean isSingleSuspect = run.call().isSuspect;
+            onEvidence(fingerprint, incarnation, isSingleSuspect);
             fleet.entries.stream()
                     .filter(entry -> entry != this)
                     .forEach(
                             peer ->
                                     fleet.send(
                                             "e" + turn + peer.turn,
-                                            () -> peer.onEvidence(fingerprint, life, alone)));
+                                            () ->
+                                                    peer.onEvidence(
+                                                            fingerprint,
+                                                            incarnation,
+                                                            isSingleSuspect)));
             onNotRun(run);
         }
 
-        private void onEvidence(String fingerprint, String life, boolean alone) {
-            ledger.onTargetDeath(fingerprint, life, alone, fleet.nowMs);
+        private void onEvidence(String fingerprint, String incarnation, boolean isSingleSuspect) {
+            ledger.onTargetDeath(fingerprint, incarnation, isSingleSuspect, fleet.nowMs);
             running.stream()
                     .filter(run -> run.call().fingerprint.equals(fingerprint))
-                    .filter(run -> !run.call().suspect)
+                    .filter(run -> !run.call().isSuspect)
                     .toList()
-                    .forEach(run -> fleet.after(0, () -> takeBack(run)));
+                    .forEach(run -> fleet.after(0, () -> requeue(run)));
         }
 
-        private void takeBack(Run run) {
+        private void requeue(Run run) {
             int target = run.call().target;
             if (release(run)) {
                 fleet.send("s" + turn + target, () -> fleet.targets.get(target).cancel(run));
-                fleet.after(RETRY_MS, () -> next(run.call()));
+                fleet.after(RETRY_MS, () -> startNextAttempt(run.call()));
             }
         }
 
@@ -321,8 +335,8 @@
                 return false;
             }
             String target = Integer.toString(run.call().target);
-            copies.remove(run.call().fingerprint, target);
-            if (run.call().suspect) {
+            duplicates.remove(run.call().fingerprint, target);
+            if (run.call().isSuspect) {
                 ledger.endTrial(run.call().fingerprint, target);
             }
             return true;
--- a/entry/src/test/java/org/sardinelift/entry/call/PreemptedItemTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/call/PreemptedItemTest.java
@@ -12,24 +12,28 @@
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.RunOutcome;
 
-/** A batch call that gave its slot to an online call, from the attempt to the item's retry. */
+/**
+ * Guards against batch items that fail because online calls preempt them: a preempted attempt, with
+ * whatever outcome, is retried and not counted as an attempt of the item.
+ */
 class PreemptedItemTest {
-    private final ItemRetryPolicy retry =
+    private final ItemRetryPolicy retryPolicy =
             new ItemRetryPolicy(1, 100, Duration.ofMillis(1), Duration.ofMillis(1));
 
     @ParameterizedTest
     @EnumSource(RunOutcome.class)
-    void preemptionCountsAsNoFailureOfTheItem(RunOutcome outcome) {
-        AttemptAction.Failed cut =
+    void preemptionIsNotCountedAsAnAttempt(RunOutcome outcome) {
+        AttemptAction.Failed preempted =
                 new AttemptAction.Failed(
                         outcome,
                         FailureCause.PREEMPTED,
                         "an online call took the slot",
                         Duration.ZERO);
-        Problem problem = CallProblems.of(cut, outcome);
-        var again =
+        Problem problem = CallProblems.of(preempted, outcome);
+        var decision =
                 assertInstanceOf(
-                        ItemRetryPolicy.Decision.Retry.class, retry.decide(problem, true, 1, 1));
-        assertEquals(false, again.countsAsAttempt());
+                        ItemRetryPolicy.Decision.Retry.class,
+                        retryPolicy.decide(problem, true, 1, 1));
+        assertEquals(false, decision.countsAsAttempt());
     }
 }
