--- a/entry/src/main/java/org/sardinelift/entry/filter/AnswerWriter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/AnswerWriter.java
@@ -9,9 +9,9 @@
 import org.sardinelift.entry.call.CallListener;
 import org.sardinelift.http.HttpExchange;
 
-/** Passes a call's answer on to the caller, as it comes. */
+/** Writes a call's answer to the caller as it arrives; aborts it if the caller reads too slowly. */
 final class AnswerWriter implements CallListener {
-    private static final Set<String> PASSED_HEADERS =
+    private static final Set<String> ALLOWED_HEADERS =
             Set.of(
                     "content-type",
                     "cache-control",
@@ -24,8 +24,8 @@
     private final HttpExchange exchange;
     private final String requestId;
     private final int maxUnsentBytes;
-    private boolean eventStream;
-    private boolean streaming;
+    private boolean isEventStream;
+    private boolean isHeadWritten;
     private volatile boolean isEnded;
     private int unsentBytes;
 
@@ -44,18 +44,18 @@
         if (isEnded) {
             return;
         }
-        Map<String, String> passed = new LinkedHashMap<>();
+        Map<String, String> allowed = new LinkedHashMap<>();
         headers.forEach(
                 (name, value) -> {
                     String lower = name.toLowerCase(Locale.ROOT);
-                    if (PASSED_HEADERS.contains(lower)) {
-                        passed.put(lower, value);
+                    if (ALLOWED_HEADERS.contains(lower)) {
+                        allowed.put(lower, value);
                     }
                 });
-        passed.put("x-request-id", requestId);
-        eventStream = passed.getOrDefault("content-type", "").startsWith(EVENT_STREAM);
-        streaming = true;
-        exchange.start(status, passed);
+        allowed.put("x-request-id", requestId);
+        isEventStream = allowed.getOrDefault("content-type", "").startsWith(EVENT_STREAM);
+        isHeadWritten = true;
+        exchange.start(status, allowed);
     }
 
     @Override
@@ -86,9 +86,9 @@
             return;
         }
         isEnded = true;
-        if (!streaming) {
+        if (!isHeadWritten) {
             ProblemWriter.write(exchange, requestId, problem);
-        } else if (eventStream) {
+        } else if (isEventStream) {
             String event =
                     "event: error\ndata: " + ProblemWriter.toJson(requestId, problem) + "\n\n";
             exchange.write(event.getBytes(StandardCharsets.UTF_8));
--- a/entry/src/main/java/org/sardinelift/entry/filter/CallContext.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/CallContext.java
@@ -16,7 +16,7 @@
 import org.sardinelift.entry.call.CallSpec;
 import org.sardinelift.http.HttpExchange;
 
-/** One caller's request on its way through the filters; used by one thread at a time. */
+/** State of one caller's request while it passes the filters; used by one thread at a time. */
 public final class CallContext {
     private final HttpExchange exchange;
     private final String requestId;
@@ -30,10 +30,10 @@
     private @Nullable String keyId;
     private @Nullable TeamPlan team;
     private @Nullable CallSpec spec;
-    private volatile @Nullable CallHandle setHandle;
+    private volatile @Nullable CallHandle handle;
     private Map<String, String> figures = Map.of();
 
-    /** Whether the call may still be stopped without having run. */
+    /** Shows whether the call can still be stopped without having run. */
     private enum Phase {
         WAITING,
         DISPATCHED,
@@ -48,11 +48,11 @@
     }
 
     /**
-     * A request that has just come.
+     * Creates the context of a new request.
      *
-     * @param exchange the request and the means to answer it
+     * @param exchange the request, through which it is answered
      * @param requestId unique over the fleet
-     * @param maxUnsentBytes bytes of answer that may wait for a slow caller
+     * @param maxUnsentBytes bytes of the answer that may be buffered for a slow caller
      * @return the context
      */
     public static CallContext of(HttpExchange exchange, String requestId, int maxUnsentBytes) {
@@ -61,7 +61,7 @@
     }
 
     /**
-     * The request and the means to answer it.
+     * Returns the request, through which it is answered.
      *
      * @return the exchange
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * The request's identifier.
+     * Returns the request's identifier.
      *
      * @return identifier, unique over the fleet
      */
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Whether the call was answered or refused.
+     * Returns whether the call has ended with an answer or a problem.
      *
-     * @return true once no filter may answer it any more
+     * @return true if no filter may answer the call any more
      */
     public boolean isAnswered() {
         return answer.isEnded();
@@ -97,9 +97,10 @@
     }
 
     /**
-     * Ends the call from outside: its caller gets a problem and its target is told to stop.
+     * Ends the call from outside the filters: its caller gets a problem and its attempt is
+     * cancelled.
      *
-     * @param kind what was wrong
+     * @param kind kind of the problem
      * @param detail what was wrong in this case
      */
     public void stop(ProblemKind kind, String detail) {
@@ -108,16 +109,16 @@
             return;
         }
         answer.onProblem(Problem.failed(kind, RunOutcome.UNKNOWN, detail));
-        CallHandle running = setHandle;
+        CallHandle running = handle;
         if (running != null) {
             running.cancel(detail);
         }
     }
 
     /**
-     * Claims the right to hand the call to the dispatcher.
+     * Marks the call as dispatched, unless it was stopped.
      *
-     * @return false where the call was ended from outside and must not run
+     * @return false if the call was stopped and must not run
      */
     public boolean tryDispatch() {
         boolean claimed = phase.compareAndSet(Phase.WAITING, Phase.DISPATCHED);
@@ -128,16 +129,16 @@
     }
 
     /**
-     * Whether the call was handed to the dispatcher.
+     * Returns whether the call was dispatched.
      *
-     * @return false while it is with the filters, and once it was refused there
+     * @return false while the call passes the filters, and after they refused it
      */
     public boolean isDispatched() {
         return phase.get() == Phase.DISPATCHED;
     }
 
     /**
-     * The figures by which the call was judged last.
+     * Returns the figures on which the last decision about the call was based.
      *
      * @return figures by name
      */
@@ -146,7 +147,7 @@
     }
 
     /**
-     * Sets the figures by which the call is judged.
+     * Sets the figures on which the decision about the call is based.
      *
      * @param values figures by name
      */
@@ -155,25 +156,25 @@
     }
 
     /**
-     * Lets a filter see when the call leaves the filters for the dispatcher.
+     * Sets the listener for the dispatch of the call.
      *
-     * @param listener told once, before the call is dispatched
+     * @param listener run once, before the call is dispatched
      */
     public void setDispatchListener(Runnable listener) {
         dispatchListener = listener;
     }
 
     /**
-     * Lets a filter see the end of an answer that this entry gave itself.
+     * Sets the listener for an answer that this entry gives itself.
      *
-     * @param listener told the HTTP status code
+     * @param listener receives the HTTP status code
      */
     public void setLocalAnswerListener(IntConsumer listener) {
         answerListener = listener;
     }
 
     /**
-     * This entry has answered the request itself, past the listener of the target's answer.
+     * Called when this entry has answered the request itself, without the call's listener.
      *
      * @param status HTTP status code
      */
@@ -182,25 +183,25 @@
     }
 
     /**
-     * Lets a filter see the answer.
+     * Wraps the listener of the call, so that a filter can observe the answer.
      *
-     * @param wrapper wraps the listener that passes the answer on
+     * @param wrapper returns a listener that forwards to the one given
      */
     public void wrapListener(UnaryOperator<CallListener> wrapper) {
         listener = wrapper.apply(listener);
     }
 
     /**
-     * The listener that receives the answer.
+     * Returns the listener that receives the answer.
      *
-     * @return listener with all wrappers
+     * @return listener with all its wrappers
      */
     public CallListener listener() {
         return listener;
     }
 
     /**
-     * W3C trace context that the next hop continues.
+     * Returns the W3C trace context for the next hop.
      *
      * @return header value, empty for none
      */
@@ -218,18 +219,19 @@
     }
 
     /**
-     * The caller's key, kept only to keep it away from targets.
+     * Returns the caller's key, which is kept only to detect that a request would pass it to a
+     * target.
      *
-     * @return the key, or empty on an open route
+     * @return the key, or empty if the caller sent none
      */
     public Optional<String> key() {
         return Optional.ofNullable(key);
     }
 
     /**
-     * Public identifier of the caller's key.
+     * Returns the public identifier of the caller's key.
      *
-     * @return the identifier, or empty on an open route
+     * @return the identifier, or empty if the caller has no valid key
      */
     public Optional<String> keyId() {
         return Optional.ofNullable(keyId);
@@ -238,9 +240,9 @@
     /**
      * Sets the caller.
      *
-     * @param callerKey the key, or null on an open route
-     * @param callerKeyId its public identifier, or null on an open route
-     * @param plan team that the call runs for
+     * @param callerKey the key, or null if the caller sent none
+     * @param callerKeyId its public identifier, or null if the key is not valid
+     * @param plan team for which the call runs
      */
     public void setCaller(@Nullable String callerKey, @Nullable String callerKeyId, TeamPlan plan) {
         key = callerKey;
@@ -249,17 +251,17 @@
     }
 
     /**
-     * The team that the call runs for.
+     * Returns the team for which the call runs.
      *
      * @return the team
-     * @throws IllegalStateException before the key filter
+     * @throws IllegalStateException if the call has not passed the key filter
      */
     public TeamPlan team() {
-        return require(team, "the key filter comes first");
+        return require(team, "the call has not passed the key filter");
     }
 
     /**
-     * Name of the team that the call runs for.
+     * Returns the name of the team for which the call runs.
      *
      * @return the name, or empty before the key filter
      */
@@ -268,17 +270,17 @@
     }
 
     /**
-     * The call for the target.
+     * Returns the call to be sent to a target.
      *
      * @return the call
-     * @throws IllegalStateException before the service filter
+     * @throws IllegalStateException if the call has not passed the service filter
      */
     public CallSpec spec() {
-        return require(spec, "the service filter comes first");
+        return require(spec, "the call has not passed the service filter");
     }
 
     /**
-     * Sets the call for the target.
+     * Sets the call to be sent to a target.
      *
      * @param value the call
      */
@@ -287,7 +289,7 @@
     }
 
     /**
-     * The service that the call is for.
+     * Returns the service that the call is for.
      *
      * @return the service
      */
@@ -296,17 +298,17 @@
     }
 
     /**
-     * The call under way.
+     * Sets the handle of the dispatched call.
      *
-     * @param running the call
+     * @param running the handle
      */
     public void setHandle(CallHandle running) {
-        setHandle = running;
+        handle = running;
     }
 
-    private static <T> T require(@Nullable T value, String remedy) {
+    private static <T> T require(@Nullable T value, String message) {
         if (value == null) {
-            throw new IllegalStateException(remedy);
+            throw new IllegalStateException(message);
         }
         return value;
     }
--- a/entry/src/main/java/org/sardinelift/entry/filter/DispatchFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/DispatchFilter.java
@@ -3,7 +3,7 @@
 import org.sardinelift.entry.call.CallDispatcher;
 import org.sardinelift.entry.call.CallHandle;
 
-/** Hands the call to the dispatcher; a caller that goes away frees its target's slot at once. */
+/** Dispatches the call, and cancels it when its caller disconnects, which frees the slot. */
 public final class DispatchFilter implements CallFilter {
     private final CallDispatcher dispatcher;
 
@@ -12,7 +12,7 @@
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
      * @param dispatcher runs the calls
      * @return the filter
@@ -28,9 +28,9 @@
         }
         CallHandle handle = dispatcher.dispatch(call.spec(), call.listener());
         call.setHandle(handle);
-        call.exchange().onClose(() -> handle.cancel("the caller has gone"));
+        call.exchange().onClose(() -> handle.cancel("the caller has disconnected"));
         if (call.isAnswered()) {
-            handle.cancel("the call was ended while it was dispatched");
+            handle.cancel("the call was ended while it was being dispatched");
         }
         next.run();
     }
--- a/entry/src/main/java/org/sardinelift/entry/filter/DrainFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/DrainFilter.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 import org.sardinelift.core.outcome.Problem;
 
-/** Refuses new calls while this instance may not take any. */
+/** Refuses new calls while this instance does not accept any, such as during a drain. */
 public final class DrainFilter implements CallFilter {
     private final Supplier<Optional<Problem>> refusal;
 
@@ -13,9 +13,9 @@
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
-     * @param refusal why no new call may be taken now, or empty
+     * @param refusal why new calls are refused at present, or empty
      * @return the filter
      */
     public static DrainFilter of(Supplier<Optional<Problem>> refusal) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/FilterChain.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/FilterChain.java
@@ -5,7 +5,7 @@
 import org.sardinelift.core.outcome.ProblemKind;
 import org.tinylog.Logger;
 
-/** Filters in their order. */
+/** Runs calls through a sequence of filters. */
 public final class FilterChain {
     private final List<CallFilter> filters;
 
@@ -14,9 +14,9 @@
     }
 
     /**
-     * Makes a chain.
+     * Creates a chain.
      *
-     * @param filters filters, the first is passed first
+     * @param filters filters in the order in which calls pass them
      * @return the chain
      */
     public static FilterChain of(List<CallFilter> filters) {
@@ -24,22 +24,22 @@
     }
 
     /**
-     * Takes a call through the filters until one answers it.
+     * Runs a call through the filters until one of them answers it.
      *
      * @param call the call
      */
     public void run(CallContext call) {
-        step(call, 0);
+        applyFrom(call, 0);
     }
 
-    private void step(CallContext call, int index) {
+    private void applyFrom(CallContext call, int index) {
         if (index == filters.size() || call.isAnswered()) {
             return;
         }
         try {
-            filters.get(index).apply(call, () -> step(call, index + 1));
+            filters.get(index).apply(call, () -> applyFrom(call, index + 1));
         } catch (RuntimeException e) {
-            Logger.error(e, "Call {} failed in a filter; it was refused", call.requestId());
+            Logger.error(e, "A filter failed; call {} was refused", call.requestId());
             call.refuse(Problem.notRun(ProblemKind.INTERNAL, "request id " + call.requestId()));
         }
     }
--- a/entry/src/main/java/org/sardinelift/entry/filter/ForwardingListener.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/ForwardingListener.java
@@ -4,7 +4,7 @@
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.entry.call.CallListener;
 
-/** Passes an answer on unchanged; filters override what they need to see. */
+/** Forwards an answer unchanged; filters override the methods that they need to observe. */
 abstract class ForwardingListener implements CallListener {
     private final CallListener next;
 
--- a/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyCodec.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyCodec.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.sardinelift.core.outcome.IdempotencyRecord;
 
-/** Idempotency records as JSON. */
+/** Writes and reads idempotency records as JSON. */
 final class IdempotencyCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
--- a/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/IdempotencyFilter.java
@@ -19,15 +19,15 @@
 import org.tinylog.Logger;
 
 /**
- * Runs a non-repeatable call with an Idempotency-Key at most once over the whole fleet: its intent
- * is written to the platform before it is dispatched, and its outcome after.
+ * Runs a non-idempotent call with an Idempotency-Key at most once in the whole fleet: an intent is
+ * written to the platform before the call is dispatched, and its outcome afterwards.
  */
 public final class IdempotencyFilter implements CallFilter {
     private static final String HEADER = "idempotency-key";
-    private static final String KIND = "idempotency";
+    private static final String RECORD_KIND = "idempotency";
     private static final int MAX_KEY_CHARS = 256;
-    private static final Duration WAIT = Duration.ofSeconds(1);
-    private static final Duration PLATFORM_WAIT = Duration.ofSeconds(5);
+    private static final Duration CONFLICT_RETRY_AFTER = Duration.ofSeconds(1);
+    private static final Duration PLATFORM_RETRY_AFTER = Duration.ofSeconds(5);
 
     private final IntentStore intents;
     private final IdempotencyBounds bounds;
@@ -38,11 +38,11 @@
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
      * @param store the platform
      * @param timers runs retries
-     * @param bounds bounds
+     * @param bounds size limit and retries
      * @return the filter
      */
     public static IdempotencyFilter of(
@@ -64,37 +64,40 @@
                             "Idempotency-Key must have 1 to " + MAX_KEY_CHARS + " characters"));
             return;
         }
-        ObjectKey name = name(call, key);
-        long until =
+        ObjectKey recordKey = recordKey(call, key);
+        long giveUpAtMs =
                 System.currentTimeMillis()
                         + call.spec().deadline().toMillis()
                         + bounds.grace().toMillis();
         IdempotencyRecord intent =
                 IdempotencyRecord.intent(
-                        UUID.randomUUID().toString(), call.spec().fingerprint(), until);
-        intents.claim(name, intent)
+                        UUID.randomUUID().toString(), call.spec().fingerprint(), giveUpAtMs);
+        intents.claim(recordKey, intent)
                 .whenComplete(
-                        (claim, error) -> {
-                            if (error != null) {
-                                Logger.error(error, "The intent of a call can't be written");
+                        (claim, failure) -> {
+                            if (failure != null) {
+                                Logger.error(
+                                        failure,
+                                        "A call is refused: its intent could not be written");
                                 refuse(call);
                             } else {
-                                decide(call, name, intent, claim, next);
+                                decide(call, recordKey, intent, claim, next);
                             }
                         });
     }
 
     private void decide(
             CallContext call,
-            ObjectKey name,
+            ObjectKey recordKey,
             IdempotencyRecord intent,
             IntentStore.Claim claim,
             Runnable next) {
         if (claim instanceof IntentStore.Claimed) {
-            call.wrapListener(listener -> new Recorder(name, intent.intentId(), listener));
+            call.wrapListener(
+                    listener -> new OutcomeRecorder(recordKey, intent.intentId(), listener));
             next.run();
-        } else if (claim instanceof IntentStore.Existing other) {
-            answer(call, name, other);
+        } else if (claim instanceof IntentStore.Existing existing) {
+            answer(call, recordKey, existing);
         } else {
             refuse(call);
         }
@@ -105,11 +108,11 @@
                 Problem.notRun(
                         ProblemKind.PLATFORM_UNAVAILABLE,
                         "the call's intent could not be written, so it was not run",
-                        PLATFORM_WAIT));
+                        PLATFORM_RETRY_AFTER));
     }
 
-    private void answer(CallContext call, ObjectKey name, IntentStore.Existing other) {
-        IdempotencyRecord record = other.record();
+    private void answer(CallContext call, ObjectKey recordKey, IntentStore.Existing existing) {
+        IdempotencyRecord record = existing.record();
         switch (record.resolve(call.spec().fingerprint(), System.currentTimeMillis())) {
             case KEY_REUSED ->
                     call.refuse(
@@ -122,17 +125,17 @@
                                     ProblemKind.CONFLICT,
                                     RunOutcome.UNKNOWN,
                                     "the first call with this Idempotency-Key is still running",
-                                    Optional.of(WAIT)));
+                                    Optional.of(CONFLICT_RETRY_AFTER)));
             case REPLAY -> replay(call.listener(), record);
             case GIVE_UP -> {
-                intents.giveUp(name, other);
-                call.refuse(unknown());
+                intents.giveUp(recordKey, existing);
+                call.refuse(outcomeUnknown());
             }
-            default -> call.refuse(unknown());
+            default -> call.refuse(outcomeUnknown());
         }
     }
 
-    private static Problem unknown() {
+    private static Problem outcomeUnknown() {
         return Problem.failed(
                 ProblemKind.OUTCOME_UNKNOWN,
                 RunOutcome.UNKNOWN,
@@ -150,28 +153,31 @@
         listener.onEnd();
     }
 
-    private static ObjectKey name(CallContext call, String key) {
+    private static ObjectKey recordKey(CallContext call, String key) {
         String hash =
                 Fingerprint.of(
                         call.team().name(),
                         "idempotency-key",
                         key.getBytes(StandardCharsets.UTF_8));
-        return new ObjectKey(KIND, call.team().name() + "/" + hash);
+        return new ObjectKey(RECORD_KIND, call.team().name() + "/" + hash);
     }
 
-    /** Records the outcome; a call that was not run loses its intent before its caller hears so. */
-    private final class Recorder implements CallListener {
-        private final ObjectKey name;
-        private final String mark;
+    /**
+     * Records the outcome. The intent of a call that was not run is deleted before its caller is
+     * notified, so that a resent call can run.
+     */
+    private final class OutcomeRecorder implements CallListener {
+        private final ObjectKey recordKey;
+        private final String intentId;
         private final CallListener next;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
         private String contentType = "";
-        private boolean whole = true;
+        private boolean isBodyKept = true;
 
-        Recorder(ObjectKey name, String mark, CallListener next) {
-            this.name = name;
-            this.mark = mark;
+        OutcomeRecorder(ObjectKey recordKey, String intentId, CallListener next) {
+            this.recordKey = recordKey;
+            this.intentId = intentId;
             this.next = next;
         }
 
@@ -189,10 +195,10 @@
 
         @Override
         public void onData(byte[] part) {
-            if (whole && body.size() + part.length <= bounds.maxRecordedBytes()) {
+            if (isBodyKept && body.size() + part.length <= bounds.maxRecordedBytes()) {
                 body.writeBytes(part);
             } else {
-                whole = false;
+                isBodyKept = false;
                 body.reset();
             }
             next.onData(part);
@@ -201,16 +207,20 @@
         @Override
         public void onEnd() {
             byte[] kept = body.toByteArray();
-            intents.update(name, mark, record -> record.finished(status, contentType, kept, whole));
+            intents.update(
+                    recordKey,
+                    intentId,
+                    record -> record.finished(status, contentType, kept, isBodyKept));
             next.onEnd();
         }
 
         @Override
         public void onProblem(Problem problem) {
             if (problem.outcome() == RunOutcome.NOT_RUN) {
-                intents.withdraw(name, mark).whenComplete((done, error) -> next.onProblem(problem));
+                intents.withdraw(recordKey, intentId)
+                        .whenComplete((isDeleted, failure) -> next.onProblem(problem));
             } else {
-                intents.update(name, mark, IdempotencyRecord::unclear);
+                intents.update(recordKey, intentId, IdempotencyRecord::unclear);
                 next.onProblem(problem);
             }
         }
--- a/entry/src/main/java/org/sardinelift/entry/filter/IntentStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/IntentStore.java
@@ -16,7 +16,10 @@
 import org.sardinelift.objects.WriteResult;
 import org.tinylog.Logger;
 
-/** Idempotency records in the platform; a lost answer is settled by reading the record again. */
+/**
+ * Stores idempotency records in the platform. A write whose answer was lost is resolved by reading
+ * the record again.
+ */
 final class IntentStore {
     private final ObjectStore store;
     private final ScheduledExecutorService timers;
@@ -25,18 +28,18 @@
     /** Outcome of writing an intent. */
     sealed interface Claim {}
 
-    /** The intent is written and is this request's own: it may run. */
+    /** This request's intent is written: the request may run. */
     record Claimed() implements Claim {}
 
     /**
-     * An earlier request wrote its intent.
+     * An earlier request has written its intent.
      *
-     * @param record what is kept of it
-     * @param version version of the object
+     * @param record record of the earlier request
+     * @param version version of the stored object
      */
     record Existing(IdempotencyRecord record, long version) implements Claim {}
 
-    /** Nothing is certain but that this request must not run. */
+    /** The intent is not known to be written; this request must not run. */
     record Unavailable() implements Claim {}
 
     IntentStore(ObjectStore store, ScheduledExecutorService timers, IdempotencyBounds bounds) {
@@ -45,13 +48,14 @@
         this.bounds = bounds;
     }
 
-    /** Writes an intent where there is none. */
+    /** Writes the intent of a request, unless the key has a record. */
     CompletableFuture<Claim> claim(ObjectKey key, IdempotencyRecord intent) {
         return claim(key, intent, bounds.storeAttempts());
     }
 
-    private CompletableFuture<Claim> claim(ObjectKey key, IdempotencyRecord intent, int left) {
-        if (left == 0) {
+    private CompletableFuture<Claim> claim(
+            ObjectKey key, IdempotencyRecord intent, int attemptsLeft) {
+        if (attemptsLeft == 0) {
             withdraw(key, intent.intentId());
             return CompletableFuture.completedFuture(new Unavailable());
         }
@@ -62,74 +66,82 @@
                                 return CompletableFuture.completedFuture(new Claimed());
                             }
                             if (result instanceof WriteResult.NotWritten
-                                    && left == bounds.storeAttempts()) {
+                                    && attemptsLeft == bounds.storeAttempts()) {
                                 return CompletableFuture.completedFuture(new Unavailable());
                             }
-                            return settle(key, intent, left);
+                            return resolveWrite(key, intent, attemptsLeft);
                         });
     }
 
-    private CompletableFuture<Claim> settle(ObjectKey key, IdempotencyRecord intent, int left) {
+    private CompletableFuture<Claim> resolveWrite(
+            ObjectKey key, IdempotencyRecord intent, int attemptsLeft) {
         return store.read(key)
                 .thenCompose(
                         result -> {
-                            Optional<IdempotencyRecord> held = record(result);
-                            if (held.isPresent()
-                                    && held.get().intentId().equals(intent.intentId())) {
+                            Optional<IdempotencyRecord> stored = record(result);
+                            if (stored.isPresent()
+                                    && stored.get().intentId().equals(intent.intentId())) {
                                 return CompletableFuture.completedFuture(new Claimed());
                             }
-                            if (held.isPresent()) {
+                            if (stored.isPresent()) {
                                 return CompletableFuture.completedFuture(
-                                        new Existing(held.get(), version(result)));
+                                        new Existing(stored.get(), version(result)));
                             }
-                            return after(() -> claim(key, intent, left - 1));
+                            return retryAfterPause(() -> claim(key, intent, attemptsLeft - 1));
                         });
     }
 
-    /** Replaces this request's own record, also where another concluded that it was given up. */
+    /** Updates this request's record, even if another request has marked it as given up. */
     CompletableFuture<Boolean> update(
-            ObjectKey key, String mark, UnaryOperator<IdempotencyRecord> change) {
-        return update(key, mark, change, bounds.storeAttempts());
+            ObjectKey key, String intentId, UnaryOperator<IdempotencyRecord> change) {
+        return update(key, intentId, change, bounds.storeAttempts());
     }
 
     private CompletableFuture<Boolean> update(
-            ObjectKey key, String mark, UnaryOperator<IdempotencyRecord> change, int left) {
-        if (left == 0) {
+            ObjectKey key,
+            String intentId,
+            UnaryOperator<IdempotencyRecord> change,
+            int attemptsLeft) {
+        if (attemptsLeft == 0) {
             Logger.warn(
-                    "The outcome of {} could not be recorded; a resent call gets \"unknown\"",
+                    "Outcome of idempotency record {} could not be stored; a resent call gets"
+                            + " \"unknown\"",
                     key.name());
             return CompletableFuture.completedFuture(false);
         }
         return store.read(key)
                 .thenCompose(
                         result -> {
-                            Optional<IdempotencyRecord> held = record(result);
-                            if (held.isEmpty() || !held.get().intentId().equals(mark)) {
-                                return after(() -> update(key, mark, change, left - 1));
+                            Optional<IdempotencyRecord> stored = record(result);
+                            if (stored.isEmpty() || !stored.get().intentId().equals(intentId)) {
+                                return retryAfterPause(
+                                        () -> update(key, intentId, change, attemptsLeft - 1));
                             }
-                            String value = IdempotencyCodec.write(change.apply(held.get()));
+                            String value = IdempotencyCodec.write(change.apply(stored.get()));
                             return store.write(key, version(result), value)
                                     .thenCompose(
                                             written ->
                                                     written instanceof WriteResult.Written
                                                             ? CompletableFuture.completedFuture(
                                                                     true)
-                                                            : after(
+                                                            : retryAfterPause(
                                                                     () ->
                                                                             update(
-                                                                                    key, mark,
+                                                                                    key,
+                                                                                    intentId,
                                                                                     change,
-                                                                                    left - 1)));
+                                                                                    attemptsLeft
+                                                                                            - 1)));
                         });
     }
 
-    /** Deletes this request's own intent, since it certainly was not run. */
-    CompletableFuture<Boolean> withdraw(ObjectKey key, String mark) {
-        return withdraw(key, mark, bounds.storeAttempts());
+    /** Deletes the intent of this request, which was certainly not run. */
+    CompletableFuture<Boolean> withdraw(ObjectKey key, String intentId) {
+        return withdraw(key, intentId, bounds.storeAttempts());
     }
 
-    private CompletableFuture<Boolean> withdraw(ObjectKey key, String mark, int left) {
-        if (left == 0) {
+    private CompletableFuture<Boolean> withdraw(ObjectKey key, String intentId, int attemptsLeft) {
+        if (attemptsLeft == 0) {
             return CompletableFuture.completedFuture(false);
         }
         return store.read(key)
@@ -138,12 +150,13 @@
                             if (result instanceof ReadResult.Absent) {
                                 return CompletableFuture.completedFuture(true);
                             }
-                            Optional<IdempotencyRecord> held = record(result);
-                            if (held.isPresent() && !held.get().intentId().equals(mark)) {
+                            Optional<IdempotencyRecord> stored = record(result);
+                            if (stored.isPresent() && !stored.get().intentId().equals(intentId)) {
                                 return CompletableFuture.completedFuture(true);
                             }
-                            if (held.isEmpty()) {
-                                return after(() -> withdraw(key, mark, left - 1));
+                            if (stored.isEmpty()) {
+                                return retryAfterPause(
+                                        () -> withdraw(key, intentId, attemptsLeft - 1));
                             }
                             return store.delete(key, version(result))
                                     .thenCompose(
@@ -151,36 +164,38 @@
                                                     deleted instanceof WriteResult.Written
                                                             ? CompletableFuture.completedFuture(
                                                                     true)
-                                                            : after(
+                                                            : retryAfterPause(
                                                                     () ->
                                                                             withdraw(
-                                                                                    key, mark,
-                                                                                    left - 1)));
+                                                                                    key,
+                                                                                    intentId,
+                                                                                    attemptsLeft
+                                                                                            - 1)));
                         });
     }
 
-    /** Notes that an earlier request was given up. */
-    void giveUp(ObjectKey key, Existing other) {
-        store.write(key, other.version(), IdempotencyCodec.write(other.record().unclear()));
+    /** Marks the record of an earlier request as given up. */
+    void giveUp(ObjectKey key, Existing existing) {
+        store.write(key, existing.version(), IdempotencyCodec.write(existing.record().unclear()));
     }
 
-    private <T> CompletableFuture<T> after(Supplier<CompletableFuture<T>> step) {
-        CompletableFuture<T> later = new CompletableFuture<>();
+    private <T> CompletableFuture<T> retryAfterPause(Supplier<CompletableFuture<T>> operation) {
+        CompletableFuture<T> completion = new CompletableFuture<>();
         timers.schedule(
                 () -> {
-                    CompletionStage<T> next = step.get();
-                    next.whenComplete(
+                    CompletionStage<T> result = operation.get();
+                    result.whenComplete(
                             (value, error) -> {
                                 if (error == null) {
-                                    later.complete(value);
+                                    completion.complete(value);
                                 } else {
-                                    later.completeExceptionally(error);
+                                    completion.completeExceptionally(error);
                                 }
                             });
                 },
                 bounds.storePause().toNanos(),
                 TimeUnit.NANOSECONDS);
-        return later;
+        return completion;
     }
 
     private static Optional<IdempotencyRecord> record(ReadResult result) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/KeyFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/KeyFilter.java
@@ -11,9 +11,9 @@
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.ProblemKind;
 
-/** Finds the team of the caller's key. Open services need no key. */
+/** Authenticates the caller and finds the team of its key. Open services need no key. */
 public final class KeyFilter implements CallFilter {
-    private static final String SCHEME = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
 
     private final Supplier<Catalog> catalog;
     private final KeyDigest digest;
@@ -26,11 +26,11 @@
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
-     * @param catalog configuration in force
+     * @param catalog supplies the current configuration
      * @param digest keyed hash of callers' keys
-     * @param openTeam plan under which callers without a key use open services
+     * @param openTeam team plan for calls of open services without a valid key
      * @return the filter
      */
     public static KeyFilter of(Supplier<Catalog> catalog, KeyDigest digest, TeamPlan openTeam) {
@@ -39,16 +39,16 @@
 
     @Override
     public void apply(CallContext call, Runnable next) {
-        Catalog now = catalog.get();
-        String key = bearer(call.exchange().header("authorization"));
+        Catalog current = catalog.get();
+        String key = bearerKey(call.exchange().header("authorization"));
         Optional<Problem> refusal =
                 key == null
                         ? Optional.of(
                                 Problem.notRun(
                                         ProblemKind.UNAUTHENTICATED,
-                                        "the Authorization header holds no bearer key"))
-                        : check(call, now, key);
-        if (refusal.isPresent() && isOpen(now, call)) {
+                                        "the Authorization header has no bearer key"))
+                        : authenticate(call, current, key);
+        if (refusal.isPresent() && isOpen(current, call)) {
             call.setCaller(key, null, openTeam);
             next.run();
         } else if (refusal.isPresent()) {
@@ -58,18 +58,17 @@
         }
     }
 
-    private Optional<Problem> check(CallContext call, Catalog now, String key) {
-        KeyEntry entry = KeyDigest.idOf(key).map(now.keys()::get).orElse(null);
+    private Optional<Problem> authenticate(CallContext call, Catalog current, String key) {
+        KeyEntry entry = KeyDigest.idOf(key).map(current.keys()::get).orElse(null);
         if (entry == null || !digest.matches(key, entry.digest())) {
-            return Optional.of(
-                    Problem.notRun(ProblemKind.UNAUTHENTICATED, "the key is not known here"));
+            return Optional.of(Problem.notRun(ProblemKind.UNAUTHENTICATED, "the key is unknown"));
         }
         if (entry.isWithdrawn()) {
             return Optional.of(
                     Problem.notRun(
                             ProblemKind.KEY_WITHDRAWN, "key " + entry.id() + " was withdrawn"));
         }
-        TeamPlan team = now.teams().get(entry.team());
+        TeamPlan team = current.teams().get(entry.team());
         if (team == null) {
             return Optional.of(
                     Problem.notRun(
@@ -79,18 +78,19 @@
         return Optional.empty();
     }
 
-    private static boolean isOpen(Catalog now, CallContext call) {
+    private static boolean isOpen(Catalog current, CallContext call) {
         return ServicePath.parse(call.exchange().uri())
-                .map(path -> now.services().get(path.service()))
+                .map(path -> current.services().get(path.service()))
                 .filter(ServiceSpec::isOpen)
                 .isPresent();
     }
 
-    private static @Nullable String bearer(@Nullable String header) {
-        if (header == null || !header.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
+    private static @Nullable String bearerKey(@Nullable String header) {
+        if (header == null
+                || !header.regionMatches(true, 0, BEARER_PREFIX, 0, BEARER_PREFIX.length())) {
             return null;
         }
-        String key = header.substring(SCHEME.length()).trim();
+        String key = header.substring(BEARER_PREFIX.length()).trim();
         return key.isEmpty() ? null : key;
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/filter/KeyGuard.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/KeyGuard.java
@@ -13,9 +13,9 @@
 import org.sardinelift.core.outcome.ProblemKind;
 import org.sardinelift.entry.call.CallSpec;
 
-/** Keeps callers' keys away from targets. */
+/** Prevents callers' keys from being passed to targets. */
 final class KeyGuard {
-    private static final Set<String> PASSED_HEADERS =
+    private static final Set<String> ALLOWED_HEADERS =
             Set.of(
                     "accept",
                     "accept-language",
@@ -43,65 +43,65 @@
 
     private KeyGuard() {}
 
-    /** Headers that a target may see: an allow-list, since any other may carry a key. */
+    /** Returns the headers that a target may see: an allow-list, as any other may contain a key. */
     static Map<String, String> allowedHeaders(Iterable<Map.Entry<String, String>> received) {
-        Map<String, String> passed = new LinkedHashMap<>();
+        Map<String, String> allowed = new LinkedHashMap<>();
         received.forEach(
                 header -> {
                     String name = header.getKey().toLowerCase(Locale.ROOT);
-                    if (PASSED_HEADERS.contains(name)) {
-                        passed.putIfAbsent(name, header.getValue());
+                    if (ALLOWED_HEADERS.contains(name)) {
+                        allowed.putIfAbsent(name, header.getValue());
                     }
                 });
-        return passed;
+        return allowed;
     }
 
-    /** Drops query parameters that could carry a key. */
+    /** Removes query parameters that could contain a key. */
     static String removeKeyParameters(String pathAndQuery) {
-        int mark = pathAndQuery.indexOf('?');
-        if (mark < 0) {
+        int queryStart = pathAndQuery.indexOf('?');
+        if (queryStart < 0) {
             return pathAndQuery;
         }
-        String kept =
-                Arrays.stream(pathAndQuery.substring(mark + 1).split("&"))
-                        .filter(parameter -> !carriesKey(parameter))
+        String keptParameters =
+                Arrays.stream(pathAndQuery.substring(queryStart + 1).split("&"))
+                        .filter(parameter -> !mayContainKey(parameter))
                         .collect(Collectors.joining("&"));
-        String path = pathAndQuery.substring(0, mark);
-        return kept.isEmpty() ? path : path + "?" + kept;
+        String path = pathAndQuery.substring(0, queryStart);
+        return keptParameters.isEmpty() ? path : path + "?" + keptParameters;
     }
 
-    /** Refuses a call whose path, headers or body hold the caller's key all the same. */
+    /** Returns a problem if the path, allowed headers or body still contain the caller's key. */
     static Optional<Problem> findLeak(CallContext call) {
         if (call.key().isEmpty()) {
             return Optional.empty();
         }
         String key = call.key().get();
         CallSpec spec = call.spec();
-        boolean held =
+        boolean hasLeak =
                 decoded(spec.path()).contains(key)
                         || spec.headers().values().stream().anyMatch(value -> value.contains(key));
-        return held ? refusal() : findBodyLeak(call);
+        return hasLeak ? keyLeaked() : findBodyLeak(call);
     }
 
-    /** Refuses a request whose body holds the caller's key. */
+    /** Returns a problem if the body contains the caller's key. */
     static Optional<Problem> findBodyLeak(CallContext call) {
-        boolean held =
+        boolean hasLeak =
                 call.key()
                         .map(key -> key.getBytes(StandardCharsets.UTF_8))
                         .filter(key -> contains(call.exchange().body(), key))
                         .isPresent();
-        return held ? refusal() : Optional.empty();
+        return hasLeak ? keyLeaked() : Optional.empty();
     }
 
-    private static Optional<Problem> refusal() {
+    private static Optional<Problem> keyLeaked() {
         return Optional.of(
                 Problem.notRun(
                         ProblemKind.MALFORMED_REQUEST,
-                        "the path, a header or the body holds the caller's key; send it"
+                        "the path, a header or the body contains the caller's key; send it"
                                 + " in the Authorization header only"));
     }
 
-    private static boolean carriesKey(String parameter) {
+    private static boolean mayContainKey(String parameter) {
         String text = decoded(parameter);
         int end = text.indexOf('=');
         String name = (end < 0 ? text : text.substring(0, end)).toLowerCase(Locale.ROOT);
--- a/entry/src/main/java/org/sardinelift/entry/filter/KeyLeakFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/KeyLeakFilter.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 import org.sardinelift.core.outcome.Problem;
 
-/** Refuses a job whose lines hold the caller's key, since a target would see it. */
+/** Refuses a job whose lines contain the caller's key, since a target would see it. */
 public final class KeyLeakFilter implements CallFilter {
     private KeyLeakFilter() {}
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
      * @return the filter
      */
--- a/entry/src/main/java/org/sardinelift/entry/filter/LimitFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/LimitFilter.java
@@ -11,39 +11,39 @@
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.ProblemKind;
 
-/** Counts the call against the rate and burst of its team. */
+/** Counts the call against its team's rate and burst, and refuses it above them. */
 public final class LimitFilter implements CallFilter {
     private final TeamLimiter limiter;
     private final DoubleSupplier share;
     private final DecisionRecorder decisions;
-    private final TeamRequestCounter tally;
+    private final TeamRequestCounter counter;
 
     private LimitFilter(
             TeamLimiter limiter,
             DoubleSupplier share,
             DecisionRecorder decisions,
-            TeamRequestCounter tally) {
+            TeamRequestCounter counter) {
         this.limiter = limiter;
         this.share = share;
         this.decisions = decisions;
-        this.tally = tally;
+        this.counter = counter;
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
-     * @param limiter counts over all instances together
-     * @param share part of all rates and bursts that this entry may spend by itself, 0 to 1
-     * @param decisions notes the requests that are let in
-     * @param tally counts them by team
+     * @param limiter enforces the limits over all instances
+     * @param share share of all rates and bursts that this entry may use on its own, 0 to 1
+     * @param decisions records the admitted requests
+     * @param counter counts them by team
      * @return the filter
      */
     public static LimitFilter of(
             TeamLimiter limiter,
             DoubleSupplier share,
             DecisionRecorder decisions,
-            TeamRequestCounter tally) {
-        return new LimitFilter(limiter, share, decisions, tally);
+            TeamRequestCounter counter) {
+        return new LimitFilter(limiter, share, decisions, counter);
     }
 
     @Override
@@ -56,18 +56,18 @@
                         call.figures(figures);
                         call.refuse(refusal(call.team(), refused));
                     } else {
-                        admitted(call, figures);
+                        recordAdmission(call, figures);
                         next.run();
                     }
                 });
     }
 
     /**
-     * What a caller over its team's rate is told.
+     * Returns the problem for a caller over its team's rate.
      *
      * @param team the team
-     * @param refused the limiter's answer
-     * @return the problem, which says when to come back
+     * @param refused decision of the limiter
+     * @return the problem, with the time after which to retry
      */
     public static Problem refusal(TeamPlan team, Admission.Refused refused) {
         return Problem.notRun(
@@ -76,10 +76,10 @@
                 refused.retryAfter());
     }
 
-    private void admitted(CallContext call, Map<String, String> figures) {
+    private void recordAdmission(CallContext call, Map<String, String> figures) {
         decisions.record(
                 DecisionAction.ADMITTED, call.requestId(), "within the team's rate", figures);
-        tally.onAdmitted(call.team().name(), System.nanoTime());
+        counter.onAdmitted(call.team().name(), System.nanoTime());
     }
 
     private Map<String, String> figures(TeamPlan team) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/ModelRequest.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/ModelRequest.java
@@ -10,10 +10,10 @@
 import org.sardinelift.core.poison.Fingerprint;
 
 /**
- * What the entry needs to know of a request to a model.
+ * The parts of a request to a model that the entry uses.
  *
  * @param model model or adapter
- * @param prefixKey equal for prompts that start alike
+ * @param prefixKey key equal for prompts with a common prefix
  */
 record ModelRequest(String model, String prefixKey) {
     private static final JsonMapper MAPPER =
@@ -23,9 +23,9 @@
     sealed interface Result {}
 
     /**
-     * A sound request.
+     * A valid request.
      *
-     * @param request what was read
+     * @param request the parsed request
      */
     record Parsed(ModelRequest request) implements Result {}
 
@@ -49,10 +49,10 @@
         } catch (JsonProcessingException e) {
             return new Malformed("the body is not JSON: " + e.getOriginalMessage());
         }
-        return check(root, chat, prefixChars);
+        return validate(root, chat, prefixChars);
     }
 
-    private static Result check(JsonNode root, boolean chat, int prefixChars) {
+    private static Result validate(JsonNode root, boolean chat, int prefixChars) {
         if (!root.isObject()) {
             return new Malformed("the body is not a JSON object");
         }
@@ -76,8 +76,8 @@
         if (!absent && (!tokens.isIntegralNumber() || tokens.asLong() < 1)) {
             return new Malformed("/max_tokens must be a whole number from 1");
         }
-        String start = prompt.toString();
-        String prefix = start.substring(0, Math.min(prefixChars, start.length()));
+        String promptText = prompt.toString();
+        String prefix = promptText.substring(0, Math.min(prefixChars, promptText.length()));
         return new Parsed(
                 new ModelRequest(
                         model.asText(),
--- a/entry/src/main/java/org/sardinelift/entry/filter/PoisonFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/PoisonFilter.java
@@ -14,9 +14,9 @@
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
-     * @param guard knows the requests that crash targets
+     * @param guard detects requests that crash targets
      * @return the filter
      */
     public static PoisonFilter of(CrashGuard guard) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/ProblemWriter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/ProblemWriter.java
@@ -30,9 +30,10 @@
         headers.put("x-request-id", requestId);
         problem.retryAfter()
                 .ifPresent(
-                        after ->
+                        retryAfter ->
                                 headers.put(
-                                        "retry-after", Long.toString(retryAfterSeconds(after))));
+                                        "retry-after",
+                                        Long.toString(retryAfterSeconds(retryAfter))));
         if (problem.kind().status() == 401) {
             headers.put("www-authenticate", "Bearer");
         }
@@ -43,7 +44,7 @@
     }
 
     /**
-     * A problem as JSON.
+     * Writes a problem as JSON.
      *
      * @param requestId identifier of the request
      * @param problem what was wrong
@@ -59,14 +60,16 @@
         node.put("detail", problem.detail());
         node.put("remedy", problem.kind().remedy());
         node.put("requestId", requestId);
-        problem.retryAfter().ifPresent(after -> node.put("retryAfterMs", after.toMillis()));
+        problem.retryAfter()
+                .ifPresent(retryAfter -> node.put("retryAfterMs", retryAfter.toMillis()));
         return node.toString();
     }
 
     /**
-     * A pause as the header Retry-After gives it, rounded up so that it is never too short.
+     * Returns the value of the header Retry-After, rounded up so that callers never retry too
+     * early.
      *
-     * @param time the pause
+     * @param time the exact time until a retry
      * @return whole seconds, at least 1
      */
     public static long retryAfterSeconds(Duration time) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/RefusalRecordingFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/RefusalRecordingFilter.java
@@ -11,22 +11,23 @@
 /** Records and counts the requests that are refused before they are dispatched. */
 public final class RefusalRecordingFilter implements CallFilter {
     private final DecisionRecorder decisions;
-    private final TeamRequestCounter tally;
+    private final TeamRequestCounter counter;
 
-    private RefusalRecordingFilter(DecisionRecorder decisions, TeamRequestCounter tally) {
+    private RefusalRecordingFilter(DecisionRecorder decisions, TeamRequestCounter counter) {
         this.decisions = decisions;
-        this.tally = tally;
+        this.counter = counter;
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
-     * @param decisions notes the refusals
-     * @param tally counts them by team
+     * @param decisions records the refusals
+     * @param counter counts them by team
      * @return the filter
      */
-    public static RefusalRecordingFilter of(DecisionRecorder decisions, TeamRequestCounter tally) {
-        return new RefusalRecordingFilter(decisions, tally);
+    public static RefusalRecordingFilter of(
+            DecisionRecorder decisions, TeamRequestCounter counter) {
+        return new RefusalRecordingFilter(decisions, counter);
     }
 
     @Override
@@ -35,19 +36,21 @@
         next.run();
     }
 
-    private void refused(CallContext call, Problem problem) {
+    private void recordRefusal(CallContext call, Problem problem) {
         Map<String, String> figures = new HashMap<>(call.figures());
         figures.put("kind", problem.kind().label());
         call.teamName().ifPresent(team -> figures.put("team", team));
         call.keyId().ifPresent(id -> figures.put("keyId", id));
         problem.retryAfter()
-                .ifPresent(after -> figures.put("retryAfterMs", String.valueOf(after.toMillis())));
+                .ifPresent(
+                        retryAfter ->
+                                figures.put("retryAfterMs", String.valueOf(retryAfter.toMillis())));
         decisions.record(
                 DecisionAction.REFUSED, call.requestId(), problem.detail(), Map.copyOf(figures));
-        call.teamName().ifPresent(tally::onRefused);
+        call.teamName().ifPresent(counter::onRefused);
     }
 
-    /** Sees refusals; calls that were dispatched are recorded by the dispatcher. */
+    /** Records refusals; the dispatcher records the end of calls that were dispatched. */
     private final class RefusalListener extends ForwardingListener {
         private final CallContext call;
 
@@ -59,7 +62,7 @@
         @Override
         public void onProblem(Problem problem) {
             if (!call.isDispatched() && !call.isAnswered()) {
-                refused(call, problem);
+                recordRefusal(call, problem);
             }
             super.onProblem(problem);
         }
--- a/entry/src/main/java/org/sardinelift/entry/filter/RunningCalls.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/RunningCalls.java
@@ -12,7 +12,7 @@
 import org.sardinelift.entry.call.CallListener;
 import org.tinylog.Logger;
 
-/** Calls between the key check and their end; a withdrawn key ends those of its callers at once. */
+/** Keeps the calls between key check and end, and ends those whose key is withdrawn. */
 public final class RunningCalls implements CallFilter {
     private final Supplier<Catalog> catalog;
     private final Map<String, CallContext> calls = new ConcurrentHashMap<>();
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
-     * @param catalog configuration in force
+     * @param catalog supplies the current configuration
      * @return the filter, without calls
      */
     public static RunningCalls of(Supplier<Catalog> catalog) {
@@ -34,51 +34,52 @@
     @Override
     public void apply(CallContext call, Runnable next) {
         calls.put(call.requestId(), call);
-        call.wrapListener(listener -> new Leaver(call.requestId(), listener));
+        call.wrapListener(listener -> new RemovingListener(call.requestId(), listener));
         if (!stopIfWithdrawn(call, catalog.get())) {
             next.run();
         }
     }
 
     /**
-     * Calls between the key check and their end.
+     * Returns the number of calls between the key check and their end.
      *
-     * @return their number
+     * @return number of calls
      */
     public int size() {
         return calls.size();
     }
 
     /**
-     * Ends the calls whose key no longer holds.
+     * Ends the calls whose key is no longer valid.
      *
-     * @param now the configuration from now on
+     * @param current the new configuration
      */
-    public void onCatalogChanged(Catalog now) {
-        long stopped = calls.values().stream().filter(call -> stopIfWithdrawn(call, now)).count();
+    public void onCatalogChanged(Catalog current) {
+        long stopped =
+                calls.values().stream().filter(call -> stopIfWithdrawn(call, current)).count();
         if (stopped > 0) {
             Logger.info("{} calls were ended since their key was withdrawn", stopped);
         }
     }
 
-    private static boolean stopIfWithdrawn(CallContext call, Catalog now) {
+    private static boolean stopIfWithdrawn(CallContext call, Catalog current) {
         Optional<String> keyId = call.keyId();
-        if (keyId.isEmpty() || holds(now.keys().get(keyId.get()), call)) {
+        if (keyId.isEmpty() || isValid(current.keys().get(keyId.get()), call)) {
             return false;
         }
         call.stop(ProblemKind.KEY_WITHDRAWN, "key " + keyId.get() + " was withdrawn");
         return true;
     }
 
-    private static boolean holds(@Nullable KeyEntry key, CallContext call) {
+    private static boolean isValid(@Nullable KeyEntry key, CallContext call) {
         return key != null && !key.isWithdrawn() && key.team().equals(call.team().name());
     }
 
-    /** Takes the call out when it ends. */
-    private final class Leaver extends ForwardingListener {
+    /** Removes the call when it ends. */
+    private final class RemovingListener extends ForwardingListener {
         private final String requestId;
 
-        Leaver(String requestId, CallListener next) {
+        RemovingListener(String requestId, CallListener next) {
             super(next);
             this.requestId = requestId;
         }
--- a/entry/src/main/java/org/sardinelift/entry/filter/ServiceFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/ServiceFilter.java
@@ -14,7 +14,7 @@
 import org.sardinelift.entry.call.CallSpec;
 import org.sardinelift.http.HttpExchange;
 
-/** Checks the request, finds the service of its model or path, and builds the call. */
+/** Validates the request, finds the service of its model or path, and builds the call. */
 public final class ServiceFilter implements CallFilter {
     private static final String TIMEOUT_HEADER = "x-timeout-ms";
     private static final Set<String> MODEL_PATHS =
@@ -37,12 +37,12 @@
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
-     * @param catalog configuration in force
-     * @param deadline time for a call whose caller names none
-     * @param longestDeadline longest time that a caller may name
-     * @param prefixChars characters of a prompt by which calls are taken to share a prefix
+     * @param catalog supplies the current configuration
+     * @param deadline default time for a call
+     * @param longestDeadline maximum time that a caller may set
+     * @param prefixChars length of the prompt's prefix that is hashed into the prefix key
      * @return the filter
      */
     public static ServiceFilter of(
@@ -56,12 +56,14 @@
     @Override
     public void apply(CallContext call, Runnable next) {
         Optional<Problem> refusal =
-                MODEL_PATHS.contains(call.exchange().path()) ? model(call) : service(call);
+                MODEL_PATHS.contains(call.exchange().path())
+                        ? buildModelCall(call)
+                        : buildServiceCall(call);
         refusal = refusal.or(() -> KeyGuard.findLeak(call));
         refusal.ifPresentOrElse(call::refuse, next);
     }
 
-    private Optional<Problem> model(CallContext call) {
+    private Optional<Problem> buildModelCall(CallContext call) {
         HttpExchange exchange = call.exchange();
         if (!exchange.method().equals("POST")) {
             return refuse(ProblemKind.METHOD_NOT_ALLOWED, "use POST on " + exchange.path());
@@ -84,7 +86,7 @@
         return build(call, service.get(), request.model(), exchange.path(), request.prefixKey());
     }
 
-    private Optional<Problem> service(CallContext call) {
+    private Optional<Problem> buildServiceCall(CallContext call) {
         HttpExchange exchange = call.exchange();
         Optional<ServicePath> path = ServicePath.parse(exchange.uri());
         if (path.isEmpty()) {
--- a/entry/src/main/java/org/sardinelift/entry/filter/ServicePath.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/ServicePath.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * A request target below {@code /services/NAME}.
+ * A request path of the form {@code /services/NAME/...}.
  *
  * @param service service name
- * @param targetPath path at the service, starting with a slash, query included
+ * @param targetPath path and query at the target, starting with a slash
  */
 record ServicePath(String service, String targetPath) {
     private static final String PREFIX = "/services/";
@@ -20,9 +20,11 @@
             end++;
         }
         String name = uri.substring(PREFIX.length(), end);
-        String rest = uri.substring(end);
+        String targetPath = uri.substring(end);
         return name.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new ServicePath(name, rest.startsWith("/") ? rest : "/" + rest));
+                : Optional.of(
+                        new ServicePath(
+                                name, targetPath.startsWith("/") ? targetPath : "/" + targetPath));
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/filter/TraceFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/TraceFilter.java
@@ -10,12 +10,12 @@
 import org.sardinelift.runtime.Telemetry;
 
 /**
- * Opens the span of a call at this entry, below the caller's own where it sent one, and below that
- * the span of its time in the filters, waiting for the limit included.
+ * Starts the trace span of a call at this entry, as a child of the caller's span if it sent one,
+ * and a child span for the time in the filters, including the wait for the limit.
  */
 public final class TraceFilter implements CallFilter {
-    private static final String HEADER = "traceparent";
-    private static final Pattern TRACEPARENT =
+    private static final String TRACEPARENT_HEADER = "traceparent";
+    private static final Pattern TRACEPARENT_PATTERN =
             Pattern.compile("[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}");
 
     private final Telemetry telemetry;
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Makes the filter.
+     * Creates the filter.
      *
      * @param telemetry records the spans
      * @return the filter
@@ -36,13 +36,13 @@
 
     @Override
     public void apply(CallContext call, Runnable next) {
-        String parent = call.exchange().header(HEADER);
-        boolean sound = parent != null && TRACEPARENT.matcher(parent).matches();
-        Span span = telemetry.hop("entry.call", SpanKind.SERVER, sound ? parent : "");
+        String parent = call.exchange().header(TRACEPARENT_HEADER);
+        boolean isValid = parent != null && TRACEPARENT_PATTERN.matcher(parent).matches();
+        Span span = telemetry.hop("entry.call", SpanKind.SERVER, isValid ? parent : "");
         span.setAttribute("request.id", call.requestId());
-        String own = Telemetry.traceparent(span);
-        Span queue = telemetry.hop("entry.queue", SpanKind.INTERNAL, own);
-        call.traceparent(own);
+        String callTraceparent = Telemetry.traceparent(span);
+        Span queue = telemetry.hop("entry.queue", SpanKind.INTERNAL, callTraceparent);
+        call.traceparent(callTraceparent);
         call.setDispatchListener(queue::end);
         call.setLocalAnswerListener(
                 status -> {
@@ -50,12 +50,15 @@
                     queue.end();
                     span.end();
                 });
-        call.wrapListener(listener -> new SpanEnder(span, queue, listener));
+        call.wrapListener(listener -> new SpanEndingListener(span, queue, listener));
         next.run();
     }
 
-    /** Ends the spans with the call; the queue's has ended before where it was dispatched. */
-    private record SpanEnder(Span span, Span queue, CallListener next) implements CallListener {
+    /**
+     * Ends the spans with the call; the queue span has ended earlier if the call was dispatched.
+     */
+    private record SpanEndingListener(Span span, Span queue, CallListener next)
+            implements CallListener {
         @Override
         public void onHead(int status, Map<String, String> headers) {
             span.setAttribute("http.status", status);
