--- a/entry/src/test/java/org/sardinelift/entry/CallOutcomeTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/CallOutcomeTest.java
@@ -19,6 +19,11 @@
 import org.sardinelift.protocol.generated.RunOutcome;
 import org.sardinelift.protocol.generated.Start;
 
+/**
+ * Guards against calls that run twice, lose or repeat parts of their answer, or are reported as not
+ * run although they may have run. This happens when connections are lost or targets die, leave or
+ * fail.
+ */
 class CallOutcomeTest {
     private static final String CHAT =
             "{\"model\":\"m1\",\"messages\":[{\"role\":\"user\",\"content\":\"tag 7\"}]}";
@@ -55,13 +60,13 @@
         await().until(() -> companion.starts.size() == 1);
         companion.disconnectAll("first");
 
-        HttpAnswer whole = answer.get(20, TimeUnit.SECONDS);
-        assertEquals("data: a\n\ndata: b\n\n", whole.text());
+        HttpAnswer completeAnswer = answer.get(20, TimeUnit.SECONDS);
+        assertEquals("data: a\n\ndata: b\n\n", completeAnswer.text());
         assertEquals(1, companion.starts.size());
     }
 
     @Test
-    void aCallThatMayHaveRunIsNotRepeatedUnlessThatDoesNoHarm() throws Exception {
+    void aNonIdempotentCallThatMayHaveRunIsNotRetried() throws Exception {
         FakeCompanion plain = fixture.startCompanion("c1", "plain");
         EntryProcess entry = fixture.startEntry("e1");
         plain.onStart((self, start) -> self.disconnectAll("second"));
@@ -77,7 +82,7 @@
     }
 
     @Test
-    void aCallThatNeverStartedIsSentAgainWhateverItsMethod() throws Exception {
+    void aCallThatNeverStartedIsRetriedWhateverItsMethod() throws Exception {
         FakeCompanion plain = fixture.startCompanion("c1", "plain");
         FakeCompanion other = fixture.startCompanion("c2", "plain");
         EntryProcess entry = fixture.startEntry("e1");
@@ -104,7 +109,7 @@
     }
 
     @Test
-    void aRetryThatFindsNoTargetNeverClaimsNotRun() throws Exception {
+    void aRetryThatFindsNoTargetIsNotReportedAsNotRun() throws Exception {
         FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
         EntryProcess entry = fixture.startEntry("e1");
         companion.onStart(
@@ -176,7 +181,7 @@
     }
 
     @Test
-    void aCallerThatGoesAwayFreesItsTarget() throws Exception {
+    void aDisconnectedCallerCancelsItsCall() throws Exception {
         FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
         EntryProcess entry = fixture.startEntry("e1");
         companion.onStart((self, start) -> self.sendHead(start, 200, "text/event-stream"));
@@ -207,10 +212,10 @@
         String poison = CHAT.replace("tag 7", "poison");
 
         for (int copy = 0; copy < 20; copy++) {
-            HttpAnswer bad = fixture.chat(entry, poison);
-            assertEquals(422, bad.status(), bad.text());
-            HttpAnswer good = fixture.chat(entry, CHAT.replace("tag 7", "tag " + copy));
-            assertEquals(200, good.status(), good.text());
+            HttpAnswer crashingAnswer = fixture.chat(entry, poison);
+            assertEquals(422, crashingAnswer.status(), crashingAnswer.text());
+            HttpAnswer innocentAnswer = fixture.chat(entry, CHAT.replace("tag 7", "tag " + copy));
+            assertEquals(200, innocentAnswer.status(), innocentAnswer.text());
         }
 
         assertEquals(2, deaths.get());
--- a/entry/src/test/java/org/sardinelift/entry/CrashingRequestTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/CrashingRequestTest.java
@@ -19,9 +19,13 @@
 import org.sardinelift.protocol.generated.RunOutcome;
 import org.sardinelift.protocol.generated.Start;
 
+/**
+ * Guards against a crashing request that kills more than two targets, or fails innocent requests,
+ * when copies of it arrive at two entries at once, before either has evidence of a death.
+ */
 class CrashingRequestTest {
-    /** A target takes longer to start than calls that are under way take to reach it. */
-    private static final long DEAD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    /** Restart time of a target: longer than calls in flight need to arrive at it. */
+    private static final long RESTART_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final int WARM_UP_CALLS = 50;
 
@@ -53,19 +57,19 @@
                 chat(entry, "warm " + call).get(30, TimeUnit.SECONDS);
             }
         }
-        List<CompletableFuture<HttpAnswer>> bad = new ArrayList<>();
-        List<CompletableFuture<HttpAnswer>> good = new ArrayList<>();
+        List<CompletableFuture<HttpAnswer>> crashingAnswers = new ArrayList<>();
+        List<CompletableFuture<HttpAnswer>> innocentAnswers = new ArrayList<>();
         for (int copy = 0; copy < 10; copy++) {
             for (EntryProcess entry : List.of(first, second)) {
-                bad.add(chat(entry, "poison"));
-                good.add(chat(entry, "tag " + copy + entry.hashCode()));
+                crashingAnswers.add(chat(entry, "poison"));
+                innocentAnswers.add(chat(entry, "tag " + copy + entry.hashCode()));
             }
         }
 
-        for (CompletableFuture<HttpAnswer> answer : good) {
+        for (CompletableFuture<HttpAnswer> answer : innocentAnswers) {
             assertEquals(200, answer.get(30, TimeUnit.SECONDS).status(), answer.get().text());
         }
-        for (CompletableFuture<HttpAnswer> answer : bad) {
+        for (CompletableFuture<HttpAnswer> answer : crashingAnswers) {
             String text = answer.get(30, TimeUnit.SECONDS).text();
             assertTrue(
                     text.contains("crashes_targets") || text.contains("\"outcome\":\"not_run\""),
@@ -83,25 +87,25 @@
                         entry, "POST", "/v1/chat/completions", EntryFixture.authorized(), body));
     }
 
-    /** A target that dies of one request with all that is in flight, and is back a little later. */
+    /** A target that a certain request kills with all calls in flight, and that restarts later. */
     private final class Target {
         private final List<Start> inFlight = new ArrayList<>();
-        private long diedNanos = System.nanoTime() - DEAD_NANOS;
+        private long diedNanos = System.nanoTime() - RESTART_NANOS;
 
         synchronized void run(FakeCompanion self, Start start) {
-            if (System.nanoTime() - diedNanos < DEAD_NANOS) {
+            if (System.nanoTime() - diedNanos < RESTART_NANOS) {
                 self.sendFinish(start, 0, RunOutcome.NOT_RUN, FailureKind.TARGET_UNREACHABLE);
                 return;
             }
             inFlight.add(start);
             if (new String(start.getBody(), StandardCharsets.UTF_8).contains("poison")) {
-                String life = "life" + deaths.incrementAndGet();
+                String incarnation = "life" + deaths.incrementAndGet();
                 diedNanos = System.nanoTime();
-                inFlight.forEach(lost -> self.failByTargetDeath(lost, life));
+                inFlight.forEach(lostStart -> self.failByTargetDeath(lostStart, incarnation));
                 inFlight.clear();
                 self.sendReport(false, false);
                 fixture.group.schedule(
-                        () -> self.sendReport(false, true), DEAD_NANOS, TimeUnit.NANOSECONDS);
+                        () -> self.sendReport(false, true), RESTART_NANOS, TimeUnit.NANOSECONDS);
             } else {
                 fixture.group.schedule(() -> end(self, start), 20, TimeUnit.MILLISECONDS);
             }
--- a/entry/src/test/java/org/sardinelift/entry/EntryFixture.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryFixture.java
@@ -29,7 +29,7 @@
 import org.sardinelift.settings.SettingsResult;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** An entry on loopback with a platform in memory and companions that the test drives. */
+/** Starts entries on loopback with a platform in memory and companions that the test controls. */
 final class EntryFixture implements AutoCloseable {
     static final String KEY = "sl_k1_secret";
     static final String OTHER_TEAMS_KEY = "sl_k2_secret";
@@ -83,11 +83,11 @@
             throws Exception {
         FakeCompanion companion = FakeCompanion.start(group, name, service, List.of(models), tls);
         companions.add(companion);
-        list();
+        publishInstances();
         return companion;
     }
 
-    private void list() {
+    private void publishInstances() {
         List<InstancesResult.Instance> listed = new ArrayList<>(listedEntries);
         companions.forEach(companion -> listed.add(companion.instance()));
         platform.list(listed);
@@ -97,15 +97,15 @@
         return startEntry(name, "");
     }
 
-    EntryProcess startEntry(String name, String more) throws Exception {
-        EntryProcess entry = startEntryWithoutWaiting(name, more);
+    EntryProcess startEntry(String name, String moreSettings) throws Exception {
+        EntryProcess entry = startEntryWithoutWaiting(name, moreSettings);
         Awaitility.await().until(() -> status(entry).contains("\"ready\":true"));
         Awaitility.await()
                 .until(() -> status(entry).split("\"usable\":true", -1).length > companions.size());
         return entry;
     }
 
-    EntryProcess startEntryWithoutWaiting(String name, String more) throws Exception {
+    EntryProcess startEntryWithoutWaiting(String name, String moreSettings) throws Exception {
         String text =
                 """
                 {
@@ -118,7 +118,7 @@
                   "drain": {"delayMs": 100}%s
                 }
                 """
-                        .formatted(name, more);
+                        .formatted(name, moreSettings);
         SettingsResult<EntrySettings> result = SettingsFile.parse(text, EntrySettings::read);
         EntrySettings settings = ((SettingsResult.Valid<EntrySettings>) result).settings();
         EntryProcess entry = EntryProcess.start(settings, loops -> platform);
@@ -126,7 +126,7 @@
         listedEntries.add(
                 new InstancesResult.Instance(
                         name, "entry", "z1", "127.0.0.1", port(entry, "peer"), "", false));
-        list();
+        publishInstances();
         return entry;
     }
 
--- a/entry/src/test/java/org/sardinelift/entry/EntryMetricsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryMetricsTest.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Guards against metrics that are missing or that stay at their first values. */
 class EntryMetricsTest {
     @Test
     void metricsShowTargetsRevisionPlatformCallsAndJobs() throws Exception {
--- a/entry/src/test/java/org/sardinelift/entry/EntryProcessTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryProcessTest.java
@@ -12,6 +12,7 @@
 import org.sardinelift.http.HttpAnswer;
 import org.sardinelift.protocol.generated.Start;
 
+/** Guards against calls that are lost, run for the wrong team or run without a valid key. */
 class EntryProcessTest {
     private static final String CHAT =
             "{\"model\":\"m1\",\"messages\":[{\"role\":\"user\",\"content\":\"tag 7\"}]}";
--- a/entry/src/test/java/org/sardinelift/entry/EntrySettingsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntrySettingsTest.java
@@ -12,6 +12,9 @@
 import org.sardinelift.settings.SettingsFile;
 import org.sardinelift.settings.SettingsResult;
 
+/**
+ * Guards against settings that open plaintext ports beyond loopback, and against changed defaults.
+ */
 class EntrySettingsTest {
     private static SettingsResult<EntrySettings> parse(String ports) {
         String text = "{\"instance\":\"e1\",\"zone\":\"z1\",\"keyPepper\":\"p\"," + ports + "}";
@@ -37,7 +40,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"127.0.0.1", "127.9.9.9", "::1", "localhost"})
-    void aPlaintextPortOnLoopbackIsSound(String host) {
+    void aPlaintextPortOnLoopbackIsValid(String host) {
         assertInstanceOf(
                 SettingsResult.Valid.class,
                 parse(
@@ -58,23 +61,23 @@
     }
 
     @Test
-    void anEmptyDataFolderMayBeWrittenOut() {
+    void anEmptyDataFolderMayBeSet() {
         assertInstanceOf(SettingsResult.Valid.class, parse("\"batch\":{\"dataFolder\":\"\"}"));
         assertEquals("/batch/dataFolder", errors("\"batch\":{\"dataFolder\":7}").get(0).path());
     }
 
     @Test
-    void theShareOfTracesHasTheNameAndDefaultOfTheCompanions() {
-        var sound = assertInstanceOf(SettingsResult.Valid.class, parse("\"traces\":{}"));
-        assertEquals(0.01, ((EntrySettings) sound.settings()).traceRatio());
-        sound =
+    void theSampleRatioHasTheNameAndDefaultOfTheCompanions() {
+        var valid = assertInstanceOf(SettingsResult.Valid.class, parse("\"traces\":{}"));
+        assertEquals(0.01, ((EntrySettings) valid.settings()).traceRatio());
+        valid =
                 assertInstanceOf(
                         SettingsResult.Valid.class, parse("\"traces\":{\"sampleRatio\":0.5}"));
-        assertEquals(0.5, ((EntrySettings) sound.settings()).traceRatio());
+        assertEquals(0.5, ((EntrySettings) valid.settings()).traceRatio());
     }
 
     @Test
-    void theOperatorsPortIsNotChecked() {
+    void theOperatorsPortMayBePlaintext() {
         assertInstanceOf(SettingsResult.Valid.class, parse("\"operators\":{\"host\":\"0.0.0.0\"}"));
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/EntryTlsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryTlsTest.java
@@ -36,6 +36,10 @@
 import org.sardinelift.runtime.tls.TlsFiles;
 import org.sardinelift.runtime.tls.TlsSettings;
 
+/**
+ * Guards against plaintext, unauthenticated or wrongly trusted connections at the ports of an entry
+ * with TLS, and against certificates that are not reloaded.
+ */
 class EntryTlsTest {
     private static final String CHAT =
             "{\"model\":\"m1\",\"messages\":[{\"role\":\"user\",\"content\":\"tag 7\"}]}";
@@ -54,24 +58,24 @@
         fixture.close();
     }
 
-    private Path copy(String resource, String to) throws IOException {
-        Path target = folder.resolve(to);
+    private Path copy(String resource, String copyName) throws IOException {
+        Path target = folder.resolve(copyName);
         try (var in = EntryTlsTest.class.getResourceAsStream("/tls/" + resource)) {
             Files.copy(in, target, StandardCopyOption.REPLACE_EXISTING);
         }
         return target;
     }
 
-    private TlsSettings files(String leaf, String to) throws IOException {
+    private TlsSettings files(String source, String copyName) throws IOException {
         return new TlsSettings(
-                copy(leaf + ".pem", to + ".pem"),
-                copy(leaf + "-key.pem", to + "-key.pem"),
-                copy("fleet-ca.pem", to + "-trust.pem"),
+                copy(source + ".pem", copyName + ".pem"),
+                copy(source + "-key.pem", copyName + "-key.pem"),
+                copy("fleet-ca.pem", copyName + "-trust.pem"),
                 Duration.ZERO);
     }
 
-    private String settings(String leaf, String to) throws IOException {
-        TlsSettings files = files(leaf, to);
+    private String settings(String source, String copyName) throws IOException {
+        TlsSettings files = files(source, copyName);
         String own =
                 "\"certificate\":\"%s\",\"key\":\"%s\",\"recheckMs\":0"
                         .formatted(files.certificate(), files.key());
@@ -98,7 +102,7 @@
                 .build();
     }
 
-    /** Socket of a client that trusts the fleet's authority and has no certificate. */
+    /** Connects a client that trusts the fleet's certificate authority and has no certificate. */
     private SSLSocket connect(int port) throws Exception {
         KeyStore store = KeyStore.getInstance(KeyStore.getDefaultType());
         store.load(null, null);
@@ -116,7 +120,7 @@
         return socket;
     }
 
-    private X509Certificate shown(EntryProcess entry) throws Exception {
+    private X509Certificate presentedCertificate(EntryProcess entry) throws Exception {
         try (SSLSocket socket = connect(EntryFixture.port(entry, "caller"))) {
             socket.startHandshake();
             return (X509Certificate) socket.getSession().getPeerCertificates()[0];
@@ -191,17 +195,18 @@
     }
 
     @Test
-    void aChangedCertificateHoldsFromTheNextCaller() throws Exception {
+    void aChangedCertificateIsUsedForNewConnections() throws Exception {
         EntryProcess entry = fixture.startEntry("e1", settings("first", "entry"));
-        AtomicReference<X509Certificate> before = new AtomicReference<>(shown(entry));
+        AtomicReference<X509Certificate> before =
+                new AtomicReference<>(presentedCertificate(entry));
 
         files("second", "entry");
 
-        await().ignoreExceptions().until(() -> !shown(entry).equals(before.get()));
+        await().ignoreExceptions().until(() -> !presentedCertificate(entry).equals(before.get()));
     }
 
     @Test
-    void anUnreadableCertificateIsNamedAtTheStart() throws Exception {
+    void anUnreadableKeyFileIsNamedAtTheStart() throws Exception {
         String settings = settings("second", "entry");
         Path key = folder.resolve("entry-key.pem");
         Files.writeString(key, "half a ke");
--- a/entry/src/test/java/org/sardinelift/entry/ExplainerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/ExplainerTest.java
@@ -12,6 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.http.HttpAnswer;
 
+/**
+ * Guards against explanations that miss decisions of other entries, leave out instances that did
+ * not answer, or show callers' keys.
+ */
 class ExplainerTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -33,21 +37,22 @@
     }
 
     @Test
-    void anotherEntryTellsWhatBecameOfACallAndNamesTheSilent() throws Exception {
+    void anotherEntryExplainsACallAndNamesInstancesThatDoNotAnswer() throws Exception {
         String id = id(fixture.chat(first, "{\"model\":\"m1\",\"messages\":[{}]}"));
-        JsonNode told = explain(second, id);
-        assertEquals(List.of("admitted", "routed", "answered"), texts(told, "action"));
-        assertEquals(List.of("e1", "e1", "e1"), texts(told, "instance"));
-        assertEquals("blue", told.at("/decisions/0/figures/team").asText());
-        assertEquals("c1", told.at("/decisions/1/figures/at").asText());
-        assertEquals("c1", told.at("/silent/0").asText(), "the fake companion answers nothing");
+        JsonNode explanation = explain(second, id);
+        assertEquals(List.of("admitted", "routed", "answered"), texts(explanation, "action"));
+        assertEquals(List.of("e1", "e1", "e1"), texts(explanation, "instance"));
+        assertEquals("blue", explanation.at("/decisions/0/figures/team").asText());
+        assertEquals("c1", explanation.at("/decisions/1/figures/at").asText());
+        assertEquals(
+                "c1", explanation.at("/silent/0").asText(), "the fake companion answers nothing");
 
         first.close();
         assertEquals(List.of("e1"), names(explain(second, id).path("silent")));
     }
 
     @Test
-    void aRefusalIsToldWithItsKindAndWithoutTheKey() throws Exception {
+    void aRefusalIsExplainedWithItsKindAndWithoutTheKey() throws Exception {
         String id =
                 id(
                         fixture.send(
@@ -56,10 +61,10 @@
                                 "/v1/" + EntryFixture.KEY,
                                 EntryFixture.authorized(),
                                 ""));
-        JsonNode told = explain(first, id);
-        assertEquals(List.of("refused"), texts(told, "action"));
-        assertEquals("not_found", told.at("/decisions/0/figures/kind").asText());
-        assertFalse(told.toString().contains(EntryFixture.KEY), told.toString());
+        JsonNode explanation = explain(first, id);
+        assertEquals(List.of("refused"), texts(explanation, "action"));
+        assertEquals("not_found", explanation.at("/decisions/0/figures/kind").asText());
+        assertFalse(explanation.toString().contains(EntryFixture.KEY), explanation.toString());
     }
 
     private JsonNode explain(EntryProcess entry, String subject) throws Exception {
@@ -70,8 +75,8 @@
         return answer.header("x-request-id");
     }
 
-    private static List<String> texts(JsonNode told, String field) {
-        return told.path("decisions").findValuesAsText(field);
+    private static List<String> texts(JsonNode explanation, String field) {
+        return explanation.path("decisions").findValuesAsText(field);
     }
 
     private static List<String> names(JsonNode array) {
--- a/entry/src/test/java/org/sardinelift/entry/FakeCompanion.java
+++ b/entry/src/test/java/org/sardinelift/entry/FakeCompanion.java
@@ -31,7 +31,9 @@
 import org.sardinelift.protocol.generated.RunOutcome;
 import org.sardinelift.protocol.generated.Start;
 
-/** A companion whose test decides what becomes of each call. */
+/**
+ * A companion whose answers to frames are set by the test; by default it echoes each call's body.
+ */
 final class FakeCompanion implements FrameListener, AutoCloseable {
     final List<Start> starts = new CopyOnWriteArrayList<>();
     final List<Query> queries = new CopyOnWriteArrayList<>();
@@ -81,7 +83,7 @@
         return this;
     }
 
-    /** Cuts every connection and, with another incarnation, forgets all calls. */
+    /** Closes all connections; with another incarnation the entry takes it for restarted. */
     void disconnectAll(String nextIncarnation) {
         incarnation = nextIncarnation;
         connections.forEach(connection -> connection.close("cut by the test"));
@@ -115,8 +117,8 @@
         sendFinish(start, length, RunOutcome.RUN, FailureKind.NONE);
     }
 
-    void failByTargetDeath(Start start, String life) {
-        sendFinish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_DIED, life);
+    void failByTargetDeath(Start start, String targetIncarnation) {
+        sendFinish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_DIED, targetIncarnation);
     }
 
     void sendFinish(Start start, long length, RunOutcome outcome, FailureKind failure) {
@@ -124,7 +126,11 @@
     }
 
     private void sendFinish(
-            Start start, long length, RunOutcome outcome, FailureKind failure, String life) {
+            Start start,
+            long length,
+            RunOutcome outcome,
+            FailureKind failure,
+            String targetIncarnation) {
         send(
                 start.getRequestId(),
                 Frame.finish(
@@ -136,7 +142,7 @@
                                 failure,
                                 failure.name(),
                                 0,
-                                life)));
+                                targetIncarnation)));
     }
 
     void send(String requestId, Frame frame) {
@@ -146,14 +152,17 @@
         }
     }
 
-    void sendReport(boolean leaving) {
-        sendReport(leaving, true);
+    void sendReport(boolean isLeaving) {
+        sendReport(isLeaving, true);
     }
 
-    void sendReport(boolean leaving, boolean healthy) {
+    void sendReport(boolean isLeaving, boolean isHealthy) {
         connections.stream()
                 .filter(connection -> connection.peer().getLane() == Lane.CONTROL)
-                .forEach(connection -> connection.send(Frame.loadReport(load(leaving, healthy))));
+                .forEach(
+                        connection ->
+                                connection.send(
+                                        Frame.loadReport(loadReport(isLeaving, isHealthy))));
     }
 
     InstancesResult.Instance instance() {
@@ -165,7 +174,7 @@
     public void onUp(FrameConnection connection) {
         connections.add(connection);
         if (connection.peer().getLane() == Lane.CONTROL) {
-            connection.send(Frame.loadReport(load(false, true)));
+            connection.send(Frame.loadReport(loadReport(false, true)));
         }
     }
 
@@ -198,8 +207,20 @@
         return new Hello(name, incarnation, "companion", "z1", Lane.CONTROL, 1, 0);
     }
 
-    private LoadReport load(boolean leaving, boolean healthy) {
+    private LoadReport loadReport(boolean isLeaving, boolean isHealthy) {
         return new LoadReport(
-                name + "-target", "t1", service, "z1", 8, 0, 0, 0, 8, models, leaving, healthy, 0);
+                name + "-target",
+                "t1",
+                service,
+                "z1",
+                8,
+                0,
+                0,
+                0,
+                8,
+                models,
+                isLeaving,
+                isHealthy,
+                0);
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/IdempotencyTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/IdempotencyTest.java
@@ -15,6 +15,10 @@
 import org.sardinelift.protocol.generated.FailureKind;
 import org.sardinelift.protocol.generated.RunOutcome;
 
+/**
+ * Guards against a call with an Idempotency-Key that runs twice or gets another call's answer, when
+ * it is resent through another entry or the platform loses answers.
+ */
 class IdempotencyTest {
     private EntryFixture fixture;
     private FakeCompanion plain;
@@ -32,31 +36,32 @@
 
     @Test
     void aResendThroughAnotherEntryGetsTheRecordedAnswer() throws Exception {
-        HttpAnswer first = fine(fixture.startEntry("e1"), "{\"fine\":1}").get(20, TimeUnit.SECONDS);
+        HttpAnswer first =
+                sendFine(fixture.startEntry("e1"), "{\"fine\":1}").get(20, TimeUnit.SECONDS);
         EntryProcess other = fixture.startEntry("e2");
 
         await().until(
                         () -> {
-                            HttpAnswer again = fine(other, "{\"fine\":1}").get();
-                            return again.status() == 200 && again.text().equals(first.text());
+                            HttpAnswer resent = sendFine(other, "{\"fine\":1}").get();
+                            return resent.status() == 200 && resent.text().equals(first.text());
                         });
 
         assertEquals(1, plain.starts.size());
-        HttpAnswer reused = fine(other, "{\"fine\":2}").get(20, TimeUnit.SECONDS);
+        HttpAnswer reused = sendFine(other, "{\"fine\":2}").get(20, TimeUnit.SECONDS);
         assertEquals(422, reused.status());
         assertTrue(reused.text().contains("idempotency_key_reused"));
         assertEquals(1, plain.starts.size());
     }
 
     @Test
-    void aResendWhileTheFirstRunsWaits() throws Exception {
+    void aResendWhileTheFirstRunsIsRefusedAsAConflict() throws Exception {
         EntryProcess entry = fixture.startEntry("e1");
         EntryProcess other = fixture.startEntry("e2");
         plain.onStart((self, start) -> {});
-        CompletableFuture<HttpAnswer> first = fine(entry, "{}");
+        CompletableFuture<HttpAnswer> first = sendFine(entry, "{}");
         await().until(() -> plain.starts.size() == 1);
 
-        HttpAnswer second = fine(other, "{}").get(20, TimeUnit.SECONDS);
+        HttpAnswer second = sendFine(other, "{}").get(20, TimeUnit.SECONDS);
 
         assertEquals(409, second.status());
         assertEquals("1", second.header("retry-after"));
@@ -70,7 +75,7 @@
         EntryProcess entry = fixture.startEntry("e1");
         fixture.platform.loseAnswers(1);
 
-        HttpAnswer answer = fine(entry, "{}").get(20, TimeUnit.SECONDS);
+        HttpAnswer answer = sendFine(entry, "{}").get(20, TimeUnit.SECONDS);
 
         assertEquals(200, answer.status());
         assertEquals(1, plain.starts.size());
@@ -81,7 +86,7 @@
         EntryProcess entry = fixture.startEntry("e1");
         fixture.platform.down(true);
 
-        HttpAnswer answer = fine(entry, "{}").get(20, TimeUnit.SECONDS);
+        HttpAnswer answer = sendFine(entry, "{}").get(20, TimeUnit.SECONDS);
 
         assertEquals(503, answer.status());
         assertTrue(answer.text().contains("\"outcome\":\"not_run\""));
@@ -95,10 +100,10 @@
         plain.onStart(
                 (self, start) ->
                         self.sendFinish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_DIED));
-        assertEquals(502, fine(entry, "{}").get(20, TimeUnit.SECONDS).status());
+        assertEquals(502, sendFine(entry, "{}").get(20, TimeUnit.SECONDS).status());
         EntryProcess other = fixture.startEntry("e2");
 
-        await().until(() -> fine(other, "{}").get().text().contains("outcome_unknown"));
+        await().until(() -> sendFine(other, "{}").get().text().contains("outcome_unknown"));
 
         assertEquals(1, plain.starts.size());
     }
@@ -110,13 +115,14 @@
                 (self, start) ->
                         self.sendFinish(
                                 start, 0, RunOutcome.NOT_RUN, FailureKind.DEADLINE_EXCEEDED));
-        assertEquals(504, fine(entry, "{}").get(20, TimeUnit.SECONDS).status());
+        assertEquals(504, sendFine(entry, "{}").get(20, TimeUnit.SECONDS).status());
         plain.onStart(FakeCompanion::echo);
 
-        assertEquals(200, fine(entry, "{}").get(20, TimeUnit.SECONDS).status());
+        assertEquals(200, sendFine(entry, "{}").get(20, TimeUnit.SECONDS).status());
     }
 
-    private CompletableFuture<HttpAnswer> fine(EntryProcess entry, String body) throws Exception {
+    private CompletableFuture<HttpAnswer> sendFine(EntryProcess entry, String body)
+            throws Exception {
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
         headers.put("idempotency-key", "notice-7");
         return fixture.client.call(
--- a/entry/src/test/java/org/sardinelift/entry/IgnoringAnswerListener.java
+++ b/entry/src/test/java/org/sardinelift/entry/IgnoringAnswerListener.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.sardinelift.http.HttpAnswerListener;
 
-/** An answer that nobody reads. */
+/** A listener that ignores the answer. */
 final class IgnoringAnswerListener implements HttpAnswerListener {
     @Override
     public void onHead(int status, List<Map.Entry<String, String>> headers) {}
--- a/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
@@ -24,6 +24,10 @@
 import org.sardinelift.objects.kinds.SharesCodec;
 import org.sardinelift.protocol.generated.Start;
 
+/**
+ * Guards against calls that continue with a withdrawn key, keys that reach a target, and drains
+ * that break streams, accept new calls or keep the entry's share of the limits.
+ */
 class KeyAndDrainTest {
     private static final int STREAMS = 1_000;
 
@@ -54,14 +58,14 @@
                 });
         CompletableFuture<HttpAnswer> stream = chat(entry, "tag 7");
         await().until(() -> companion.starts.size() == 1);
-        // Comes on the same connection after the stream's first part, which has then arrived.
+        // Sent on the same connection after the stream's first part, which has thus arrived.
         assertEquals(200, chat(entry, "tag 6").get(20, TimeUnit.SECONDS).status());
 
         fixture.withdrawKey();
 
-        HttpAnswer ended = stream.get(20, TimeUnit.SECONDS);
-        assertTrue(ended.text().contains("event: error"), ended.text());
-        assertTrue(ended.text().contains("\"kind\":\"key_withdrawn\""));
+        HttpAnswer endedAnswer = stream.get(20, TimeUnit.SECONDS);
+        assertTrue(endedAnswer.text().contains("event: error"), endedAnswer.text());
+        assertTrue(endedAnswer.text().contains("\"kind\":\"key_withdrawn\""));
         await().until(() -> companion.cancels.size() == 1);
         assertEquals(401, chat(entry, "tag 8").get(20, TimeUnit.SECONDS).status());
         assertEquals(2, companion.starts.size());
@@ -85,7 +89,7 @@
         CompletableFuture<Void> drained = entry.drain();
         await().until(() -> fixture.status(entry).contains("\"ready\":false"));
         await().until(() -> chat(entry, "late").get().status() == 503);
-        await().until(() -> !holds("e1"));
+        await().until(() -> !hasShare("e1"));
         assertThrows(TimeoutException.class, () -> drained.get(2, TimeUnit.SECONDS));
         for (Start start : companion.starts) {
             companion.sendData(start, 9, "data: b\n\n");
@@ -100,21 +104,21 @@
     }
 
     @Test
-    void aDrainedEntryHasGivenItsShareBack() throws Exception {
+    void aDrainedEntryReturnsItsShare() throws Exception {
         EntryProcess first = fixture.startEntry("e1");
         fixture.startEntry("e2");
-        await().until(() -> holds("e1") && holds("e2"));
+        await().until(() -> hasShare("e1") && hasShare("e2"));
 
         first.drain().get(20, TimeUnit.SECONDS);
         first.close();
 
         Shares shares = shares();
-        assertEquals(0, units(shares, "e1"));
-        assertEquals(Shares.TOTAL_UNITS, shares.pool() + units(shares, "e2"));
+        assertEquals(0, unitsOf(shares, "e1"));
+        assertEquals(Shares.TOTAL_UNITS, shares.pool() + unitsOf(shares, "e2"));
     }
 
-    private boolean holds(String entry) {
-        return units(shares(), entry) > 0;
+    private boolean hasShare(String entry) {
+        return unitsOf(shares(), entry) > 0;
     }
 
     private Shares shares() {
@@ -128,7 +132,7 @@
                 : Shares.initial();
     }
 
-    private static long units(Shares shares, String entry) {
+    private static long unitsOf(Shares shares, String entry) {
         return shares.members().entrySet().stream()
                 .filter(member -> member.getKey().instance().equals(entry))
                 .mapToLong(member -> member.getValue().units())
--- a/entry/src/test/java/org/sardinelift/entry/MalformedRequestTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/MalformedRequestTest.java
@@ -25,6 +25,10 @@
 import org.sardinelift.http.HttpAnswer;
 import org.sardinelift.http.HttpCall;
 
+/**
+ * Guards against malformed requests that reach a target or are refused without a complete problem,
+ * also if the HTTP layer refuses them.
+ */
 class MalformedRequestTest {
     private static EntryFixture fixture;
     private static FakeCompanion companion;
@@ -63,7 +67,7 @@
                 "GET|/services/none/x|{}|404|not_found",
                 "GET|/nowhere|{}|404|not_found"
             })
-    void aClearErrorForEachMalformedRequest(
+    void eachMalformedRequestIsRefusedWithItsKind(
             String method, String path, String body, int status, String kind) throws Exception {
         String route =
                 Map.of("chat", "/v1/chat/completions", "text", "/v1/completions")
@@ -79,8 +83,8 @@
                 "POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 999999999\r\n\r\n",
                 "POST /a HTTP/1.1\r\n\r\n"
             })
-    void refusalsOfTheHttpLayerReadAsTheOthers(String request) throws Exception {
-        assertReadsAsTheOthers(request);
+    void refusalsOfTheHttpLayerAreCompleteProblems(String request) throws Exception {
+        assertIsCompleteProblem(request);
     }
 
     @ParameterizedTest
@@ -88,14 +92,14 @@
     @ValueSource(strings = {"LONG_HEADER", "LONG_LINE"})
     void refusalsOfLongHeadsReadAsTheOthers(String request) throws Exception {
         String longText = "x".repeat(200_000);
-        assertReadsAsTheOthers(
+        assertIsCompleteProblem(
                 request.equals("LONG_HEADER")
                         ? "POST /a HTTP/1.1\r\nhost: " + longText + "\r\n\r\n"
                         : "POST /" + longText + " HTTP/1.1\r\nhost: x\r\n\r\n");
     }
 
-    private static void assertReadsAsTheOthers(String sent) throws Exception {
-        String answer = raw(sent);
+    private static void assertIsCompleteProblem(String sent) throws Exception {
+        String answer = sendRaw(sent);
         JsonNode problem =
                 new ObjectMapper().readTree(answer.substring(answer.indexOf("\r\n\r\n")));
         ProblemKind kind =
@@ -107,7 +111,7 @@
         assertTrue(!id.isEmpty() && answer.contains("x-request-id: " + id), answer);
     }
 
-    private static String raw(String request) throws IOException {
+    private static String sendRaw(String request) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", EntryFixture.port(entry, "caller"))) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/entry/src/test/java/org/sardinelift/entry/ReadinessTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/ReadinessTest.java
@@ -5,30 +5,34 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against an entry that reports ready when it can't serve, or refuses calls before load
+ * balancers have seen its drain.
+ */
 class ReadinessTest {
-    private boolean configured;
-    private boolean limited;
-    private boolean isolated;
+    private boolean isConfigured;
+    private boolean hasLimits;
+    private boolean isIsolated;
     private final Readiness readiness =
-            Readiness.of(() -> configured, () -> limited, () -> isolated);
+            Readiness.of(() -> isConfigured, () -> hasLimits, () -> isIsolated);
 
     @Test
     void theReasonNamesWhatIsMissing() {
         assertEquals("this instance has no configuration yet", reason());
-        configured = true;
+        isConfigured = true;
         assertEquals(
                 "this instance holds no share of the limits and reaches no entry to borrow from",
                 reason());
-        limited = true;
+        hasLimits = true;
         assertTrue(readiness.notReady().isEmpty());
-        isolated = true;
+        isIsolated = true;
         assertEquals("this instance can't tell whether keys still hold", reason());
     }
 
     @Test
     void aDrainIsAnnouncedBeforeNewWorkIsRefused() {
-        configured = true;
-        limited = true;
+        isConfigured = true;
+        hasLimits = true;
         readiness.announceDrain();
         assertEquals("draining", reason());
         assertTrue(readiness.refusal().isEmpty());
--- a/entry/src/test/java/org/sardinelift/entry/SubmissionLimitTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/SubmissionLimitTest.java
@@ -13,7 +13,7 @@
 import org.sardinelift.core.catalog.KeyEntry;
 import org.sardinelift.http.HttpAnswer;
 
-/** Submissions of jobs count against the rate and burst of their team. */
+/** Guards against submissions of jobs that are not counted against their team's rate and burst. */
 class SubmissionLimitTest {
     private static final String SLOW_KEY = "sl_slow_secret";
     private static final int SECONDS_TO_BURST = 40;
@@ -40,7 +40,7 @@
     @Test
     void aSubmissionIsOneRequestAndIsRefusedOverTheRate() throws Exception {
         EntryProcess entry = fixture.startEntry("e1");
-        useBurst(entry, "night-1");
+        useUpBurst(entry, "night-1");
 
         HttpAnswer refused = submit(entry, "night-2");
 
@@ -56,7 +56,7 @@
     @Test
     void theSameJobSentAgainCountsToo() throws Exception {
         EntryProcess entry = fixture.startEntry("e1");
-        useBurst(entry, "night-1");
+        useUpBurst(entry, "night-1");
 
         assertEquals(429, submit(entry, "night-1").status());
     }
@@ -64,13 +64,13 @@
     @Test
     void aMalformedSubmissionIsRefusedBeforeItIsCounted() throws Exception {
         EntryProcess entry = fixture.startEntry("e1");
-        useBurst(entry, "night-1");
+        useUpBurst(entry, "night-1");
 
         assertEquals(400, fixture.send(entry, "POST", "/v1/batches", key(), LINE).status());
     }
 
-    /** Whether the burst is there at the start or grows first, nothing of it is left after this. */
-    private void useBurst(EntryProcess entry, String jobKey) throws Exception {
+    /** Uses up the team's burst, which may be available at the start or only after a while. */
+    private void useUpBurst(EntryProcess entry, String jobKey) throws Exception {
         await().atMost(40, TimeUnit.SECONDS).until(() -> submit(entry, jobKey).status() == 201);
         for (int call = 1; call < BURST; call++) {
             submit(entry, jobKey);
--- a/entry/src/test/java/org/sardinelift/entry/TeamIsolationTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/TeamIsolationTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.http.HttpAnswer;
 
-/** What runs for a key runs for that key's team only, whatever else the caller sends. */
+/**
+ * Guards against a caller that acts for another team, by naming it in headers, queries or bodies,
+ * or by using another team's idempotency key, job key or job.
+ */
 class TeamIsolationTest {
     private static final Pattern JOB_ID = Pattern.compile("\"id\"\\s*:\\s*\"(batch-[^\"]+)\"");
     private static final String ITEM =
@@ -56,8 +59,8 @@
 
     @Test
     void anotherTeamsIdempotencyKeyIsItsOwn() throws Exception {
-        HttpAnswer blue = idempotent(EntryFixture.KEY, "{\"of\":\"blue\"}");
-        HttpAnswer red = idempotent(EntryFixture.OTHER_TEAMS_KEY, "{\"of\":\"red\"}");
+        HttpAnswer blue = sendIdempotent(EntryFixture.KEY, "{\"of\":\"blue\"}");
+        HttpAnswer red = sendIdempotent(EntryFixture.OTHER_TEAMS_KEY, "{\"of\":\"red\"}");
 
         assertEquals("{\"of\":\"blue\"}", blue.text());
         assertEquals("{\"of\":\"red\"}", red.text());
@@ -99,7 +102,7 @@
         return id.group(1);
     }
 
-    private HttpAnswer idempotent(String key, String body) throws Exception {
+    private HttpAnswer sendIdempotent(String key, String body) throws Exception {
         Map<String, String> headers = headers(key);
         headers.put("Idempotency-Key", "same-key");
         return fixture.send(entry, "POST", "/services/plain/fine", headers, body);
--- a/entry/src/test/java/org/sardinelift/entry/TraceTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/TraceTest.java
@@ -24,10 +24,14 @@
 import org.sardinelift.protocol.generated.RunOutcome;
 import org.sardinelift.protocol.generated.Start;
 
+/**
+ * Guards against calls whose spans are missing, are outside the caller's trace or end at the wrong
+ * time.
+ */
 class TraceTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String TRACE = "0af7651916cd43dd8448eb211c80319c";
-    private static final String CALLER = "b7ad6b7169203331";
+    private static final String TRACE_ID = "0af7651916cd43dd8448eb211c80319c";
+    private static final String CALLER_SPAN = "b7ad6b7169203331";
 
     @TempDir private Path folder;
     private EntryFixture fixture;
@@ -52,40 +56,42 @@
 
     private HttpAnswer chat(EntryProcess entry, String model) throws Exception {
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
-        headers.put("traceparent", "00-" + TRACE + "-" + CALLER + "-01");
+        headers.put("traceparent", "00-" + TRACE_ID + "-" + CALLER_SPAN + "-01");
         String body = "{\"model\":\"%s\",\"messages\":[{\"content\":\"a\"}]}".formatted(model);
         return fixture.send(entry, "POST", "/v1/chat/completions", headers, body);
     }
 
-    /** Closes the entry, which writes what is left. */
+    /** Closes the entry, which writes the remaining spans, and reads all spans. */
     private List<JsonNode> spans(EntryProcess entry) throws IOException {
         entry.close();
         List<JsonNode> spans = new ArrayList<>();
         for (String line : Files.readAllLines(file())) {
             spans.add(MAPPER.readTree(line));
         }
-        spans.forEach(span -> assertEquals(TRACE, span.path("traceId").asText(), span.toString()));
+        spans.forEach(
+                span -> assertEquals(TRACE_ID, span.path("traceId").asText(), span.toString()));
         return spans;
     }
 
-    private static List<JsonNode> named(List<JsonNode> spans, String name) {
+    private static List<JsonNode> spansNamed(List<JsonNode> spans, String name) {
         return spans.stream().filter(span -> span.path("name").asText().equals(name)).toList();
     }
 
-    private static JsonNode only(List<JsonNode> spans, String name, String kind, String parent) {
-        List<JsonNode> found = named(spans, name);
+    private static JsonNode singleSpan(
+            List<JsonNode> spans, String name, String kind, String parent) {
+        List<JsonNode> found = spansNamed(spans, name);
         assertEquals(1, found.size(), spans.toString());
         assertEquals(kind, found.get(0).path("kind").asText());
         assertEquals(parent, found.get(0).path("parentSpanId").asText());
         return found.get(0);
     }
 
-    private static String id(JsonNode span) {
+    private static String spanId(JsonNode span) {
         return span.path("spanId").asText();
     }
 
     private static String traceparent(JsonNode span) {
-        return "00-" + TRACE + "-" + id(span) + "-01";
+        return "00-" + TRACE_ID + "-" + spanId(span) + "-01";
     }
 
     @Test
@@ -96,9 +102,9 @@
         assertEquals(200, chat(entry, "m1").status());
 
         List<JsonNode> spans = spans(entry);
-        JsonNode call = only(spans, "entry.call", "SERVER", CALLER);
-        only(spans, "entry.queue", "INTERNAL", id(call));
-        JsonNode attempt = only(spans, "entry.attempt", "CLIENT", id(call));
+        JsonNode call = singleSpan(spans, "entry.call", "SERVER", CALLER_SPAN);
+        singleSpan(spans, "entry.queue", "INTERNAL", spanId(call));
+        JsonNode attempt = singleSpan(spans, "entry.attempt", "CLIENT", spanId(call));
         assertEquals(3, spans.size(), spans.toString());
         assertEquals(traceparent(attempt), companion.starts.get(0).getTraceparent());
     }
@@ -116,11 +122,11 @@
         assertEquals(200, chat(entry, "m1").status());
 
         List<JsonNode> spans = spans(entry);
-        JsonNode call = only(spans, "entry.call", "SERVER", CALLER);
-        List<JsonNode> attempts = named(spans, "entry.attempt");
+        JsonNode call = singleSpan(spans, "entry.call", "SERVER", CALLER_SPAN);
+        List<JsonNode> attempts = spansNamed(spans, "entry.attempt");
         assertEquals(2, attempts.size(), spans.toString());
         for (int i = 0; i < attempts.size(); i++) {
-            assertEquals(id(call), attempts.get(i).path("parentSpanId").asText());
+            assertEquals(spanId(call), attempts.get(i).path("parentSpanId").asText());
             assertEquals(traceparent(attempts.get(i)), starts.get(i).getTraceparent());
         }
         assertEquals("ERROR", attempts.get(0).path("status").asText());
@@ -139,15 +145,15 @@
     }
 
     @Test
-    void aRefusedCallHasNoSpanOfAnAttempt() throws Exception {
+    void aRefusedCallHasNoAttemptSpan() throws Exception {
         fixture.startCompanion("c1", "engine", "m1");
         EntryProcess entry = entry();
 
         assertTrue(chat(entry, "m9").status() >= 400);
 
         List<JsonNode> spans = spans(entry);
-        JsonNode call = only(spans, "entry.call", "SERVER", CALLER);
-        only(spans, "entry.queue", "INTERNAL", id(call));
+        JsonNode call = singleSpan(spans, "entry.call", "SERVER", CALLER_SPAN);
+        singleSpan(spans, "entry.queue", "INTERNAL", spanId(call));
         assertEquals(2, spans.size(), spans.toString());
     }
 
@@ -156,7 +162,7 @@
         fixture.startCompanion("c1", "engine", "m1");
         EntryProcess entry = entry();
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
-        headers.put("traceparent", "00-" + TRACE + "-" + CALLER + "-01");
+        headers.put("traceparent", "00-" + TRACE_ID + "-" + CALLER_SPAN + "-01");
         List<String> paths = List.of("/v1/models", "/v1/batches", "/v1/batches/none/results");
         for (String path : paths) {
             HttpAnswer answer = fixture.send(entry, "GET", path, headers, "");
@@ -164,12 +170,12 @@
         }
 
         List<JsonNode> spans = spans(entry);
-        assertEquals(paths.size(), named(spans, "entry.call").size(), spans.toString());
-        assertEquals(paths.size(), named(spans, "entry.queue").size(), spans.toString());
+        assertEquals(paths.size(), spansNamed(spans, "entry.call").size(), spans.toString());
+        assertEquals(paths.size(), spansNamed(spans, "entry.queue").size(), spans.toString());
     }
 
     @Test
-    void theQueuesSpanEndsWhereTheCallIsDispatched() throws Exception {
+    void theQueueSpanEndsWhenTheCallIsDispatched() throws Exception {
         FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
         CompletableFuture<Start> started = new CompletableFuture<>();
         companion.onStart((self, start) -> started.complete(start));
