--- a/entry/src/main/java/org/sardinelift/entry/CompanionDesk.java
+++ b/entry/src/main/java/org/sardinelift/entry/CompanionConnections.java
@@ -10,12 +10,12 @@
 import org.sardinelift.protocol.generated.Frame;
 
 /** The control connections to companions, over which they are asked for their decisions. */
-final class CompanionDesk {
+final class CompanionConnections {
     private final Map<String, FrameConnection> connections = new ConcurrentHashMap<>();
     private volatile BiConsumer<String, ExplainResult> onResult = (companion, result) -> {};
 
     /** Lets a listener hear the companions' answers, on traffic threads. */
-    void listen(BiConsumer<String, ExplainResult> listener) {
+    void setResultListener(BiConsumer<String, ExplainResult> listener) {
         onResult = listener;
     }
 
@@ -30,7 +30,7 @@
     }
 
     /** Takes the answers out of what comes on a control connection; the rest goes on. */
-    FrameListener observing(String companion, FrameListener next) {
+    FrameListener interceptResults(String companion, FrameListener next) {
         return new FrameListener() {
             @Override
             public void onUp(FrameConnection connection) {
--- a/entry/src/main/java/org/sardinelift/entry/Endpoint.java
+++ b/entry/src/main/java/org/sardinelift/entry/Endpoint.java
@@ -21,7 +21,7 @@
      * @param boundPort port in use
      * @return host and port, joined by a colon
      */
-    public String bound(int boundPort) {
+    public String formatWithPort(int boundPort) {
         return host + ":" + boundPort;
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryMetrics.java
@@ -24,15 +24,15 @@
 
     private EntryMetrics() {}
 
-    static void calls(int underWay) {
+    static void setCallsInFlight(int underWay) {
         CALLS.set(underWay);
     }
 
-    static void revision(long revision) {
+    static void setRevision(long revision) {
         REVISION.set(revision);
     }
 
-    static void targets(List<Candidate> targets) {
+    static void setTargets(List<Candidate> targets) {
         long usable =
                 targets.stream()
                         .filter(Candidate::isUsable)
@@ -42,7 +42,7 @@
         TARGETS_OUT.set(targets.size() - usable);
     }
 
-    static void jobs(List<JobStatus> jobs) {
+    static void setJobs(List<JobStatus> jobs) {
         JOBS.set(jobs.size());
         JOBS_LATE.set(jobs.stream().filter(JobStatus::isLate).count());
         ITEMS.set(jobs.stream().mapToInt(JobStatus::openItems).sum());
--- a/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
@@ -56,21 +56,21 @@
                         settings.peer().host(),
                         settings.peer().port(),
                         certificates.peer(),
-                        () -> services.hello(Lane.CONTROL),
+                        () -> services.createHello(Lane.CONTROL),
                         settings.links(),
-                        services.peers().accepting());
+                        services.peers().inboundListener());
         operators =
                 bind(
                         settings.operators(),
                         HttpLimits.defaults(),
                         null,
-                        services.operatorRoutes(this::askDrain));
+                        services.createOperatorRoutes(this::askDrain));
         callers =
                 bind(
                         settings.caller(),
-                        settings.requests().http(),
+                        settings.requests().httpLimits(),
                         certificates.caller(),
-                        services.callerRoutes());
+                        services.createCallerRoutes());
     }
 
     /**
@@ -125,9 +125,9 @@
                         + "\"operators\":\"%s\",\"peer\":\"%s\"}",
                 EntryServices.ROLE,
                 settings.instance(),
-                settings.caller().bound(callers.port()),
-                settings.operators().bound(operators.port()),
-                settings.peer().bound(peerServer.port()));
+                settings.caller().formatWithPort(callers.port()),
+                settings.operators().formatWithPort(operators.port()),
+                settings.peer().formatWithPort(peerServer.port()));
     }
 
     /**
@@ -179,7 +179,7 @@
 
     private void awaitCalls(long deadlineNanos) {
         ControlThread control = services.control();
-        int left = Math.max(services.callsUnderWay(), callers.answersDue());
+        int left = Math.max(services.callsInFlight(), callers.answersDue());
         if (left == 0) {
             drained.complete(null);
         } else if (System.nanoTime() - deadlineNanos >= 0) {
--- a/entry/src/main/java/org/sardinelift/entry/EntryServices.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryServices.java
@@ -31,11 +31,11 @@
 import org.sardinelift.entry.call.CrashGuard;
 import org.sardinelift.entry.call.FrameDispatcher;
 import org.sardinelift.entry.call.LinkOpener;
+import org.sardinelift.entry.control.ConfigChangeRecorder;
 import org.sardinelift.entry.control.ConfigController;
-import org.sardinelift.entry.control.ConfigDecisions;
 import org.sardinelift.entry.control.FleetLimiter;
 import org.sardinelift.entry.control.MembershipController;
-import org.sardinelift.entry.control.ShareWatch;
+import org.sardinelift.entry.control.ShareReclaimMonitor;
 import org.sardinelift.entry.filter.CallContext;
 import org.sardinelift.entry.filter.CallFilter;
 import org.sardinelift.entry.filter.DispatchFilter;
@@ -51,7 +51,7 @@
 import org.sardinelift.entry.http.CallerRoutes;
 import org.sardinelift.entry.http.OperatorRoutes;
 import org.sardinelift.entry.order.OrderController;
-import org.sardinelift.entry.order.OrderLanes;
+import org.sardinelift.entry.order.OrderTransport;
 import org.sardinelift.entry.peer.PeerMesh;
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.objects.ObjectStore;
@@ -87,9 +87,9 @@
     private final RunningCalls calls;
     private final DecisionRecorder decisions;
     private final TeamRequestCounter tally = TeamRequestCounter.create();
-    private final CompanionDesk companions = new CompanionDesk();
+    private final CompanionConnections companions = new CompanionConnections();
     private final Explainer explainer;
-    private final ShareWatch shares;
+    private final ShareReclaimMonitor shares;
     private final JobDecisions jobs;
     private final BatchService batch;
     private final OrderController orders;
@@ -109,7 +109,7 @@
                         settings.traceFile(),
                         settings.otlpEndpoint(),
                         settings.traceRatio());
-        peers = PeerMesh.of(group, peerTls, () -> hello(Lane.CONTROL), settings.links());
+        peers = PeerMesh.of(group, peerTls, () -> createHello(Lane.CONTROL), settings.links());
         config = ConfigController.of(store, control, peers, settings.instance(), settings.config());
         membership = MembershipController.of(store, control, settings.membership());
         limiter = createLimiter();
@@ -123,7 +123,7 @@
                 new Explainer(
                         settings.instance(), log, peers, companions, membership::view, explaining);
         shares =
-                ShareWatch.of(
+                ShareReclaimMonitor.of(
                         new MemberId(settings.instance(), incarnation),
                         decisions,
                         membership::view,
@@ -188,26 +188,26 @@
     void start() {
         membership.listen(dispatcher::update);
         membership.listen(peers::update);
-        membership.listenList(limiter::onList);
+        membership.addInstanceListListener(limiter::onList);
         config.listen((before, after) -> calls.onCatalogChanged(after));
         config.listen(limiter);
-        config.listen(ConfigDecisions.of(decisions));
+        config.listen(ConfigChangeRecorder.of(decisions));
         config.listen((before, after) -> tally.retainTeams(teams(after)));
         limiter.listen(shares);
         limiter.start();
-        config.start(readiness::accepting);
+        config.start(readiness::isAccepting);
         membership.start();
         guard.setSuspectListener(dispatcher::requeueSuspects);
         guard.start(control);
-        control.repeat(settings.orders().pollInterval(), orders::look);
+        control.repeat(settings.orders().pollInterval(), orders::poll);
         control.repeat(METRICS_INTERVAL, this::measure);
     }
 
     private void measure() {
-        EntryMetrics.calls(callsUnderWay());
-        EntryMetrics.revision(config.catalog().revision());
-        EntryMetrics.targets(dispatcher.candidates());
-        EntryMetrics.jobs(jobs.heldJobs());
+        EntryMetrics.setCallsInFlight(callsInFlight());
+        EntryMetrics.setRevision(config.catalog().revision());
+        EntryMetrics.setTargets(dispatcher.candidates());
+        EntryMetrics.setJobs(jobs.heldJobs());
     }
 
     ControlThread control() {
@@ -231,11 +231,11 @@
     }
 
     /** Online calls and batch items that are not at their end. */
-    int callsUnderWay() {
+    int callsInFlight() {
         return Math.max(calls.size(), dispatcher.callsInFlight());
     }
 
-    Hello hello(Lane lane) {
+    Hello createHello(Lane lane) {
         return new Hello(
                 settings.instance(),
                 incarnation,
@@ -246,7 +246,7 @@
                 config == null ? 0 : config.catalog().revision());
     }
 
-    CallerRoutes callerRoutes() {
+    CallerRoutes createCallerRoutes() {
         RequestBounds requests = settings.requests();
         List<CallFilter> identity =
                 List.of(
@@ -261,7 +261,7 @@
                         ServiceFilter.of(
                                 config::catalog,
                                 requests.deadline(),
-                                requests.longestDeadline(),
+                                requests.maxDeadline(),
                                 requests.prefixChars()),
                         LimitFilter.of(limiter, limiter::share, decisions, tally),
                         PoisonFilter.of(guard),
@@ -271,7 +271,7 @@
                 identity, work, config::catalog, BatchHttp.of(batch, limiter), this::context);
     }
 
-    OperatorRoutes operatorRoutes(Runnable drain) {
+    OperatorRoutes createOperatorRoutes(Runnable drain) {
         return OperatorRoutes.of(
                 new OperatorRoutes.Sources(
                         settings.instance(),
@@ -279,12 +279,12 @@
                         readiness::notReady,
                         config::catalog,
                         dispatcher::candidates,
-                        this::callsUnderWay,
+                        this::callsInFlight,
                         () -> peers.connected().size(),
                         this::teamStatus,
                         jobs::heldJobs,
-                        shares::pending,
-                        explainer::answer,
+                        shares::pendingReclaims,
+                        explainer::handle,
                         drain));
     }
 
@@ -334,10 +334,10 @@
                                 companion.host(),
                                 companion.port(),
                                 peerTls,
-                                () -> hello(lane),
+                                () -> createHello(lane),
                                 settings.links(),
                                 lane == Lane.CONTROL
-                                        ? companions.observing(companion.name(), listener)
+                                        ? companions.interceptResults(companion.name(), listener)
                                         : listener)
                         ::close;
     }
@@ -365,7 +365,7 @@
     }
 
     /** Gives orders over the dispatcher's connections. */
-    private record Lanes(FrameDispatcher dispatcher) implements OrderLanes {
+    private record Lanes(FrameDispatcher dispatcher) implements OrderTransport {
         @Override
         public List<TargetView> targets() {
             return dispatcher.targetViews();
--- a/entry/src/main/java/org/sardinelift/entry/Explainer.java
+++ b/entry/src/main/java/org/sardinelift/entry/Explainer.java
@@ -48,7 +48,7 @@
     private final String instance;
     private final DecisionLog log;
     private final Peers peers;
-    private final CompanionDesk companions;
+    private final CompanionConnections companions;
     private final Supplier<FleetView> fleet;
     private final ControlThread control;
     private final ObjectMapper mapper = new ObjectMapper();
@@ -59,7 +59,7 @@
             String instance,
             DecisionLog log,
             Peers peers,
-            CompanionDesk companions,
+            CompanionConnections companions,
             Supplier<FleetView> fleet,
             ControlThread control) {
         this.instance = instance;
@@ -69,11 +69,12 @@
         this.fleet = fleet;
         this.control = control;
         peers.listen(this);
-        companions.listen((name, result) -> control.execute(() -> onResult(name, result)));
+        companions.setResultListener(
+                (name, result) -> control.execute(() -> onResult(name, result)));
     }
 
     /** Answers with the decisions on the query's subject; instances that stay silent are named. */
-    void answer(HttpExchange exchange) {
+    void handle(HttpExchange exchange) {
         String subject = exchange.query("subject") == null ? "" : exchange.query("subject");
         int limit = limit(exchange.query("limit"));
         control.execute(() -> gather(exchange, companionOf(subject), limit));
--- a/entry/src/main/java/org/sardinelift/entry/Readiness.java
+++ b/entry/src/main/java/org/sardinelift/entry/Readiness.java
@@ -42,7 +42,7 @@
         return draining;
     }
 
-    boolean accepting() {
+    boolean isAccepting() {
         return notReady().isEmpty();
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/RequestBounds.java
+++ b/entry/src/main/java/org/sardinelift/entry/RequestBounds.java
@@ -7,7 +7,7 @@
 /**
  * Bounds of callers' requests.
  *
- * @param http bounds of the callers' port
+ * @param httpLimits bounds of the callers' port
  * @param deadline time for a call whose caller names none
  * @param longestDeadline longest time that a caller may name
  * @param maxUnsentBytes bytes of answer that may wait for a slow caller
@@ -16,9 +16,9 @@
  * @param openBurst requests at once of callers without a key, on open services
  */
 public record RequestBounds(
-        HttpLimits http,
+        HttpLimits httpLimits,
         Duration deadline,
-        Duration longestDeadline,
+        Duration maxDeadline,
         int maxUnsentBytes,
         int prefixChars,
         double openRatePerSecond,
--- a/entry/src/main/java/org/sardinelift/entry/control/CatalogListener.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/CatalogListener.java
@@ -12,5 +12,5 @@
      * @param before the configuration until now
      * @param after the configuration from now on
      */
-    void onCatalog(Catalog before, Catalog after);
+    void onCatalogChanged(Catalog before, Catalog after);
 }
--- a/entry/src/main/java/org/sardinelift/entry/control/ConfigDecisions.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ConfigChangeRecorder.java
@@ -11,7 +11,7 @@
 import org.sardinelift.core.explain.DecisionRecorder;
 
 /** Notes each configuration that comes into force, and what it changes for teams. */
-public final class ConfigDecisions implements CatalogListener {
+public final class ConfigChangeRecorder implements CatalogListener {
     /** Subject of the decisions about the configuration as a whole. */
     public static final String SUBJECT = "configuration";
 
@@ -20,7 +20,7 @@
 
     private final DecisionRecorder decisions;
 
-    private ConfigDecisions(DecisionRecorder decisions) {
+    private ConfigChangeRecorder(DecisionRecorder decisions) {
         this.decisions = decisions;
     }
 
@@ -30,12 +30,12 @@
      * @param decisions notes the changes
      * @return the listener
      */
-    public static ConfigDecisions of(DecisionRecorder decisions) {
-        return new ConfigDecisions(decisions);
+    public static ConfigChangeRecorder of(DecisionRecorder decisions) {
+        return new ConfigChangeRecorder(decisions);
     }
 
     @Override
-    public void onCatalog(Catalog before, Catalog after) {
+    public void onCatalogChanged(Catalog before, Catalog after) {
         String revision = String.valueOf(after.revision());
         decisions.record(
                 DecisionAction.CONFIGURED,
--- a/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
@@ -281,7 +281,7 @@
         if (changed) {
             reportProblems();
             Logger.info("Configuration of revision {} is in force", after.revision());
-            listeners.forEach(listener -> listener.onCatalog(before, after));
+            listeners.forEach(listener -> listener.onCatalogChanged(before, after));
         }
         step();
     }
--- a/entry/src/main/java/org/sardinelift/entry/control/FleetLimiter.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/FleetLimiter.java
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void onCatalog(Catalog before, Catalog after) {
+    public void onCatalogChanged(Catalog before, Catalog after) {
         Set<String> teams = new HashSet<>(after.teams().keySet());
         teams.add(OPEN_TEAM);
         limit.retainTeams(teams);
@@ -165,7 +165,7 @@
      * @param listener the listener, called on the control thread
      */
     public void listen(SharesListener listener) {
-        store.listen(listener);
+        store.setListener(listener);
     }
 
     /**
@@ -254,7 +254,7 @@
             left.complete(null);
         }
         share = limit.ledger().usableUnits() / (double) Shares.TOTAL_UNITS;
-        LimitMetrics.UNITS.set(share);
+        LimitMetrics.SHARE_RATIO.set(share);
     }
 
     /** Whether a share of its own has been long in coming and there are peers that may lend. */
@@ -278,17 +278,17 @@
 
         @Override
         public void borrow(String peer, long exchange, String team, double tokens) {
-            peers.send(peer, LoanFrames.borrow(exchange, team, tokens));
+            peers.send(peer, LoanFrames.createBorrow(exchange, team, tokens));
         }
 
         @Override
         public void lend(String peer, long exchange, String team, double tokens, long ttlMs) {
-            peers.send(peer, LoanFrames.lend(exchange, team, tokens, ttlMs));
+            peers.send(peer, LoanFrames.createLend(exchange, team, tokens, ttlMs));
         }
 
         @Override
         public void callPlatform(ShareCall call) {
-            store.call(call);
+            store.execute(call);
         }
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/control/LimitMetrics.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/LimitMetrics.java
@@ -5,7 +5,7 @@
 
 /** Metrics of the fleet-wide limits at this entry. */
 final class LimitMetrics {
-    static final Gauge UNITS =
+    static final Gauge SHARE_RATIO =
             Gauge.builder()
                     .name("sardinelift_limit_share_ratio")
                     .help("Part of all rates and bursts that this entry may spend by itself.")
--- a/entry/src/main/java/org/sardinelift/entry/control/LoanFrames.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/LoanFrames.java
@@ -13,12 +13,12 @@
 
     private LoanFrames() {}
 
-    static Frame borrow(long exchange, String team, double tokens) {
+    static Frame createBorrow(long exchange, String team, double tokens) {
         long milli = (long) Math.ceil(tokens * MILLI);
         return Frame.borrow(new Borrow(exchange, team, milli).setTokens(tokens));
     }
 
-    static Frame lend(long exchange, String team, double tokens, long ttlMs) {
+    static Frame createLend(long exchange, String team, double tokens, long ttlMs) {
         long milli = (long) Math.floor(tokens * MILLI);
         return Frame.lend(new Lend(exchange, team, milli, ttlMs).setTokens(tokens));
     }
--- a/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
@@ -77,7 +77,7 @@
      *
      * @param listener the listener, called on the control thread
      */
-    public void listenList(Consumer<List<InstanceInfo>> listener) {
+    public void addInstanceListListener(Consumer<List<InstanceInfo>> listener) {
         listListeners.add(listener);
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/control/ShareWatch.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ShareReclaimMonitor.java
@@ -17,14 +17,14 @@
 import org.sardinelift.objects.WriteResult;
 
 /** Notes the shares that this entry reclaims, and knows those that are still to be reclaimed. */
-public final class ShareWatch implements SharesListener {
+public final class ShareReclaimMonitor implements SharesListener {
     private final MemberId self;
     private final DecisionRecorder decisions;
     private final Supplier<FleetView> fleet;
     private final Peers peers;
     private volatile Shares last = Shares.initial();
 
-    private ShareWatch(
+    private ShareReclaimMonitor(
             MemberId self, DecisionRecorder decisions, Supplier<FleetView> fleet, Peers peers) {
         this.self = self;
         this.decisions = decisions;
@@ -41,9 +41,9 @@
      * @param peers the other entries
      * @return the watch
      */
-    public static ShareWatch of(
+    public static ShareReclaimMonitor of(
             MemberId self, DecisionRecorder decisions, Supplier<FleetView> fleet, Peers peers) {
-        return new ShareWatch(self, decisions, fleet, peers);
+        return new ShareReclaimMonitor(self, decisions, fleet, peers);
     }
 
     @Override
@@ -76,7 +76,7 @@
      *
      * @return their names, each with the part of the limits that it holds
      */
-    public List<String> pending() {
+    public List<String> pendingReclaims() {
         Set<String> live =
                 Stream.concat(
                                 fleet.get().entries().stream().map(InstanceInfo::name),
--- a/entry/src/main/java/org/sardinelift/entry/control/ShareStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ShareStore.java
@@ -28,11 +28,11 @@
         this.onOutcome = onOutcome;
     }
 
-    void listen(SharesListener other) {
+    void setListener(SharesListener other) {
         listener = other;
     }
 
-    void call(ShareCall call) {
+    void execute(ShareCall call) {
         if (call instanceof ShareCall.Write write) {
             write(write);
         } else {
--- a/entry/src/main/java/org/sardinelift/entry/http/OperatorRoutes.java
+++ b/entry/src/main/java/org/sardinelift/entry/http/OperatorRoutes.java
@@ -33,7 +33,7 @@
      * @param notReady why the balancer should not send requests here, or empty
      * @param catalog configuration in force
      * @param targets what is known of each target
-     * @param callsUnderWay calls under way
+     * @param callsInFlight calls under way
      * @param peers entries that this one is connected to
      * @param teams what each active team gets here
      * @param jobs jobs that this entry holds
@@ -47,7 +47,7 @@
             Supplier<Optional<String>> notReady,
             Supplier<Catalog> catalog,
             Supplier<List<Candidate>> targets,
-            Supplier<Integer> callsUnderWay,
+            Supplier<Integer> callsInFlight,
             Supplier<Integer> peers,
             Supplier<List<TeamStatus>> teams,
             Supplier<List<JobStatus>> jobs,
@@ -150,7 +150,7 @@
                         .put("instance", sources.instance())
                         .put("zone", sources.zone())
                         .put("ready", sources.notReady().get().isEmpty())
-                        .put("callsUnderWay", sources.callsUnderWay().get())
+                        .put("callsUnderWay", sources.callsInFlight().get())
                         .put("peers", sources.peers().get());
         answer.set("config", config());
         addTargets(answer);
--- a/entry/src/main/java/org/sardinelift/entry/order/OrderController.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/OrderController.java
@@ -33,7 +33,7 @@
     private final RolloutStore store;
     private final Executor control;
     private final LongSupplier clockNanos;
-    private final OrderLanes lanes;
+    private final OrderTransport lanes;
     private final Supplier<Catalog> catalog;
     private final Holder self;
     private final OrderBounds bounds;
@@ -45,7 +45,7 @@
             RolloutStore store,
             Executor control,
             LongSupplier clockNanos,
-            OrderLanes lanes,
+            OrderTransport lanes,
             Supplier<Catalog> catalog,
             Holder self,
             OrderBounds bounds) {
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Makes a controller; nothing happens before {@link #look}.
+     * Makes a controller; nothing happens before {@link #poll}.
      *
      * @param store the platform
      * @param control the control thread
@@ -75,7 +75,7 @@
             ObjectStore store,
             Executor control,
             LongSupplier clockNanos,
-            OrderLanes lanes,
+            OrderTransport lanes,
             Supplier<Catalog> catalog,
             Holder self,
             OrderBounds bounds) {
@@ -84,7 +84,7 @@
     }
 
     /** Looks at the lease and goes on where it is held; to be called each period. */
-    public void look() {
+    public void poll() {
         if (looking) {
             return;
         }
@@ -118,7 +118,7 @@
                 });
     }
 
-    private void onLease(Optional<RolloutStore.Lease> read) {
+    private void onLease(Optional<RolloutStore.StoredLease> read) {
         long now = clockNanos.getAsLong();
         if (read.isEmpty()) {
             lease.onUnavailable();
@@ -150,9 +150,9 @@
         if (!lease.isValid(clockNanos.getAsLong())) {
             rest();
         } else if (board == null || board.fence() != lease.fence()) {
-            store.states(this::onStates);
+            store.listStates(this::onStates);
         } else {
-            store.specs(this::onSpecs);
+            store.listSpecs(this::onSpecs);
         }
     }
 
@@ -162,7 +162,7 @@
             return;
         }
         board = RolloutPlanner.of(lease.fence(), bounds, states.get(), clockNanos.getAsLong());
-        store.specs(this::onSpecs);
+        store.listSpecs(this::onSpecs);
     }
 
     private void onSpecs(Optional<List<RolloutSpec>> specs) {
@@ -192,7 +192,7 @@
             return;
         }
         RolloutState state = rollout.state();
-        store.write(
+        store.writeState(
                 state,
                 written -> {
                     if (!written) {
--- a/entry/src/main/java/org/sardinelift/entry/order/OrderLanes.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/OrderTransport.java
@@ -5,7 +5,7 @@
 import org.sardinelift.protocol.generated.Order;
 
 /** The companions, as the giver of orders sees them. */
-public interface OrderLanes {
+public interface OrderTransport {
 
     /**
      * Targets that have reported and are not leaving.
--- a/entry/src/main/java/org/sardinelift/entry/order/RolloutStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/RolloutStore.java
@@ -40,22 +40,22 @@
     }
 
     /** The lease as it was read. */
-    record Lease(LeaseRecord value, long version) {}
+    record StoredLease(LeaseRecord value, long version) {}
 
     /** Reads the lease; empty where the platform gave no answer. */
-    void readLease(Consumer<Optional<Lease>> done) {
+    void readLease(Consumer<Optional<StoredLease>> done) {
         hop(store.read(LEASE), result -> done.accept(lease(result)));
     }
 
-    private Optional<Lease> lease(ReadResult result) {
+    private Optional<StoredLease> lease(ReadResult result) {
         if (result instanceof ReadResult.Absent) {
-            return Optional.of(new Lease(LeaseRecord.NONE, ObjectStore.ABSENT_VERSION));
+            return Optional.of(new StoredLease(LeaseRecord.NONE, ObjectStore.ABSENT_VERSION));
         }
         if (!(result instanceof ReadResult.Found found)) {
             return Optional.empty();
         }
         return sound(found.object(), RolloutCodec.decodeLease(found.object().value()))
-                .map(value -> new Lease(value, found.object().version()));
+                .map(value -> new StoredLease(value, found.object().version()));
     }
 
     /** Writes the lease over a version; true where it certainly took effect. */
@@ -69,7 +69,7 @@
      * Lists what operators want; empty where the platform gave no answer. Where what was decided
      * can't be read, nothing is begun in its place.
      */
-    void specs(Consumer<Optional<List<RolloutSpec>>> done) {
+    void listSpecs(Consumer<Optional<List<RolloutSpec>>> done) {
         hop(
                 store.list(RolloutCodec.SPEC_KIND, ""),
                 result ->
@@ -91,7 +91,7 @@
     }
 
     /** Lists what was decided; empty where the platform gave no answer. */
-    void states(Consumer<Optional<List<RolloutState>>> done) {
+    void listStates(Consumer<Optional<List<RolloutState>>> done) {
         hop(
                 store.list(RolloutCodec.STATUS_KIND, ""),
                 result -> {
@@ -118,7 +118,7 @@
     }
 
     /** Writes a state over the version last seen; true where it certainly took effect. */
-    void write(RolloutState state, Consumer<Boolean> done) {
+    void writeState(RolloutState state, Consumer<Boolean> done) {
         String name = state.spec().name();
         long version = stateVersions.getOrDefault(name, ObjectStore.ABSENT_VERSION);
         hop(
--- a/entry/src/main/java/org/sardinelift/entry/peer/PeerMesh.java
+++ b/entry/src/main/java/org/sardinelift/entry/peer/PeerMesh.java
@@ -21,7 +21,7 @@
 
 /**
  * One connection to each other entry. Of two entries the one with the smaller name opens it; the
- * other hears of it through {@link #accepting()}, the listener of its server.
+ * other hears of it through {@link #inboundListener()}, the listener of its server.
  */
 public final class PeerMesh implements Peers, AutoCloseable {
     private static final String ROLE = "entry";
@@ -82,7 +82,7 @@
      *
      * @return a listener that ignores connections of other roles
      */
-    public FrameListener accepting() {
+    public FrameListener inboundListener() {
         return new Registry();
     }
 
--- a/entry/src/test/java/org/sardinelift/entry/control/LoanFramesTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/LoanFramesTest.java
@@ -11,14 +11,14 @@
 
     @Test
     void partsOfATokenTravelExactly() {
-        assertEquals(PART, LoanFrames.tokens(LoanFrames.borrow(1, "t", PART).getBorrow()));
-        assertEquals(PART, LoanFrames.tokens(LoanFrames.lend(1, "t", PART, 5).getLend()));
+        assertEquals(PART, LoanFrames.tokens(LoanFrames.createBorrow(1, "t", PART).getBorrow()));
+        assertEquals(PART, LoanFrames.tokens(LoanFrames.createLend(1, "t", PART, 5).getLend()));
     }
 
     @Test
     void aPeerThatKnowsThousandthsOnlyAsksForEnoughAndLendsNoMoreThanWasLent() {
-        assertEquals(334, LoanFrames.borrow(1, "t", PART).getBorrow().getMilliTokens());
-        assertEquals(333, LoanFrames.lend(1, "t", PART, 5).getLend().getMilliTokens());
+        assertEquals(334, LoanFrames.createBorrow(1, "t", PART).getBorrow().getMilliTokens());
+        assertEquals(333, LoanFrames.createLend(1, "t", PART, 5).getLend().getMilliTokens());
         assertEquals(0.25, LoanFrames.tokens(new Borrow(1, "t", 250)));
         assertEquals(0.25, LoanFrames.tokens(new Lend(1, "t", 250, 5)));
     }
--- a/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
@@ -38,7 +38,7 @@
     private long nowNanos;
 
     /** Companions that carry each order out at once. */
-    private final class Lanes implements OrderLanes {
+    private final class Lanes implements OrderTransport {
         private OrderController controller;
 
         @Override
@@ -115,7 +115,7 @@
                 .forEach(
                         i -> {
                             nowNanos += BOUNDS.pollInterval().toNanos();
-                            List.of(controllers).forEach(OrderController::look);
+                            List.of(controllers).forEach(OrderController::poll);
                         });
     }
 
--- a/entry/src/test/java/org/sardinelift/entry/peer/PeerMeshTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/peer/PeerMeshTest.java
@@ -74,7 +74,7 @@
                         null,
                         () -> hello,
                         LinkTimings.defaults(),
-                        mesh.accepting()));
+                        mesh.inboundListener()));
     }
 
     private FleetView view() {
