--- a/entry/src/main/java/org/sardinelift/entry/control/CatalogListener.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/CatalogListener.java
@@ -2,15 +2,15 @@
 
 import org.sardinelift.core.catalog.Catalog;
 
-/** Hears of changes of the configuration, on the control thread. */
+/** Receives configuration changes, on the control thread. */
 @FunctionalInterface
 public interface CatalogListener {
 
     /**
-     * Another configuration is in force.
+     * Called when another configuration has come into force.
      *
-     * @param before the configuration until now
-     * @param after the configuration from now on
+     * @param before the previous configuration
+     * @param after the configuration now in force
      */
     void onCatalogChanged(Catalog before, Catalog after);
 }
--- a/entry/src/main/java/org/sardinelift/entry/control/ConfigChangeRecorder.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ConfigChangeRecorder.java
@@ -10,13 +10,13 @@
 import org.sardinelift.core.explain.DecisionAction;
 import org.sardinelift.core.explain.DecisionRecorder;
 
-/** Notes each configuration that comes into force, and what it changes for teams. */
+/** Records each configuration that comes into force, and what it changes for teams. */
 public final class ConfigChangeRecorder implements CatalogListener {
-    /** Subject of the decisions about the configuration as a whole. */
+    /** Subject of the decisions on the configuration as a whole. */
     public static final String SUBJECT = "configuration";
 
-    /** Teams of one change that get a decision of their own. */
-    private static final int MAX_TEAMS = 100;
+    /** Maximum number of teams, and of keys, that one change records separately. */
+    private static final int MAX_RECORDED_CHANGES = 100;
 
     private final DecisionRecorder decisions;
 
@@ -25,9 +25,9 @@
     }
 
     /**
-     * Makes a listener.
+     * Creates a listener.
      *
-     * @param decisions notes the changes
+     * @param decisions records the changes
      * @return the listener
      */
     public static ConfigChangeRecorder of(DecisionRecorder decisions) {
@@ -42,16 +42,16 @@
                 SUBJECT,
                 "this revision is in force here",
                 Map.of("revision", revision, "teams", String.valueOf(after.teams().size())));
-        changed(before.teams(), after.teams())
-                .limit(MAX_TEAMS)
-                .forEach(team -> team(team, after.teams(), revision));
-        changed(before.keys(), after.keys())
+        changedNames(before.teams(), after.teams())
+                .limit(MAX_RECORDED_CHANGES)
+                .forEach(team -> recordTeam(team, after.teams(), revision));
+        changedNames(before.keys(), after.keys())
                 .filter(id -> before.revision() > 0)
-                .limit(MAX_TEAMS)
-                .forEach(id -> key(id, before.keys(), after.keys(), revision));
+                .limit(MAX_RECORDED_CHANGES)
+                .forEach(id -> recordKey(id, before.keys(), after.keys(), revision));
     }
 
-    private void team(String name, Map<String, TeamPlan> after, String revision) {
+    private void recordTeam(String name, Map<String, TeamPlan> after, String revision) {
         TeamPlan plan = after.get(name);
         if (plan == null) {
             decisions.record(
@@ -70,7 +70,7 @@
                         "batchWeight", String.valueOf(plan.batchWeight())));
     }
 
-    private void key(
+    private void recordKey(
             String id, Map<String, KeyEntry> before, Map<String, KeyEntry> after, String revision) {
         KeyEntry now = after.get(id);
         String team = Objects.requireNonNull(now == null ? before.get(id) : now).team();
@@ -84,7 +84,7 @@
         return Map.of("revision", revision);
     }
 
-    private static <T> Stream<String> changed(Map<String, T> before, Map<String, T> after) {
+    private static <T> Stream<String> changedNames(Map<String, T> before, Map<String, T> after) {
         return Stream.of(before.keySet(), after.keySet())
                 .flatMap(Set::stream)
                 .distinct()
--- a/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
@@ -40,12 +40,13 @@
 
 /**
  * Keeps this entry's configuration up to date and publishes it as a snapshot that any thread may
- * read. The decisions are {@link ConfigSync}'s; this class makes the calls and tells the peers.
+ * read. {@link ConfigSync} decides what to read and when; this class calls the platform and reports
+ * the revision to the peers.
  */
 public final class ConfigController {
-    private static final Duration TICK = Duration.ofMillis(20);
+    private static final Duration STEP_INTERVAL = Duration.ofMillis(20);
     private static final String BARRIER_KIND = "lease";
-    private static final Set<String> KINDS =
+    private static final Set<String> WATCHED_KINDS =
             EnumSet.allOf(ConfigKind.class).stream()
                     .map(ConfigKind::label)
                     .collect(Collectors.toUnmodifiableSet());
@@ -57,11 +58,11 @@
     private final ConfigTimings timings;
     private final ConfigSync sync;
     private final List<CatalogListener> listeners = new CopyOnWriteArrayList<>();
-    private Set<ConfigProblem> reported = Set.of();
-    private BooleanSupplier accepting = () -> true;
+    private Set<ConfigProblem> reportedProblems = Set.of();
+    private BooleanSupplier isAcceptingRequests = () -> true;
     private volatile Catalog catalog = Catalog.empty();
-    private volatile boolean ready;
-    private volatile boolean isolated;
+    private volatile boolean isReady;
+    private volatile boolean isIsolated;
 
     private ConfigController(
             ObjectStore store,
@@ -78,9 +79,9 @@
     }
 
     /**
-     * Makes a controller; nothing is read before {@link #start}.
+     * Creates a controller, which reads nothing before {@link #start}.
      *
-     * @param store the platform
+     * @param store the platform's object store
      * @param control the control thread
      * @param peers the other entries
      * @param instance name of this instance
@@ -99,18 +100,18 @@
     /**
      * Starts reading the configuration.
      *
-     * @param isAccepting whether this entry takes requests, told to the peers
+     * @param isAccepting whether this entry accepts requests, which is reported to the peers
      */
     public void start(BooleanSupplier isAccepting) {
-        accepting = isAccepting;
+        isAcceptingRequests = isAccepting;
         peers.listen(new RevisionListener());
         control.execute(this::step);
-        control.repeat(TICK, this::step);
-        control.repeat(timings.gossipInterval(), this::gossip);
+        control.repeat(STEP_INTERVAL, this::step);
+        control.repeat(timings.gossipInterval(), this::broadcastRevision);
     }
 
     /**
-     * The configuration in force; safe for any thread.
+     * Returns the configuration in force. Safe for use by any thread.
      *
      * @return the newest snapshot
      */
@@ -119,26 +120,26 @@
     }
 
     /**
-     * Whether the configuration was read as a whole since the start; safe for any thread.
+     * Whether the whole configuration has been read since the start. Safe for use by any thread.
      *
-     * @return true once requests may be judged by it
+     * @return true once requests may be checked against it
      */
     public boolean isReady() {
-        return ready;
+        return isReady;
     }
 
     /**
-     * Whether this entry has lost touch for so long that it must refuse requests; safe for any
-     * thread.
+     * Whether this entry has been without contact or current configuration for so long that it must
+     * refuse requests. Safe for use by any thread.
      *
      * @return true while isolated
      */
     public boolean isIsolated() {
-        return isolated;
+        return isIsolated;
     }
 
     /**
-     * Adds a listener, which hears of every change from now on.
+     * Adds a listener of all later changes.
      *
      * @param listener the listener, called on the control thread
      */
@@ -149,17 +150,18 @@
     private void step() {
         long now = nowMs();
         sync.nextCall(now).ifPresent(this::call);
-        noteState(now);
+        updateState(now);
     }
 
-    private void noteState(long now) {
-        ready = sync.isReady();
-        boolean wasIsolated = isolated;
-        isolated = ready && sync.isIsolated(now);
-        if (isolated && !wasIsolated) {
+    private void updateState(long now) {
+        isReady = sync.isReady();
+        boolean wasIsolated = isIsolated;
+        isIsolated = isReady && sync.isIsolated(now);
+        if (isIsolated && !wasIsolated) {
             Logger.error(
-                    "Neither the platform nor a peer was heard for {}, or a newer configuration"
-                            + " can't be read; new requests are refused until one is heard again",
+                    "No contact with the platform or a peer for {}, or a newer configuration can't"
+                            + " be read; new requests are refused until the configuration is known"
+                            + " to be current",
                     timings.isolationTimeout());
         }
     }
@@ -170,19 +172,22 @@
         } else if (call instanceof ConfigCall.ListAll) {
             listAll(call.number());
         } else if (call instanceof ConfigCall.Watch watch) {
-            store.watch(KINDS, watch.afterRevision(), watch.maxWait())
-                    .thenAccept(result -> onControl(() -> onWatch(call.number(), result)));
+            store.watch(WATCHED_KINDS, watch.afterRevision(), watch.maxWait())
+                    .thenAccept(result -> runOnControl(() -> onWatch(call.number(), result)));
         }
     }
 
     private void writeBarrier(long number) {
         store.write(barrier, ObjectStore.ABSENT_VERSION, "{}")
-                .thenCompose(this::removeLeftBarrier)
-                .thenAccept(result -> onControl(() -> onBarrier(number, result)));
+                .thenCompose(this::removeOldBarrier)
+                .thenAccept(result -> runOnControl(() -> onBarrier(number, result)));
     }
 
-    /** A barrier left by an earlier start is deleted instead, which is a write as well. */
-    private CompletableFuture<WriteResult> removeLeftBarrier(WriteResult result) {
+    /**
+     * Deletes a barrier object that an earlier start left. The deletion then serves as the barrier,
+     * since it is a write as well.
+     */
+    private CompletableFuture<WriteResult> removeOldBarrier(WriteResult result) {
         if (result instanceof WriteResult.Conflict conflict) {
             return store.delete(barrier, conflict.actualVersion());
         }
@@ -206,17 +211,17 @@
             lists.put(kind, store.list(kind.label(), ""));
         }
         CompletableFuture.allOf(lists.values().toArray(CompletableFuture[]::new))
-                .thenRun(() -> onControl(() -> onLists(number, lists)));
+                .thenRun(() -> runOnControl(() -> onListed(number, lists)));
     }
 
-    private void onLists(long number, Map<ConfigKind, CompletableFuture<ListResult>> lists) {
+    private void onListed(long number, Map<ConfigKind, CompletableFuture<ListResult>> lists) {
         Map<ConfigKind, Long> revisions = new EnumMap<>(ConfigKind.class);
         Map<ConfigKind, List<ConfigState>> states = new EnumMap<>(ConfigKind.class);
         lists.forEach(
                 (kind, list) -> {
                     if (list.join() instanceof ListResult.Listed listed) {
                         revisions.put(kind, listed.revision());
-                        states.put(kind, listed.objects().stream().map(this::state).toList());
+                        states.put(kind, listed.objects().stream().map(this::toState).toList());
                     }
                 });
         if (revisions.size() < lists.size()) {
@@ -231,45 +236,47 @@
             List<ConfigState> states =
                     changes.changes().stream()
                             .filter(change -> ConfigKind.of(change.key().kind()).isPresent())
-                            .map(this::state)
+                            .map(this::toState)
                             .toList();
             publish(sync.onChanges(number, changes.revision(), states, nowMs()));
         } else if (result instanceof WatchResult.Gap) {
-            Logger.warn("The watch was too far behind; the configuration is listed again");
+            Logger.warn(
+                    "The platform no longer has the changes since the watched revision; listing"
+                            + " the whole configuration");
             sync.onGap(number, nowMs());
         } else {
             sync.onCallFailed(number, nowMs());
         }
     }
 
-    private ConfigState state(StoredObject object) {
-        return state(object.key(), object.revision(), object.value());
+    private ConfigState toState(StoredObject object) {
+        return toState(object.key(), object.revision(), object.value());
     }
 
-    private ConfigState state(WatchResult.Change change) {
+    private ConfigState toState(WatchResult.Change change) {
         StoredObject object = change.object();
-        return state(change.key(), change.revision(), object == null ? null : object.value());
+        return toState(change.key(), change.revision(), object == null ? null : object.value());
     }
 
-    private ConfigState state(ObjectKey key, long revision, @Nullable String value) {
+    private ConfigState toState(ObjectKey key, long revision, @Nullable String value) {
         ConfigRef ref = new ConfigRef(ConfigKind.of(key.kind()).orElseThrow(), key.name());
-        return new ConfigState(ref, revision, value == null ? null : item(ref, value));
+        return new ConfigState(ref, revision, value == null ? null : decode(ref, value));
     }
 
-    private @Nullable ConfigItem item(ConfigRef ref, String value) {
+    private @Nullable ConfigItem decode(ConfigRef ref, String value) {
         DecodeResult<ConfigItem> result = ConfigCodec.decode(ref, value);
-        if (result instanceof DecodeResult.Invalid<ConfigItem> unsound) {
-            unsound.problems()
+        if (result instanceof DecodeResult.Invalid<ConfigItem> invalid) {
+            invalid.problems()
                     .forEach(problem -> Logger.error("{} The object is not in force.", problem));
             return null;
         }
         return ((DecodeResult.Valid<ConfigItem>) result).item();
     }
 
-    private void publish(boolean changed) {
+    private void publish(boolean hasChanged) {
         Catalog before = catalog;
         Catalog after =
-                changed
+                hasChanged
                         ? sync.merger().catalog()
                         : new Catalog(
                                 sync.merger().completeRevision(),
@@ -277,8 +284,8 @@
                                 before.keys(),
                                 before.services());
         catalog = after;
-        noteState(nowMs());
-        if (changed) {
+        updateState(nowMs());
+        if (hasChanged) {
             reportProblems();
             Logger.info("Configuration of revision {} is in force", after.revision());
             listeners.forEach(listener -> listener.onCatalogChanged(before, after));
@@ -289,21 +296,21 @@
     private void reportProblems() {
         Set<ConfigProblem> problems = new HashSet<>(sync.merger().problems());
         problems.stream()
-                .filter(problem -> !reported.contains(problem))
+                .filter(problem -> !reportedProblems.contains(problem))
                 .forEach(problem -> Logger.error("{} The team is not in force.", problem));
-        reported = problems;
+        reportedProblems = problems;
     }
 
-    private void gossip() {
+    private void broadcastRevision() {
         Revision revision =
                 new Revision(
                         sync.merger().newestRevision(),
                         sync.platformContactAgeMs(nowMs()),
-                        accepting.getAsBoolean());
+                        isAcceptingRequests.getAsBoolean());
         peers.broadcast(Frame.revision(revision));
     }
 
-    private void onControl(Runnable task) {
+    private void runOnControl(Runnable task) {
         control.execute(
                 () -> {
                     task.run();
@@ -323,7 +330,7 @@
         public void onFrame(FrameConnection connection, Frame frame) {
             if (frame.isSetRevision()) {
                 long revision = frame.getRevision().getConfigRevision();
-                onControl(() -> sync.onPeerRevision(revision, nowMs()));
+                runOnControl(() -> sync.onPeerRevision(revision, nowMs()));
             }
         }
 
--- a/entry/src/main/java/org/sardinelift/entry/control/FleetLimiter.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/FleetLimiter.java
@@ -36,12 +36,12 @@
 import org.tinylog.Logger;
 
 /**
- * Counts each team's requests over the whole fleet. A request that this entry's own tokens cover is
- * admitted on the calling thread; others wait on the control thread for loans of other entries, for
- * a bounded time. The decisions are {@link FleetLimit}'s.
+ * Limits each team's requests over the whole fleet. A request that this entry's own tokens cover is
+ * admitted on the calling thread; others wait on the control thread, for a bounded time, for tokens
+ * lent by other entries. {@link FleetLimit} makes the decisions.
  */
 public final class FleetLimiter implements TeamLimiter, CatalogListener {
-    private static final int LEAVE_CALLS = 3;
+    private static final int MAX_LEAVE_CALLS = 3;
     private static final String ROLE = "entry";
     private static final String OPEN_TEAM = "";
 
@@ -50,17 +50,17 @@
     private final Peers peers;
     private final Function<String, Optional<TeamPlan>> plans;
     private final FleetLimit limit;
-    private final Duration longestLeave;
-    private final Duration longestWaitForShare;
-    private final CompletableFuture<Void> left = new CompletableFuture<>();
-    private final Map<Long, Consumer<Admission>> waiting = new HashMap<>();
+    private final Duration leaveTimeout;
+    private final Duration shareWaitTimeout;
+    private final CompletableFuture<Void> leaveResult = new CompletableFuture<>();
+    private final Map<Long, Consumer<Admission>> waitingRequests = new HashMap<>();
     private final Actions actions = new Actions();
-    private final AtomicBoolean woken = new AtomicBoolean();
-    private long startedAt;
-    private long tickets;
-    private long timerAt = Long.MAX_VALUE;
-    private boolean delisted;
-    private volatile boolean ready;
+    private final AtomicBoolean isTickRequested = new AtomicBoolean();
+    private long startNanos;
+    private long lastRequestId;
+    private long timerDueNanos = Long.MAX_VALUE;
+    private boolean isMissingFromList;
+    private volatile boolean isReady;
     private volatile double share;
 
     private FleetLimiter(
@@ -75,20 +75,20 @@
         this.plans = plans;
         this.limit = limit;
         this.store = new ShareStore(store, control, limit.ledger(), this::onOutcome);
-        this.longestLeave = longestLeave(bounds);
-        this.longestWaitForShare = bounds.contactBound().plus(bounds.balanceInterval());
+        this.leaveTimeout = leaveTimeout(bounds);
+        this.shareWaitTimeout = bounds.contactBound().plus(bounds.balanceInterval());
     }
 
     /**
-     * Makes a limiter that holds no share yet.
+     * Creates a limiter that has no share of the limits yet.
      *
-     * @param store the platform
+     * @param store the platform's object store
      * @param control the control thread
      * @param peers the other entries
-     * @param plans finds the plan of a team that a peer asks tokens for
-     * @param self this life of this entry
+     * @param plans finds the plan of a team for which a peer requests tokens
+     * @param self this incarnation of this entry
      * @param bounds intervals and bounds
-     * @param random for jitter and choice
+     * @param random source for jitter and for the choice of peers
      * @return the limiter
      */
     public static FleetLimiter of(
@@ -103,17 +103,17 @@
         return new FleetLimiter(store, control, peers, plans, limit, bounds);
     }
 
-    /** Starts to hold a share and to lend. */
+    /** Starts to acquire a share of the limits and to lend tokens. */
     public void start() {
-        startedAt = System.nanoTime();
+        startNanos = System.nanoTime();
         peers.listen(new LoanListener());
         control.execute(this::tick);
     }
 
     /**
-     * The platform's list of instances was read; on the control thread.
+     * Called on the control thread when the platform's list of instances was read.
      *
-     * @param listed what it shows
+     * @param listed the listed instances
      */
     public void onList(List<InstanceInfo> listed) {
         Set<String> entries =
@@ -121,15 +121,15 @@
                         .filter(info -> info.role().equals(ROLE))
                         .map(InstanceInfo::name)
                         .collect(Collectors.toSet());
-        boolean missing = !entries.isEmpty() && !entries.contains(limit.self().instance());
-        if (missing && !delisted) {
+        boolean isMissing = !entries.isEmpty() && !entries.contains(limit.self().instance());
+        if (isMissing && !isMissingFromList) {
             Logger.warn(
-                    "The platform's list of instances lacks this entry; it takes no share of the"
-                            + " limits and borrows from other entries until the list shows it");
+                    "The platform's list of instances lacks this entry; it uses no share of the"
+                            + " limits and borrows from other entries until it is listed");
         }
-        delisted = missing;
+        isMissingFromList = isMissing;
         limit.ledger().onListed(entries, System.nanoTime());
-        arrange();
+        scheduleTick();
     }
 
     @Override
@@ -140,18 +140,19 @@
     }
 
     /**
-     * Whether this entry has come to hold a share since its start or, where none has come within
-     * the time that a join takes, to reach a peer that may lend; safe for any thread. Before that
-     * it could only refuse, or serve only as long as its lenders live.
+     * Whether this entry has had a share of the limits since its start or, where it got none within
+     * the time that a join takes, a connection to a peer that may lend. Before that it could only
+     * refuse requests, or serve only as long as its lenders run. Safe for use by any thread.
      *
      * @return true once requests can be admitted
      */
     public boolean isReady() {
-        return ready;
+        return isReady;
     }
 
     /**
-     * The part of all rates and bursts that this entry may spend by itself; safe for any thread.
+     * Returns the part of all rates and bursts that this entry may use without loans. Safe for use
+     * by any thread.
      *
      * @return fraction, 0 to 1
      */
@@ -160,7 +161,7 @@
     }
 
     /**
-     * Lets another see the shares of all entries; to be called before {@link #start}.
+     * Sets the listener of the shares of all entries. To be called before {@link #start}.
      *
      * @param listener the listener, called on the control thread
      */
@@ -169,32 +170,32 @@
     }
 
     /**
-     * Gives this entry's share back, since it is about to stop; safe for any thread. The units go
-     * to the pool as soon as tokens that were lent from them have expired.
+     * Releases this entry's share, since it is about to stop. The units return to the pool as soon
+     * as tokens that were lent from them have expired. Safe for use by any thread.
      *
-     * @return completes when the platform has confirmed it, or after a bounded time where it can't
+     * @return completes when the platform has confirmed the release, or after a bounded time
      */
     public CompletableFuture<Void> leave() {
         control.execute(
                 () -> {
                     limit.ledger().leave(System.nanoTime());
-                    arrange();
-                    control.schedule(longestLeave, this::endLeave);
+                    scheduleTick();
+                    control.schedule(leaveTimeout, this::endLeave);
                 });
-        return left;
+        return leaveResult;
     }
 
     private void endLeave() {
-        if (left.complete(null)) {
+        if (leaveResult.complete(null)) {
             Logger.warn(
-                    "This entry's share of the limits could not be given back; other entries take"
-                            + " it once the list of instances shows that this one is gone");
+                    "This entry's share of the limits could not be released in time; other entries"
+                            + " reclaim it once this one is gone from the list of instances");
         }
     }
 
-    private static Duration longestLeave(LimitBounds bounds) {
+    private static Duration leaveTimeout(LimitBounds bounds) {
         Duration call = bounds.callTimeout().plus(bounds.retry());
-        return bounds.loanTtl().plus(bounds.loanMargin()).plus(call.multipliedBy(LEAVE_CALLS));
+        return bounds.loanTtl().plus(bounds.loanMargin()).plus(call.multipliedBy(MAX_LEAVE_CALLS));
     }
 
     @Override
@@ -202,88 +203,88 @@
         if (limit.tryAdmit(team, System.nanoTime())) {
             LimitMetrics.REQUESTS.labelValues("own").inc();
             answer.accept(new Admission.Admitted());
-            wake();
+            requestTick();
             return;
         }
         control.execute(
                 () -> {
-                    waiting.put(++tickets, answer);
-                    limit.admit(team, tickets, System.nanoTime(), actions);
-                    arrange();
+                    waitingRequests.put(++lastRequestId, answer);
+                    limit.admit(team, lastRequestId, System.nanoTime(), actions);
+                    scheduleTick();
                 });
     }
 
-    /** Has a step arranged where a request on another thread has left something to be sent. */
-    private void wake() {
-        if (limit.hasPendingMessages() && woken.compareAndSet(false, true)) {
-            control.execute(this::arrange);
+    /** Schedules a tick where a request on another thread left messages to be sent. */
+    private void requestTick() {
+        if (limit.hasPendingMessages() && isTickRequested.compareAndSet(false, true)) {
+            control.execute(this::scheduleTick);
         }
     }
 
-    /** Arranges the next step for when it is due; called after each event. */
-    private void arrange() {
+    /** Schedules the next tick; called after each event. */
+    private void scheduleTick() {
         long now = System.nanoTime();
-        long due = Math.max(now, limit.nextTickAt(now));
-        if (due < timerAt) {
-            timerAt = due;
-            control.schedule(Duration.ofNanos(due - now), () -> onTimer(due));
+        long dueNanos = Math.max(now, limit.nextTickAt(now));
+        if (dueNanos < timerDueNanos) {
+            timerDueNanos = dueNanos;
+            control.schedule(Duration.ofNanos(dueNanos - now), () -> onTimer(dueNanos));
         }
     }
 
-    /** A timer that an earlier one has replaced does nothing. */
-    private void onTimer(long due) {
-        if (due == timerAt) {
+    /** Does nothing where an earlier timer has replaced this one. */
+    private void onTimer(long dueNanos) {
+        if (dueNanos == timerDueNanos) {
             tick();
         }
     }
 
     private void tick() {
-        timerAt = Long.MAX_VALUE;
+        timerDueNanos = Long.MAX_VALUE;
         try {
             limit.tick(System.nanoTime(), actions);
         } finally {
-            woken.set(false);
-            observe();
-            arrange();
+            isTickRequested.set(false);
+            updateState();
+            scheduleTick();
         }
     }
 
-    private void observe() {
-        ready = ready || limit.ledger().usableUnits() > 0 || mayServeByLoans();
+    private void updateState() {
+        isReady = isReady || limit.ledger().usableUnits() > 0 || mayServeFromLoans();
         if (limit.ledger().hasLeft()) {
-            left.complete(null);
+            leaveResult.complete(null);
         }
         share = limit.ledger().usableUnits() / (double) Shares.TOTAL_UNITS;
         LimitMetrics.SHARE_RATIO.set(share);
     }
 
-    /** Whether a share of its own has been long in coming and there are peers that may lend. */
-    private boolean mayServeByLoans() {
-        boolean waited = System.nanoTime() - startedAt >= longestWaitForShare.toNanos();
-        return waited && !peers.connected().isEmpty();
+    /** Whether this entry waited long enough for its own share and has peers that may lend. */
+    private boolean mayServeFromLoans() {
+        boolean hasWaited = System.nanoTime() - startNanos >= shareWaitTimeout.toNanos();
+        return hasWaited && !peers.connected().isEmpty();
     }
 
     private void onOutcome() {
-        observe();
-        arrange();
+        updateState();
+        scheduleTick();
     }
 
     private final class Actions implements LimitActions {
         @Override
-        public void answer(long ticket, Admission admission) {
+        public void answer(long requestId, Admission admission) {
             String decision = admission instanceof Admission.Admitted ? "borrowed" : "refused";
             LimitMetrics.REQUESTS.labelValues(decision).inc();
-            waiting.remove(ticket).accept(admission);
+            waitingRequests.remove(requestId).accept(admission);
         }
 
         @Override
-        public void borrow(String peer, long exchange, String team, double tokens) {
-            peers.send(peer, LoanFrames.createBorrow(exchange, team, tokens));
+        public void borrow(String peer, long loanId, String team, double tokens) {
+            peers.send(peer, LoanFrames.createBorrow(loanId, team, tokens));
         }
 
         @Override
-        public void lend(String peer, long exchange, String team, double tokens, long ttlMs) {
-            peers.send(peer, LoanFrames.createLend(exchange, team, tokens, ttlMs));
+        public void lend(String peer, long loanId, String team, double tokens, long ttlMs) {
+            peers.send(peer, LoanFrames.createLend(loanId, team, tokens, ttlMs));
         }
 
         @Override
@@ -298,8 +299,8 @@
             control.execute(
                     () -> {
                         limit.onConnected(Set.copyOf(peers.connected()));
-                        observe();
-                        arrange();
+                        updateState();
+                        scheduleTick();
                     });
         }
 
@@ -331,7 +332,7 @@
                         LoanFrames.tokens(borrow),
                         now,
                         actions);
-                arrange();
+                scheduleTick();
             } else {
                 actions.lend(peer, borrow.getExchange(), borrow.getTeam(), 0, 1);
             }
@@ -346,13 +347,13 @@
                     lend.getTtlMs(),
                     System.nanoTime(),
                     actions);
-            arrange();
+            scheduleTick();
         }
 
         private void onRevision(String peer, Revision revision) {
-            long age = Duration.ofMillis(revision.getPlatformContactAgeMs()).toNanos();
-            limit.ledger().onPeerReport(peer, age, System.nanoTime());
-            arrange();
+            long ageNanos = Duration.ofMillis(revision.getPlatformContactAgeMs()).toNanos();
+            limit.ledger().onPeerReport(peer, ageNanos, System.nanoTime());
+            scheduleTick();
         }
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/control/LimitSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/LimitSettings.java
@@ -4,7 +4,7 @@
 import org.sardinelift.core.limit.LimitBounds;
 import org.sardinelift.settings.SettingsNode;
 
-/** Reads the bounds of the fleet-wide limits. */
+/** Reads the bounds of the fleet-wide limits from the settings. */
 public final class LimitSettings {
     private static final int MAX_COUNT = 1_000_000;
 
@@ -17,27 +17,27 @@
      * @return the bounds, defaults where fields are absent
      */
     public static LimitBounds read(SettingsNode node) {
-        LimitBounds standard = LimitBounds.defaults();
+        LimitBounds defaults = LimitBounds.defaults();
         LimitBounds bounds =
                 new LimitBounds(
-                        millis(node, "loanTtlMs", standard.loanTtl()),
-                        millis(node, "loanMarginMs", standard.loanMargin()),
-                        millis(node, "gatherBoundMs", standard.gatherBound()),
-                        millis(node, "gatherPassMs", standard.gatherPass()),
-                        node.integer("fanOut", standard.fanOut(), 1, MAX_COUNT),
-                        millis(node, "prefetchMs", standard.prefetch()),
-                        node.integer("maxWaiting", standard.maxWaiting(), 1, MAX_COUNT),
-                        millis(node, "minGatherPauseMs", standard.minGatherPause()),
-                        millis(node, "readIntervalMs", standard.readInterval()),
-                        millis(node, "callTimeoutMs", standard.callTimeout()),
-                        millis(node, "retryMs", standard.retry()),
-                        millis(node, "pauseBoundMs", standard.pauseBound()),
-                        millis(node, "contactBoundMs", standard.contactBound()),
-                        millis(node, "isolationBoundMs", standard.isolationBound()),
-                        millis(node, "restartDelayMs", standard.restartDelay()),
-                        millis(node, "reclaimDelayMs", standard.reclaimDelay()),
-                        millis(node, "balanceIntervalMs", standard.balanceInterval()),
-                        node.number("balanceThreshold", standard.balanceThreshold(), 0, 1));
+                        millis(node, "loanTtlMs", defaults.loanTtl()),
+                        millis(node, "loanMarginMs", defaults.loanMargin()),
+                        millis(node, "gatherBoundMs", defaults.gatherBound()),
+                        millis(node, "gatherPassMs", defaults.gatherPass()),
+                        node.integer("fanOut", defaults.fanOut(), 1, MAX_COUNT),
+                        millis(node, "prefetchMs", defaults.prefetch()),
+                        node.integer("maxWaiting", defaults.maxWaiting(), 1, MAX_COUNT),
+                        millis(node, "minGatherPauseMs", defaults.minGatherPause()),
+                        millis(node, "readIntervalMs", defaults.readInterval()),
+                        millis(node, "callTimeoutMs", defaults.callTimeout()),
+                        millis(node, "retryMs", defaults.retry()),
+                        millis(node, "pauseBoundMs", defaults.pauseBound()),
+                        millis(node, "contactBoundMs", defaults.contactBound()),
+                        millis(node, "isolationBoundMs", defaults.isolationBound()),
+                        millis(node, "restartDelayMs", defaults.restartDelay()),
+                        millis(node, "reclaimDelayMs", defaults.reclaimDelay()),
+                        millis(node, "balanceIntervalMs", defaults.balanceInterval()),
+                        node.number("balanceThreshold", defaults.balanceThreshold(), 0, 1));
         if (!bounds.isReclaimSafe()) {
             node.addError(
                     "reclaimDelayMs",
@@ -48,7 +48,7 @@
         return bounds;
     }
 
-    private static Duration millis(SettingsNode node, String name, Duration standard) {
-        return node.millis(name, (int) standard.toMillis());
+    private static Duration millis(SettingsNode node, String name, Duration defaultValue) {
+        return node.millis(name, (int) defaultValue.toMillis());
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/control/LoanFrames.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/LoanFrames.java
@@ -5,34 +5,39 @@
 import org.sardinelift.protocol.generated.Lend;
 
 /**
- * Frames about loans of tokens. Parts of a token travel exactly; thousandths go with them for peers
- * that know nothing finer, rounded so that a loan is never more than its lender keeps back.
+ * Builds and reads the frames of token loans. Fractions of a token are sent exactly, along with
+ * thousandths for peers that know nothing finer. The thousandths are rounded so that a loan is
+ * never more than its lender has deducted.
  */
 final class LoanFrames {
-    private static final double MILLI = 1_000;
+    private static final double MILLITOKENS_PER_TOKEN = 1_000;
 
     private LoanFrames() {}
 
-    static Frame createBorrow(long exchange, String team, double tokens) {
-        long milli = (long) Math.ceil(tokens * MILLI);
-        return Frame.borrow(new Borrow(exchange, team, milli).setTokens(tokens));
+    static Frame createBorrow(long loanId, String team, double tokens) {
+        long milliTokens = (long) Math.ceil(tokens * MILLITOKENS_PER_TOKEN);
+        return Frame.borrow(new Borrow(loanId, team, milliTokens).setTokens(tokens));
     }
 
-    static Frame createLend(long exchange, String team, double tokens, long ttlMs) {
-        long milli = (long) Math.floor(tokens * MILLI);
-        return Frame.lend(new Lend(exchange, team, milli, ttlMs).setTokens(tokens));
+    static Frame createLend(long loanId, String team, double tokens, long ttlMs) {
+        long milliTokens = (long) Math.floor(tokens * MILLITOKENS_PER_TOKEN);
+        return Frame.lend(new Lend(loanId, team, milliTokens, ttlMs).setTokens(tokens));
     }
 
     static double tokens(Borrow borrow) {
-        return borrow.isSetTokens() ? sound(borrow.getTokens()) : borrow.getMilliTokens() / MILLI;
+        return borrow.isSetTokens()
+                ? sanitize(borrow.getTokens())
+                : borrow.getMilliTokens() / MILLITOKENS_PER_TOKEN;
     }
 
     static double tokens(Lend lend) {
-        return lend.isSetTokens() ? sound(lend.getTokens()) : lend.getMilliTokens() / MILLI;
+        return lend.isSetTokens()
+                ? sanitize(lend.getTokens())
+                : lend.getMilliTokens() / MILLITOKENS_PER_TOKEN;
     }
 
-    /** No tokens where a number could not have been counted. */
-    private static double sound(double tokens) {
+    /** Returns 0 for numbers that can't be a count of tokens: negative, infinite or NaN. */
+    private static double sanitize(double tokens) {
         return Double.isFinite(tokens) ? Math.max(0, tokens) : 0;
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
@@ -14,8 +14,8 @@
 import org.tinylog.Logger;
 
 /**
- * Reads the platform's list, takes the instances' own word and the state of connections, and
- * publishes who is a member. {@link Membership} says who may conclude what.
+ * Reads the platform's list of instances, receives the instances' own notices and the state of
+ * connections, and publishes the members. {@link Membership} states what each of them proves.
  */
 public final class MembershipController {
     private final ObjectStore store;
@@ -25,7 +25,7 @@
     private final List<Consumer<FleetView>> listeners = new CopyOnWriteArrayList<>();
     private final List<Consumer<List<InstanceInfo>>> listListeners = new CopyOnWriteArrayList<>();
     private volatile FleetView view = FleetView.empty();
-    private boolean listFailed;
+    private boolean hasListFailed;
 
     private MembershipController(
             ObjectStore store, ControlThread control, MembershipTimings timings) {
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Makes a controller; nothing is read before {@link #start}.
+     * Creates a controller, which reads nothing before {@link #start}.
      *
-     * @param store the platform
+     * @param store the platform's object store
      * @param control the control thread
      * @param timings intervals and bounds
      * @return the controller
@@ -48,14 +48,14 @@
         return new MembershipController(store, control, timings);
     }
 
-    /** Starts reading the list. */
+    /** Starts reading the list of instances. */
     public void start() {
         control.execute(this::poll);
         control.repeat(timings.pollInterval(), this::poll);
     }
 
     /**
-     * The members; safe for any thread.
+     * Returns the members. Safe for use by any thread.
      *
      * @return the newest view
      */
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Adds a listener, which hears of every change from now on.
+     * Adds a listener of all later changes.
      *
      * @param listener the listener, called on the control thread
      */
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Adds a listener for the platform's list itself, which hears of each successful reading.
+     * Adds a listener of the platform's list itself, called after each successful read.
      *
      * @param listener the listener, called on the control thread
      */
@@ -82,42 +82,45 @@
     }
 
     /**
-     * An instance has said that it is leaving; safe for any thread.
+     * Called when an instance has announced that it is leaving. Safe for use by any thread.
      *
      * @param instance its name
      */
     public void onLeaving(String instance) {
-        change(() -> membership.onLeaving(instance));
+        applyEvent(() -> membership.onLeaving(instance));
     }
 
     /**
-     * A connection to an instance was opened or lost; safe for any thread.
+     * Called when a connection to an instance was opened or lost. Safe for use by any thread.
      *
      * @param instance its name
-     * @param up whether one is open now
+     * @param isConnected whether a connection is open now
      */
-    public void onConnection(String instance, boolean up) {
-        change(() -> membership.onConnectionChanged(instance, up));
+    public void onConnection(String instance, boolean isConnected) {
+        applyEvent(() -> membership.onConnectionChanged(instance, isConnected));
     }
 
     private void poll() {
-        store.instances().thenAccept(result -> change(() -> onList(result)));
+        store.instances().thenAccept(result -> applyEvent(() -> onInstancesRead(result)));
     }
 
-    private void onList(InstancesResult result) {
+    private void onInstancesRead(InstancesResult result) {
         if (result instanceof InstancesResult.Instances instances) {
             List<InstanceInfo> listed =
-                    instances.instances().stream().map(MembershipController::info).toList();
+                    instances.instances().stream()
+                            .map(MembershipController::toInstanceInfo)
+                            .toList();
             membership.onList(listed, TimeUnit.NANOSECONDS.toMillis(System.nanoTime()));
-            listFailed = false;
+            hasListFailed = false;
             listListeners.forEach(listener -> listener.accept(listed));
-        } else if (!listFailed) {
-            listFailed = true;
-            Logger.warn("The list of instances can't be read; the members known so far are kept");
+        } else if (!hasListFailed) {
+            hasListFailed = true;
+            Logger.warn(
+                    "The platform's list of instances can't be read; the known members are kept");
         }
     }
 
-    private void change(Runnable event) {
+    private void applyEvent(Runnable event) {
         control.execute(
                 () -> {
                     event.run();
@@ -133,7 +136,7 @@
         }
     }
 
-    private static InstanceInfo info(InstancesResult.Instance instance) {
+    private static InstanceInfo toInstanceInfo(InstancesResult.Instance instance) {
         return new InstanceInfo(
                 instance.name(),
                 instance.role(),
--- a/entry/src/main/java/org/sardinelift/entry/control/ShareReclaimMonitor.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ShareReclaimMonitor.java
@@ -16,13 +16,13 @@
 import org.sardinelift.entry.peer.Peers;
 import org.sardinelift.objects.WriteResult;
 
-/** Notes the shares that this entry reclaims, and knows those that are still to be reclaimed. */
+/** Records the shares that this entry reclaims, and lists those still to be reclaimed. */
 public final class ShareReclaimMonitor implements SharesListener {
     private final MemberId self;
     private final DecisionRecorder decisions;
     private final Supplier<FleetView> fleet;
     private final Peers peers;
-    private volatile Shares last = Shares.initial();
+    private volatile Shares lastShares = Shares.initial();
 
     private ShareReclaimMonitor(
             MemberId self, DecisionRecorder decisions, Supplier<FleetView> fleet, Peers peers) {
@@ -33,13 +33,13 @@
     }
 
     /**
-     * Makes a watch that has seen nothing.
+     * Creates a monitor that has seen no shares.
      *
-     * @param self this life of this entry
-     * @param decisions notes what was reclaimed
-     * @param fleet the instances taken to be live
+     * @param self this incarnation of this entry
+     * @param decisions records what was reclaimed
+     * @param fleet the members of the fleet
      * @param peers the other entries
-     * @return the watch
+     * @return the monitor
      */
     public static ShareReclaimMonitor of(
             MemberId self, DecisionRecorder decisions, Supplier<FleetView> fleet, Peers peers) {
@@ -48,7 +48,7 @@
 
     @Override
     public void onRead(Shares shares) {
-        last = shares;
+        lastShares = shares;
     }
 
     @Override
@@ -56,14 +56,14 @@
         if (!(result instanceof WriteResult.Written)) {
             return;
         }
-        Shares before = last;
-        last = shares;
+        Shares before = lastShares;
+        lastShares = shares;
         before.members().keySet().stream()
                 .filter(member -> !member.equals(self) && !shares.members().containsKey(member))
-                .forEach(member -> reclaimed(member, before));
+                .forEach(member -> recordReclaim(member, before));
     }
 
-    private void reclaimed(MemberId member, Shares before) {
+    private void recordReclaim(MemberId member, Shares before) {
         decisions.record(
                 DecisionAction.SHARE_RECLAIMED,
                 member.instance(),
@@ -72,9 +72,10 @@
     }
 
     /**
-     * Shares of instances that are neither listed nor connected; safe for any thread.
+     * Returns the shares of instances that are neither members nor connected. Safe for use by any
+     * thread.
      *
-     * @return their names, each with the part of the limits that it holds
+     * @return their names, each with its part of the limits
      */
     public List<String> pendingReclaims() {
         Set<String> live =
@@ -82,7 +83,7 @@
                                 fleet.get().entries().stream().map(InstanceInfo::name),
                                 peers.connected().stream())
                         .collect(Collectors.toSet());
-        Shares shares = last;
+        Shares shares = lastShares;
         return shares.members().keySet().stream()
                 .filter(member -> !member.equals(self) && !live.contains(member.instance()))
                 .map(member -> member.instance() + ":" + fraction(shares.units(member)))
--- a/entry/src/main/java/org/sardinelift/entry/control/ShareStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ShareStore.java
@@ -13,7 +13,7 @@
 import org.sardinelift.runtime.ControlThread;
 import org.tinylog.Logger;
 
-/** Makes a ledger's calls of the platform and brings it their outcomes on the control thread. */
+/** Executes a ledger's platform calls and reports the outcomes to it on the control thread. */
 final class ShareStore {
     private final ObjectStore store;
     private final ControlThread control;
@@ -28,8 +28,8 @@
         this.onOutcome = onOutcome;
     }
 
-    void setListener(SharesListener other) {
-        listener = other;
+    void setListener(SharesListener newListener) {
+        listener = newListener;
     }
 
     void execute(ShareCall call) {
@@ -59,12 +59,12 @@
 
     private void onFound(long number, StoredObject object, long now) {
         DecodeResult<Shares> result = SharesCodec.decode(object.value());
-        if (result instanceof DecodeResult.Valid<Shares> sound) {
-            listener.onRead(sound.item());
-            ledger.onRead(number, object.version(), sound.item(), now);
-        } else if (result instanceof DecodeResult.Invalid<Shares> unsound) {
-            for (ConfigProblem problem : unsound.problems()) {
-                Logger.error("{} This entry's share of the limits stays as it is.", problem);
+        if (result instanceof DecodeResult.Valid<Shares> valid) {
+            listener.onRead(valid.item());
+            ledger.onRead(number, object.version(), valid.item(), now);
+        } else if (result instanceof DecodeResult.Invalid<Shares> invalid) {
+            for (ConfigProblem problem : invalid.problems()) {
+                Logger.error("{} This entry's share of the limits is left unchanged.", problem);
             }
             ledger.onFailed(number, now);
         }
--- a/entry/src/main/java/org/sardinelift/entry/control/SharesListener.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/SharesListener.java
@@ -3,9 +3,9 @@
 import org.sardinelift.core.limit.Shares;
 import org.sardinelift.objects.WriteResult;
 
-/** Sees the shares that entries hold of the limits, on the control thread. */
+/** Receives the entries' shares of the limits, on the control thread. */
 public interface SharesListener {
-    /** Sees nothing. */
+    /** Ignores all events. */
     SharesListener NONE =
             new SharesListener() {
                 @Override
@@ -16,17 +16,17 @@
             };
 
     /**
-     * The shares were read.
+     * Called when the shares were read.
      *
-     * @param shares what the platform holds
+     * @param shares the shares stored at the platform
      */
     void onRead(Shares shares);
 
     /**
-     * This entry tried to write the shares.
+     * Called when this entry has tried to write the shares.
      *
-     * @param shares what it tried to write
-     * @param result what came of it
+     * @param shares the shares that it tried to write
+     * @param result the result of the write
      */
     void onWritten(Shares shares, WriteResult result);
 }
--- a/entry/src/main/java/org/sardinelift/entry/control/package-info.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/package-info.java
@@ -1,4 +1,4 @@
-/** Controllers of an entry's state: configuration, membership, limits. */
+/** Controllers of an entry's state: configuration, membership and limits. */
 @NullMarked
 package org.sardinelift.entry.control;
 
--- a/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aWithdrawnKeyReachesTheListenersWithTheCatalogsBeforeAndAfter() {
+    void listenersReceiveThePreviousAndTheNewCatalogWhenAKeyIsWithdrawn() {
         put(new KeyEntry("k1", "north", "00ff", false), 0);
         List<Boolean> withdrawn = new CopyOnWriteArrayList<>();
         config.listen(
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void nothingIsReadyBeforeThePlatformAnswersAndAGapIsRepairedByAList() {
+    void isNotReadyBeforeThePlatformAnswersAndListsAgainAfterAGap() {
         store.down(true);
         config.start(() -> true);
         await().until(() -> store.calls() >= 2);
--- a/entry/src/test/java/org/sardinelift/entry/control/FakePeers.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/FakePeers.java
@@ -8,7 +8,7 @@
 import org.sardinelift.protocol.generated.Frame;
 import org.sardinelift.protocol.generated.Hello;
 
-/** Peers that keep what was sent and pass on what the test makes them say. */
+/** Peers that record the sent frames and deliver frames given by the test. */
 final class FakePeers implements Peers {
     private final List<Frame> sent = new ArrayList<>();
     private final List<FrameListener> listeners = new ArrayList<>();
@@ -37,7 +37,7 @@
         return List.copyOf(sent);
     }
 
-    void say(String instance, Frame frame) {
+    void deliver(String instance, Frame frame) {
         Hello hello = new Hello().setInstance(instance).setRole("entry");
         FrameConnection connection =
                 new FrameConnection() {
--- a/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
@@ -33,9 +33,14 @@
 import org.sardinelift.runtime.ControlThread;
 import org.sardinelift.testkit.FakeObjectStore;
 
+/**
+ * Guards against entries that refuse requests although the fleet has the tokens, that keep units
+ * when they leave, or that report readiness while they have only loans.
+ */
 class FleetLimiterTest {
-    private static final TeamPlan SMALL = new TeamPlan("north", 5, 2, Set.of("m"), Set.of(), 1, 1);
-    private static final List<String> NAMES = List.of("e1", "e2", "e3");
+    private static final TeamPlan TEAM_WITH_LOW_RATE =
+            new TeamPlan("north", 5, 2, Set.of("m"), Set.of(), 1, 1);
+    private static final List<String> ENTRIES = List.of("e1", "e2", "e3");
 
     private final FakeObjectStore store = new FakeObjectStore();
     private final Map<String, LinkedPeers> links = new ConcurrentHashMap<>();
@@ -48,14 +53,14 @@
     }
 
     @Test
-    void partsOfATokenHeldByThreeEntriesComeTogetherAtOne() {
-        NAMES.forEach(this::start);
+    void anEntryBorrowsTheFractionsOfATokenThatOtherEntriesOwn() {
+        ENTRIES.forEach(this::start);
         await().until(() -> unitsOf("e1") == Shares.TOTAL_UNITS / 3 && pool() == 0);
         await().until(() -> admit("e1") instanceof Admission.Admitted);
     }
 
     @Test
-    void anEntryWithoutAPlatformAndWithoutPeersRefuses() {
+    void anEntryWithoutPlatformAndPeersRefusesRequests() {
         store.down(true);
         start("e1");
         Admission.Refused refused = assertInstanceOf(Admission.Refused.class, admit("e1"));
@@ -63,30 +68,30 @@
     }
 
     @Test
-    void aLeavingEntryGivesItsUnitsBack() {
-        NAMES.forEach(this::start);
+    void aLeavingEntryReleasesItsUnits() {
+        ENTRIES.forEach(this::start);
         await().until(() -> unitsOf("e1") == Shares.TOTAL_UNITS / 3 && pool() == 0);
         limiters.get("e1").leave();
         await().until(() -> unitsOf("e1") == 0);
     }
 
     @Test
-    void aLeavingEntryIsNotHeldUpByAPlatformThatIsDown() throws Exception {
+    void leaveCompletesWhileThePlatformIsDown() throws Exception {
         store.down(true);
         start("e1");
         limiters.get("e1").leave().get(20, TimeUnit.SECONDS);
     }
 
     @Test
-    void aLeaveEndsWhenTheSharesNoLongerListTheEntry() throws Exception {
-        NAMES.forEach(this::start);
+    void leaveCompletesAfterTheEntryIsRemovedFromTheShares() throws Exception {
+        ENTRIES.forEach(this::start);
         await().until(() -> unitsOf("e1") == Shares.TOTAL_UNITS / 3 && pool() == 0);
         limiters.get("e1").leave().get(20, TimeUnit.SECONDS);
         assertFalse(shares().members().containsKey(new MemberId("e1", "e1-1")));
     }
 
     @Test
-    void anEntryThatLivesOnLoansIsNotReadyAtOnce() {
+    void anEntryThatHasOnlyLoansIsNotReadyAtOnce() {
         start("e1");
         await().atMost(20, TimeUnit.SECONDS)
                 .until(() -> unitsOf("e1") >= Shares.TOTAL_UNITS * 2 / 3);
@@ -100,7 +105,7 @@
 
     private Admission admit(String entry) {
         CompletableFuture<Admission> answer = new CompletableFuture<>();
-        limiters.get(entry).admit(SMALL, answer::complete);
+        limiters.get(entry).admit(TEAM_WITH_LOW_RATE, answer::complete);
         return answer.join();
     }
 
@@ -114,18 +119,18 @@
                         store,
                         control,
                         peers,
-                        team -> Optional.of(SMALL),
+                        team -> Optional.of(TEAM_WITH_LOW_RATE),
                         new MemberId(name, name + "-1"),
                         LimitBounds.defaults(),
                         new SplittableRandom(name.hashCode()));
         limiters.put(name, limiter);
         List<InstanceInfo> listed =
-                NAMES.stream()
+                ENTRIES.stream()
                         .map(it -> new InstanceInfo(it, "entry", "riga", "127.0.0.1", 1, "", false))
                         .toList();
         control.execute(() -> limiter.onList(listed));
         limiter.start();
-        links.values().forEach(LinkedPeers::up);
+        links.values().forEach(LinkedPeers::connect);
     }
 
     private long unitsOf(String name) {
@@ -140,12 +145,12 @@
         ReadResult read = store.read(SharesCodec.OBJECT_KEY).join();
         return read instanceof ReadResult.Found found
                         && SharesCodec.decode(found.object().value())
-                                instanceof DecodeResult.Valid<Shares> sound
-                ? sound.item()
+                                instanceof DecodeResult.Valid<Shares> valid
+                ? valid.item()
                 : Shares.initial();
     }
 
-    /** Peers in one process, which hand frames to each other directly. */
+    /** Peers in one process that deliver frames to each other directly. */
     private final class LinkedPeers implements Peers {
         private final String self;
         private final List<FrameListener> listeners = new ArrayList<>();
@@ -154,8 +159,8 @@
             this.self = self;
         }
 
-        void up() {
-            listeners.forEach(listener -> listener.onUp(new From(self)));
+        void connect() {
+            listeners.forEach(listener -> listener.onUp(new SenderConnection(self)));
         }
 
         @Override
@@ -167,7 +172,7 @@
         public boolean send(String instance, Frame frame) {
             links.get(instance)
                     .listeners
-                    .forEach(listener -> listener.onFrame(new From(self), frame));
+                    .forEach(listener -> listener.onFrame(new SenderConnection(self), frame));
             return true;
         }
 
@@ -182,7 +187,7 @@
         }
     }
 
-    private record From(String instance) implements FrameConnection {
+    private record SenderConnection(String instance) implements FrameConnection {
         @Override
         public boolean send(Frame frame) {
             return false;
--- a/entry/src/test/java/org/sardinelift/entry/control/LoanFramesTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/LoanFramesTest.java
@@ -7,24 +7,28 @@
 import org.sardinelift.protocol.generated.Lend;
 
 class LoanFramesTest {
-    private static final double PART = 1 / 3.0;
+    private static final double ONE_THIRD = 1 / 3.0;
 
     @Test
-    void partsOfATokenTravelExactly() {
-        assertEquals(PART, LoanFrames.tokens(LoanFrames.createBorrow(1, "t", PART).getBorrow()));
-        assertEquals(PART, LoanFrames.tokens(LoanFrames.createLend(1, "t", PART, 5).getLend()));
+    void fractionsOfATokenAreSentExactly() {
+        assertEquals(
+                ONE_THIRD,
+                LoanFrames.tokens(LoanFrames.createBorrow(1, "t", ONE_THIRD).getBorrow()));
+        assertEquals(
+                ONE_THIRD,
+                LoanFrames.tokens(LoanFrames.createLend(1, "t", ONE_THIRD, 5).getLend()));
     }
 
     @Test
-    void aPeerThatKnowsThousandthsOnlyAsksForEnoughAndLendsNoMoreThanWasLent() {
-        assertEquals(334, LoanFrames.createBorrow(1, "t", PART).getBorrow().getMilliTokens());
-        assertEquals(333, LoanFrames.createLend(1, "t", PART, 5).getLend().getMilliTokens());
+    void thousandthsAreRoundedUpToBorrowAndDownToLend() {
+        assertEquals(334, LoanFrames.createBorrow(1, "t", ONE_THIRD).getBorrow().getMilliTokens());
+        assertEquals(333, LoanFrames.createLend(1, "t", ONE_THIRD, 5).getLend().getMilliTokens());
         assertEquals(0.25, LoanFrames.tokens(new Borrow(1, "t", 250)));
         assertEquals(0.25, LoanFrames.tokens(new Lend(1, "t", 250, 5)));
     }
 
     @Test
-    void whatIsNoNumberOfTokensCountsAsNone() {
+    void invalidTokenCountsAreReadAsZero() {
         assertEquals(0, LoanFrames.tokens(new Lend(1, "t", 250, 5).setTokens(Double.NaN)));
         assertEquals(0, LoanFrames.tokens(new Lend(1, "t", 250, 5).setTokens(-1)));
         assertEquals(
