--- a/entry/src/main/java/org/sardinelift/entry/order/OrderController.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/OrderController.java
@@ -25,34 +25,34 @@
 import org.tinylog.Logger;
 
 /**
- * Drives {@link ControllerLease} and {@link RolloutPlanner}: looks at the platform each period,
- * writes what was decided, and sends the orders. A state whose write has no clear success is read
- * anew. Owned by the control thread.
+ * Acquires the {@link ControllerLease} and, as its owner, runs the roll-outs: reads the platform at
+ * each interval, writes what the {@link RolloutPlanner} decided, and then sends the orders. A state
+ * whose write was not confirmed is read again. Owned by the control thread.
  */
 public final class OrderController {
     private final RolloutStore store;
     private final Executor control;
     private final LongSupplier clockNanos;
-    private final OrderTransport lanes;
+    private final OrderTransport transport;
     private final Supplier<Catalog> catalog;
     private final Holder self;
     private final OrderBounds bounds;
     private final ControllerLease lease;
-    private @Nullable RolloutPlanner board;
-    private boolean looking;
+    private @Nullable RolloutPlanner planner;
+    private boolean isPolling;
 
     private OrderController(
             RolloutStore store,
             Executor control,
             LongSupplier clockNanos,
-            OrderTransport lanes,
+            OrderTransport transport,
             Supplier<Catalog> catalog,
             Holder self,
             OrderBounds bounds) {
         this.store = store;
         this.control = control;
         this.clockNanos = clockNanos;
-        this.lanes = lanes;
+        this.transport = transport;
         this.catalog = catalog;
         this.self = self;
         this.bounds = bounds;
@@ -60,12 +60,12 @@
     }
 
     /**
-     * Makes a controller; nothing happens before {@link #poll}.
+     * Creates a controller, which does nothing before {@link #poll}.
      *
-     * @param store the platform
+     * @param store the platform's object store
      * @param control the control thread
      * @param clockNanos monotonic clock, nanoseconds
-     * @param lanes the companions
+     * @param transport sends orders to the companions
      * @param catalog the configuration in force
      * @param self this entry
      * @param bounds intervals and bounds
@@ -75,43 +75,43 @@
             ObjectStore store,
             Executor control,
             LongSupplier clockNanos,
-            OrderTransport lanes,
+            OrderTransport transport,
             Supplier<Catalog> catalog,
             Holder self,
             OrderBounds bounds) {
         RolloutStore objects = new RolloutStore(store, control);
-        return new OrderController(objects, control, clockNanos, lanes, catalog, self, bounds);
+        return new OrderController(objects, control, clockNanos, transport, catalog, self, bounds);
     }
 
-    /** Looks at the lease and goes on where it is held; to be called each period. */
+    /** Reads the lease, and advances the roll-outs if it is owned. To be called periodically. */
     public void poll() {
-        if (looking) {
+        if (isPolling) {
             return;
         }
-        looking = true;
+        isPolling = true;
         store.readLease(this::onLease);
     }
 
     /**
-     * An order's result has come; safe for any thread.
+     * Called when the result of an order was received. Safe for use by any thread.
      *
      * @param result the result
      */
     public void onResult(OrderResult result) {
-        control.execute(() -> take(result));
+        control.execute(() -> applyResult(result));
     }
 
     /**
-     * The control connection to a companion was lost; safe for any thread.
+     * Called when the control connection to a companion was lost. Safe for use by any thread.
      *
      * @param companion its name
      */
     public void onLost(String companion) {
         control.execute(
                 () -> {
-                    if (board != null) {
+                    if (planner != null) {
                         long now = clockNanos.getAsLong();
-                        board.rollouts()
+                        planner.rollouts()
                                 .values()
                                 .forEach(rollout -> rollout.onConnectionLost(companion, now));
                     }
@@ -122,12 +122,12 @@
         long now = clockNanos.getAsLong();
         if (read.isEmpty()) {
             lease.onUnavailable();
-            work();
+            readRollouts();
             return;
         }
         Optional<LeaseRecord> next = lease.onRead(read.get().value(), read.get().version(), now);
         if (next.isEmpty()) {
-            work();
+            readRollouts();
             return;
         }
         store.writeLease(
@@ -139,17 +139,19 @@
     private void onLeaseWritten(LeaseRecord record, boolean written, long sentNanos) {
         if (written) {
             if (record.fence() != lease.fence()) {
-                Logger.info("This entry gives the orders from now on, fence {}", record.fence());
+                Logger.info(
+                        "This entry now owns the roll-out lease and sends the orders, fence {}",
+                        record.fence());
             }
             lease.onWritten(record, sentNanos);
         }
-        work();
+        readRollouts();
     }
 
-    private void work() {
+    private void readRollouts() {
         if (!lease.isValid(clockNanos.getAsLong())) {
-            rest();
-        } else if (board == null || board.fence() != lease.fence()) {
+            discardPlanner();
+        } else if (planner == null || planner.fence() != lease.fence()) {
             store.listStates(this::onStates);
         } else {
             store.listSpecs(this::onSpecs);
@@ -158,37 +160,37 @@
 
     private void onStates(Optional<List<RolloutState>> states) {
         if (states.isEmpty()) {
-            rest();
+            discardPlanner();
             return;
         }
-        board = RolloutPlanner.of(lease.fence(), bounds, states.get(), clockNanos.getAsLong());
+        planner = RolloutPlanner.of(lease.fence(), bounds, states.get(), clockNanos.getAsLong());
         store.listSpecs(this::onSpecs);
     }
 
     private void onSpecs(Optional<List<RolloutSpec>> specs) {
-        RolloutPlanner current = board;
+        RolloutPlanner current = planner;
         if (specs.isEmpty() || current == null) {
-            looking = false;
+            isPolling = false;
             return;
         }
-        current.plan(specs.get(), lanes.targets(), clockNanos.getAsLong());
+        current.plan(specs.get(), transport.targets(), clockNanos.getAsLong());
         advance(current, List.copyOf(current.rollouts().values()).iterator());
     }
 
-    /** Writes each changed state, then sends what follows from it. */
-    private void advance(RolloutPlanner current, Iterator<Rollout> rest) {
-        if (!rest.hasNext() || board != current) {
-            looking = false;
+    /** Writes each changed state before the orders that follow from it are sent. */
+    private void advance(RolloutPlanner current, Iterator<Rollout> remaining) {
+        if (!remaining.hasNext() || planner != current) {
+            isPolling = false;
             return;
         }
-        Rollout rollout = rest.next();
+        Rollout rollout = remaining.next();
         if (!rollout.isDirty()) {
-            send(rollout);
-            advance(current, rest);
+            sendOrders(rollout);
+            advance(current, remaining);
             return;
         }
         if (!lease.isValid(clockNanos.getAsLong())) {
-            rest();
+            discardPlanner();
             return;
         }
         RolloutState state = rollout.state();
@@ -197,24 +199,25 @@
                 written -> {
                     if (!written) {
                         Logger.info(
-                                "The state of roll-out {} was not written; it is read anew",
+                                "The write of the state of roll-out {} was not confirmed; reading"
+                                        + " it again",
                                 state.spec().name());
-                        rest();
+                        discardPlanner();
                         return;
                     }
                     rollout.onWritten();
-                    log(state);
-                    send(rollout);
-                    advance(current, rest);
+                    logPhase(state);
+                    sendOrders(rollout);
+                    advance(current, remaining);
                 });
     }
 
-    private void rest() {
-        board = null;
-        looking = false;
+    private void discardPlanner() {
+        planner = null;
+        isPolling = false;
     }
 
-    private void send(Rollout rollout) {
+    private void sendOrders(Rollout rollout) {
         RolloutSpec spec = rollout.state().spec();
         ServiceSpec service = catalog.get().services().get(spec.service());
         boolean checksFence = service != null && service.checksFence();
@@ -232,7 +235,7 @@
                                     order.version(),
                                     self.instance())
                             .setChecksFence(checksFence);
-            if (lanes.send(order.target(), frame)) {
+            if (transport.send(order.target(), frame)) {
                 rollout.onSent(order.target(), number.getAsLong(), clockNanos.getAsLong());
             } else {
                 rollout.onSendFailed(order.target(), clockNanos.getAsLong());
@@ -240,19 +243,19 @@
         }
     }
 
-    private void take(OrderResult result) {
+    private void applyResult(OrderResult result) {
         long highest = result.getHighestFence();
         if (!result.isAccepted() && lease.isOvertakenBy(highest)) {
             Logger.warn(
-                    "A target has seen order number {}, above this entry's fence {}; it gives no"
-                            + " order until it has claimed anew",
+                    "A target has received order number {}, above this entry's fence {}; this entry"
+                            + " sends no orders until it has claimed the lease again",
                     highest,
                     lease.fence());
             lease.onHigherNumber(highest);
-            board = null;
-        } else if (board != null) {
+            planner = null;
+        } else if (planner != null) {
             long now = clockNanos.getAsLong();
-            board.rollouts()
+            planner.rollouts()
                     .values()
                     .forEach(
                             rollout ->
@@ -265,7 +268,7 @@
         }
     }
 
-    private static void log(RolloutState state) {
+    private static void logPhase(RolloutState state) {
         Logger.info(
                 "Roll-out {} of {} is {}{}",
                 state.spec().name(),
--- a/entry/src/main/java/org/sardinelift/entry/order/OrderSettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/OrderSettings.java
@@ -4,7 +4,7 @@
 import org.sardinelift.core.order.OrderBounds;
 import org.sardinelift.settings.SettingsNode;
 
-/** Reads the bounds of orders. */
+/** Reads the bounds of orders and roll-outs from the settings. */
 public final class OrderSettings {
     private static final int MAX_LOADS = 100_000;
     private static final int MAX_TARGETS = 5_000;
@@ -18,18 +18,18 @@
      * @return the bounds, defaults where fields are absent
      */
     public static OrderBounds read(SettingsNode node) {
-        OrderBounds standard = OrderBounds.defaults();
+        OrderBounds defaults = OrderBounds.defaults();
         OrderBounds bounds =
                 new OrderBounds(
-                        millis(node, "periodMs", standard.pollInterval()),
-                        millis(node, "leaseValidMs", standard.leaseValid()),
-                        millis(node, "leaseTimeoutMs", standard.leaseTimeout()),
-                        node.integer("loadsInFlight", standard.maxLoadsInFlight(), 1, MAX_LOADS),
-                        node.integer("loadsPerMinute", standard.loadsPerMinute(), 1, MAX_LOADS),
-                        millis(node, "loadBoundMs", standard.loadTimeout()),
-                        millis(node, "retryPauseMs", standard.retryPause()),
-                        millis(node, "goneAfterMs", standard.goneTimeout()),
-                        node.integer("maxTargets", standard.maxTargets(), 1, MAX_TARGETS));
+                        millis(node, "periodMs", defaults.pollInterval()),
+                        millis(node, "leaseValidMs", defaults.leaseValid()),
+                        millis(node, "leaseTimeoutMs", defaults.leaseTimeout()),
+                        node.integer("loadsInFlight", defaults.maxLoadsInFlight(), 1, MAX_LOADS),
+                        node.integer("loadsPerMinute", defaults.loadsPerMinute(), 1, MAX_LOADS),
+                        millis(node, "loadBoundMs", defaults.loadTimeout()),
+                        millis(node, "retryPauseMs", defaults.retryPause()),
+                        millis(node, "goneAfterMs", defaults.goneTimeout()),
+                        node.integer("maxTargets", defaults.maxTargets(), 1, MAX_TARGETS));
         if (bounds.leaseValid().compareTo(bounds.leaseTimeout()) >= 0) {
             node.addError(
                     "leaseValidMs",
@@ -43,7 +43,7 @@
         return bounds;
     }
 
-    private static Duration millis(SettingsNode node, String name, Duration standard) {
-        return node.millis(name, (int) standard.toMillis());
+    private static Duration millis(SettingsNode node, String name, Duration defaultValue) {
+        return node.millis(name, (int) defaultValue.toMillis());
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/order/OrderTransport.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/OrderTransport.java
@@ -4,11 +4,11 @@
 import org.sardinelift.core.order.TargetView;
 import org.sardinelift.protocol.generated.Order;
 
-/** The companions, as the giver of orders sees them. */
+/** Lists the targets and sends orders to their companions. */
 public interface OrderTransport {
 
     /**
-     * Targets that have reported and are not leaving.
+     * Returns the targets that have reported and are not leaving.
      *
      * @return one view for each
      */
@@ -19,7 +19,7 @@
      *
      * @param companion name of the companion
      * @param order the order
-     * @return false where no connection is open
+     * @return false if no connection is open
      */
     boolean send(String companion, Order order);
 }
--- a/entry/src/main/java/org/sardinelift/entry/order/RolloutStore.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/RolloutStore.java
@@ -23,105 +23,105 @@
 import org.sardinelift.objects.kinds.RolloutCodec;
 import org.tinylog.Logger;
 
-/** The objects of roll-outs at the platform, with answers on the control thread. */
+/** Reads and writes the objects of roll-outs at the platform; calls back on the control thread. */
 final class RolloutStore {
-    private static final ObjectKey LEASE =
+    private static final ObjectKey LEASE_KEY =
             new ObjectKey(RolloutCodec.LEASE_KIND, RolloutCodec.LEASE_NAME);
 
     private final ObjectStore store;
     private final Executor control;
     private final Map<String, Long> stateVersions = new HashMap<>();
-    private final Set<String> unsound = new HashSet<>();
-    private final Set<String> unreadable = new HashSet<>();
+    private final Set<String> loggedInvalid = new HashSet<>();
+    private final Set<String> unreadableStates = new HashSet<>();
 
     RolloutStore(ObjectStore store, Executor control) {
         this.store = store;
         this.control = control;
     }
 
-    /** The lease as it was read. */
+    /** The lease and its version at the platform. */
     record StoredLease(LeaseRecord value, long version) {}
 
-    /** Reads the lease; empty where the platform gave no answer. */
-    void readLease(Consumer<Optional<StoredLease>> done) {
-        hop(store.read(LEASE), result -> done.accept(lease(result)));
+    /** Reads the lease; empty if the platform did not answer. */
+    void readLease(Consumer<Optional<StoredLease>> onDone) {
+        completeOnControl(store.read(LEASE_KEY), result -> onDone.accept(toLease(result)));
     }
 
-    private Optional<StoredLease> lease(ReadResult result) {
+    private Optional<StoredLease> toLease(ReadResult result) {
         if (result instanceof ReadResult.Absent) {
             return Optional.of(new StoredLease(LeaseRecord.NONE, ObjectStore.ABSENT_VERSION));
         }
         if (!(result instanceof ReadResult.Found found)) {
             return Optional.empty();
         }
-        return sound(found.object(), RolloutCodec.decodeLease(found.object().value()))
+        return validItem(found.object(), RolloutCodec.decodeLease(found.object().value()))
                 .map(value -> new StoredLease(value, found.object().version()));
     }
 
-    /** Writes the lease over a version; true where it certainly took effect. */
-    void writeLease(LeaseRecord value, long version, Consumer<Boolean> done) {
-        hop(
-                store.write(LEASE, version, RolloutCodec.encodeLease(value)),
-                result -> done.accept(result instanceof WriteResult.Written));
+    /** Writes the lease if it still has the given version; true if the write was confirmed. */
+    void writeLease(LeaseRecord value, long version, Consumer<Boolean> onDone) {
+        completeOnControl(
+                store.write(LEASE_KEY, version, RolloutCodec.encodeLease(value)),
+                result -> onDone.accept(result instanceof WriteResult.Written));
     }
 
     /**
-     * Lists what operators want; empty where the platform gave no answer. Where what was decided
-     * can't be read, nothing is begun in its place.
+     * Lists the roll-outs that operators requested; empty if the platform did not answer. A
+     * roll-out whose stored state can't be read is left out, so that nothing replaces it.
      */
-    void listSpecs(Consumer<Optional<List<RolloutSpec>>> done) {
-        hop(
+    void listSpecs(Consumer<Optional<List<RolloutSpec>>> onDone) {
+        completeOnControl(
                 store.list(RolloutCodec.SPEC_KIND, ""),
                 result ->
-                        done.accept(
-                                each(result, RolloutStore::spec)
+                        onDone.accept(
+                                decodeAll(result, RolloutStore::decodeSpec)
                                         .map(
                                                 specs ->
                                                         specs.stream()
-                                                                .filter(this::readable)
+                                                                .filter(this::hasReadableState)
                                                                 .toList())));
     }
 
-    private static DecodeResult<RolloutSpec> spec(StoredObject object) {
+    private static DecodeResult<RolloutSpec> decodeSpec(StoredObject object) {
         return RolloutCodec.decodeSpec(object.key().name(), object.revision(), object.value());
     }
 
-    private boolean readable(RolloutSpec spec) {
-        return !unreadable.contains(spec.name());
+    private boolean hasReadableState(RolloutSpec spec) {
+        return !unreadableStates.contains(spec.name());
     }
 
-    /** Lists what was decided; empty where the platform gave no answer. */
-    void listStates(Consumer<Optional<List<RolloutState>>> done) {
-        hop(
+    /** Lists the stored states of roll-outs; empty if the platform did not answer. */
+    void listStates(Consumer<Optional<List<RolloutState>>> onDone) {
+        completeOnControl(
                 store.list(RolloutCodec.STATUS_KIND, ""),
                 result -> {
                     if (result instanceof ListResult.Listed listed) {
-                        note(listed.objects());
+                        updateVersions(listed.objects());
                     }
-                    done.accept(each(result, RolloutStore::state));
+                    onDone.accept(decodeAll(result, RolloutStore::decodeState));
                 });
     }
 
-    private static DecodeResult<RolloutState> state(StoredObject object) {
+    private static DecodeResult<RolloutState> decodeState(StoredObject object) {
         return RolloutCodec.decodeState(object.key().name(), object.value());
     }
 
-    private void note(List<StoredObject> states) {
+    private void updateVersions(List<StoredObject> states) {
         stateVersions.clear();
-        unreadable.clear();
+        unreadableStates.clear();
         for (StoredObject object : states) {
             stateVersions.put(object.key().name(), object.version());
-            if (!(state(object) instanceof DecodeResult.Valid<RolloutState>)) {
-                unreadable.add(object.key().name());
+            if (!(decodeState(object) instanceof DecodeResult.Valid<RolloutState>)) {
+                unreadableStates.add(object.key().name());
             }
         }
     }
 
-    /** Writes a state over the version last seen; true where it certainly took effect. */
-    void writeState(RolloutState state, Consumer<Boolean> done) {
+    /** Writes a state if it still has the version last read; true if the write was confirmed. */
+    void writeState(RolloutState state, Consumer<Boolean> onDone) {
         String name = state.spec().name();
         long version = stateVersions.getOrDefault(name, ObjectStore.ABSENT_VERSION);
-        hop(
+        completeOnControl(
                 store.write(
                         new ObjectKey(RolloutCodec.STATUS_KIND, name),
                         version,
@@ -130,27 +130,28 @@
                     if (result instanceof WriteResult.Written written) {
                         stateVersions.put(name, written.version());
                     }
-                    done.accept(result instanceof WriteResult.Written);
+                    onDone.accept(result instanceof WriteResult.Written);
                 });
     }
 
-    private <T> Optional<List<T>> each(
-            ListResult result, Function<StoredObject, DecodeResult<T>> reader) {
+    private <T> Optional<List<T>> decodeAll(
+            ListResult result, Function<StoredObject, DecodeResult<T>> decoder) {
         return result instanceof ListResult.Listed listed
                 ? Optional.of(
                         listed.objects().stream()
-                                .flatMap(object -> sound(object, reader.apply(object)).stream())
+                                .flatMap(
+                                        object -> validItem(object, decoder.apply(object)).stream())
                                 .toList())
                 : Optional.empty();
     }
 
-    private <T> Optional<T> sound(StoredObject object, DecodeResult<T> result) {
-        if (result instanceof DecodeResult.Valid<T> sound) {
-            return Optional.of(sound.item());
+    private <T> Optional<T> validItem(StoredObject object, DecodeResult<T> result) {
+        if (result instanceof DecodeResult.Valid<T> valid) {
+            return Optional.of(valid.item());
         }
-        if (unsound.add(object.key() + " " + object.version())) {
+        if (loggedInvalid.add(object.key() + " " + object.version())) {
             Logger.warn(
-                    "{}/{} is left out: {}",
+                    "Ignoring {}/{}, which can't be read: {}",
                     object.key().kind(),
                     object.key().name(),
                     ((DecodeResult.Invalid<T>) result).problems());
@@ -158,7 +159,7 @@
         return Optional.empty();
     }
 
-    private <T> void hop(CompletableFuture<T> future, Consumer<T> done) {
-        future.thenAccept(result -> control.execute(() -> done.accept(result)));
+    private <T> void completeOnControl(CompletableFuture<T> future, Consumer<T> onDone) {
+        future.thenAccept(result -> control.execute(() -> onDone.accept(result)));
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/order/package-info.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/package-info.java
@@ -1,4 +1,4 @@
-/** The controller of orders: the one entry that holds the lease gives them. */
+/** The controller of roll-outs: the one entry that owns the lease sends the orders. */
 @NullMarked
 package org.sardinelift.entry.order;
 
--- a/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
@@ -27,18 +27,21 @@
 import org.sardinelift.protocol.generated.OrderResult;
 import org.sardinelift.testkit.FakeObjectStore;
 
-/** Controllers on a platform in memory, in virtual time. */
+/**
+ * Runs controllers on a platform in memory, in virtual time. Guards against orders from two entries
+ * at once, and against roll-outs that start or stall where the platform's state is unknown.
+ */
 class OrderControllerTest {
     private static final OrderBounds BOUNDS = OrderBounds.defaults();
     private final FakeObjectStore platform = new FakeObjectStore();
     private final Map<String, String> versions = new TreeMap<>(Map.of("c1", "1", "c2", "1"));
-    private final List<String> givenBy = new ArrayList<>();
-    private final List<Long> numbers = new ArrayList<>();
-    private String failing = "";
+    private final List<String> senders = new ArrayList<>();
+    private final List<Long> orderNumbers = new ArrayList<>();
+    private String failingCompanion = "";
     private long nowNanos;
 
-    /** Companions that carry each order out at once. */
-    private final class Lanes implements OrderTransport {
+    /** Carries out each order at once, as a companion would. */
+    private final class ImmediateTransport implements OrderTransport {
         private OrderController controller;
 
         @Override
@@ -59,9 +62,9 @@
         @Override
         public boolean send(String companion, Order order) {
             assertTrue(state().activeTargets().contains(companion), "noted before it is ordered");
-            givenBy.add(order.getHolder());
-            numbers.add(order.getFence());
-            boolean fails = companion.equals(failing) && order.getVersion().equals("2");
+            senders.add(order.getHolder());
+            orderNumbers.add(order.getFence());
+            boolean fails = companion.equals(failingCompanion) && order.getVersion().equals("2");
             if (!fails) {
                 versions.put(companion, order.getVersion());
             }
@@ -72,11 +75,11 @@
         }
     }
 
-    private OrderController controller(String name) {
-        Lanes lanes = new Lanes();
+    private OrderController createController(String name) {
+        ImmediateTransport transport = new ImmediateTransport();
         List<Runnable> tasks = new ArrayList<>();
         boolean[] running = {false};
-        lanes.controller =
+        transport.controller =
                 OrderController.of(
                         platform,
                         task -> {
@@ -90,14 +93,14 @@
                             }
                         },
                         () -> nowNanos,
-                        lanes,
+                        transport,
                         Catalog::empty,
                         new Holder(name, name + "-1"),
                         BOUNDS);
-        return lanes.controller;
+        return transport.controller;
     }
 
-    private void want(String id, long version) {
+    private void writeSpec(String id, long version) {
         RolloutSpec spec =
                 new RolloutSpec("r", id, 0, "s", RolloutGoal.version("m", "2"), 0.5, false);
         platform.write(
@@ -110,7 +113,7 @@
         return ((DecodeResult.Valid<RolloutState>) RolloutCodec.decodeState("r", value)).item();
     }
 
-    private void look(int periods, OrderController... controllers) {
+    private void poll(int periods, OrderController... controllers) {
         IntStream.range(0, periods)
                 .forEach(
                         i -> {
@@ -120,55 +123,55 @@
     }
 
     @Test
-    void onlyTheHolderGivesOrdersUntilItsLeaseLapses() {
-        OrderController first = controller("e1");
-        OrderController second = controller("e2");
-        want("a", 0);
-        look(10, first, second);
-        assertEquals(Set.of("e1"), Set.copyOf(givenBy));
+    void onlyTheLeaseOwnerSendsOrdersUntilTheLeaseExpires() {
+        OrderController first = createController("e1");
+        OrderController second = createController("e2");
+        writeSpec("a", 0);
+        poll(10, first, second);
+        assertEquals(Set.of("e1"), Set.copyOf(senders));
         assertEquals(RolloutPhase.COMPLETED, state().phase());
 
         versions.put("c2", "1");
-        want("b", 1);
-        look(4, second);
-        assertEquals(2, givenBy.size());
-        look(10, second);
-        assertEquals("e2", givenBy.get(2));
+        writeSpec("b", 1);
+        poll(4, second);
+        assertEquals(2, senders.size());
+        poll(10, second);
+        assertEquals("e2", senders.get(2));
         assertEquals(RolloutPhase.COMPLETED, state().phase());
-        look(10, first, second);
-        assertEquals(3, givenBy.size());
-        assertEquals(numbers.stream().sorted().distinct().toList(), numbers);
+        poll(10, first, second);
+        assertEquals(3, senders.size());
+        assertEquals(orderNumbers.stream().sorted().distinct().toList(), orderNumbers);
     }
 
     @Test
-    void aFailedLoadGoesBackAndTheStatusSaysWhy() {
-        failing = "c2";
-        want("a", 0);
-        look(20, controller("e1"));
+    void aFailedLoadIsRolledBackAndTheStatusStatesTheReason() {
+        failingCompanion = "c2";
+        writeSpec("a", 0);
+        poll(20, createController("e1"));
         assertEquals(RolloutPhase.ROLLED_BACK, state().phase());
         assertEquals("c2: no weights", state().rollbackReason());
         assertEquals(Map.of("c1", "1", "c2", "1"), versions);
     }
 
     @Test
-    void nothingIsBegunInPlaceOfAStateThatCannotBeRead() {
+    void noRolloutStartsWhereTheStoredStateCannotBeRead() {
         platform.write(new ObjectKey(RolloutCodec.STATUS_KIND, "r"), 0, "{\"phase\":\"NEW\"}");
-        want("a", 0);
-        look(20, controller("e1"));
-        assertTrue(givenBy.isEmpty());
+        writeSpec("a", 0);
+        poll(20, createController("e1"));
+        assertTrue(senders.isEmpty());
     }
 
     @Test
-    void anOutageOfThePlatformHoldsOrdersBackAndLostAnswersAreReadAgain() {
-        OrderController only = controller("e1");
-        want("a", 0);
-        look(1, only);
+    void noOrdersAreSentDuringAPlatformOutageAndUnconfirmedWritesAreReadAgain() {
+        OrderController only = createController("e1");
+        writeSpec("a", 0);
+        poll(1, only);
         platform.down(true);
-        look(20, only);
-        assertTrue(givenBy.isEmpty());
+        poll(20, only);
+        assertTrue(senders.isEmpty());
         platform.down(false);
         platform.loseAnswers(3);
-        look(60, only);
+        poll(60, only);
         assertEquals(RolloutPhase.COMPLETED, state().phase());
         assertTrue(Duration.ofNanos(nowNanos).toMinutes() < 5);
     }
