--- a/entry/src/main/java/org/sardinelift/entry/peer/PeerMesh.java
+++ b/entry/src/main/java/org/sardinelift/entry/peer/PeerMesh.java
@@ -20,8 +20,8 @@
 import org.sardinelift.protocol.generated.Hello;
 
 /**
- * One connection to each other entry. Of two entries the one with the smaller name opens it; the
- * other hears of it through {@link #inboundListener()}, the listener of its server.
+ * Maintains one connection to each other entry. Of two entries, the one with the smaller name opens
+ * it; the other receives it through {@link #inboundListener()}, the listener of its server.
  */
 public final class PeerMesh implements Peers, AutoCloseable {
     private static final String ROLE = "entry";
@@ -46,12 +46,12 @@
     }
 
     /**
-     * Makes a mesh without connections.
+     * Creates a mesh without connections.
      *
      * @param group event loops
-     * @param tls gives the certificates in force, or null for plaintext
-     * @param self gives this entry's hello at each new connection
-     * @param timings heartbeat, silence and backoff
+     * @param tls supplies the certificates in force, or null for plaintext
+     * @param self supplies this entry's hello for each new connection
+     * @param timings heartbeat interval, silence timeout and reconnect backoff
      * @return the mesh
      */
     public static PeerMesh of(
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Opens links to new entries and closes those to entries that are gone or have another address.
+     * Opens links to new entries and closes those to entries that are gone or have a new address.
      *
      * @param view the members
      */
@@ -73,17 +73,18 @@
                 view.entries().stream()
                         .filter(entry -> name.compareTo(entry.name()) < 0)
                         .collect(Collectors.toMap(InstanceInfo::name, entry -> entry));
-        links.entrySet().removeIf(link -> link.getValue().closedUnless(wanted.get(link.getKey())));
+        links.entrySet()
+                .removeIf(link -> link.getValue().closeIfChanged(wanted.get(link.getKey())));
         wanted.values().forEach(entry -> links.computeIfAbsent(entry.name(), it -> open(entry)));
     }
 
     /**
-     * The listener for connections that other entries open.
+     * Returns the listener for connections that other entries open.
      *
      * @return a listener that ignores connections of other roles
      */
     public FrameListener inboundListener() {
-        return new Registry();
+        return new ConnectionRegistry();
     }
 
     @Override
@@ -110,7 +111,7 @@
     /** Closes every link. */
     @Override
     public synchronized void close() {
-        links.values().forEach(link -> link.link().close());
+        links.values().forEach(link -> link.frameLink().close());
         links.clear();
     }
 
@@ -119,33 +120,39 @@
                 entry.host(),
                 entry.port(),
                 FrameLink.open(
-                        group, entry.host(), entry.port(), tls, self, timings, new Registry()));
+                        group,
+                        entry.host(),
+                        entry.port(),
+                        tls,
+                        self,
+                        timings,
+                        new ConnectionRegistry()));
     }
 
-    private record Link(String host, int port, FrameLink link) {
-        boolean closedUnless(@Nullable InstanceInfo wanted) {
-            boolean same = wanted != null && wanted.port() == port && wanted.host().equals(host);
-            if (!same) {
-                link.close();
+    private record Link(String host, int port, FrameLink frameLink) {
+        boolean closeIfChanged(@Nullable InstanceInfo wanted) {
+            boolean isSame = wanted != null && wanted.port() == port && wanted.host().equals(host);
+            if (!isSame) {
+                frameLink.close();
             }
-            return !same;
+            return !isSame;
         }
     }
 
-    /** Keeps the newest connection of each peer and passes its events on. */
-    private final class Registry implements FrameListener {
+    /** Registers the newest connection of each peer and forwards its events to the listeners. */
+    private final class ConnectionRegistry implements FrameListener {
         @Override
         public void onUp(FrameConnection connection) {
             if (isEntry(connection)) {
                 connections.put(connection.peer().getInstance(), connection);
-                tell(listener -> listener.onUp(connection));
+                notifyListeners(listener -> listener.onUp(connection));
             }
         }
 
         @Override
         public void onFrame(FrameConnection connection, Frame frame) {
             if (isEntry(connection)) {
-                tell(listener -> listener.onFrame(connection, frame));
+                notifyListeners(listener -> listener.onFrame(connection, frame));
             }
         }
 
@@ -153,7 +160,7 @@
         public void onDown(FrameConnection connection, String reason) {
             if (isEntry(connection)
                     && connections.remove(connection.peer().getInstance(), connection)) {
-                tell(listener -> listener.onDown(connection, reason));
+                notifyListeners(listener -> listener.onDown(connection, reason));
             }
         }
 
@@ -161,7 +168,7 @@
             return ROLE.equals(connection.peer().getRole());
         }
 
-        private void tell(Consumer<FrameListener> event) {
+        private void notifyListeners(Consumer<FrameListener> event) {
             listeners.forEach(event);
         }
     }
--- a/entry/src/main/java/org/sardinelift/entry/peer/Peers.java
+++ b/entry/src/main/java/org/sardinelift/entry/peer/Peers.java
@@ -4,7 +4,7 @@
 import org.sardinelift.protocol.FrameListener;
 import org.sardinelift.protocol.generated.Frame;
 
-/** The other entries of the fleet, as far as connections to them are up. */
+/** The other entries of the fleet that this entry is connected to. */
 public interface Peers {
 
     /**
@@ -19,19 +19,20 @@
      *
      * @param instance name of the peer
      * @param frame the frame
-     * @return false where no connection is up and the frame was certainly not sent
+     * @return false if no connection is open and the frame was certainly not sent
      */
     boolean send(String instance, Frame frame);
 
     /**
-     * Peers with an open connection.
+     * Returns the peers with an open connection.
      *
      * @return their instance names
      */
     List<String> connected();
 
     /**
-     * Adds a listener for frames from peers; each listener ignores the kinds that it does not know.
+     * Adds a listener of connections and frames. Each listener ignores kinds of frames that it
+     * doesn't know.
      *
      * @param listener the listener
      */
--- a/entry/src/test/java/org/sardinelift/entry/peer/PeerMeshTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/peer/PeerMeshTest.java
@@ -26,6 +26,7 @@
 import org.sardinelift.protocol.generated.Lane;
 import org.sardinelift.protocol.generated.Revision;
 
+/** Guards against entries without a connection to each other, and connections to lost entries. */
 class PeerMeshTest {
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
@@ -40,18 +41,18 @@
     }
 
     @Test
-    void eachEntryReachesEachOtherAndALostOneIsNoLongerConnected() throws BindException {
-        Set<String> heard = new ConcurrentSkipListSet<>();
+    void everyEntryConnectsToEveryOtherAndALostOneIsDisconnected() throws BindException {
+        Set<String> received = new ConcurrentSkipListSet<>();
         for (String name : List.of("e1", "e2", "e3")) {
             start(name);
-            meshes.get(name).listen(new Recorder(name, heard));
+            meshes.get(name).listen(new RecordingListener(name, received));
         }
         meshes.values().forEach(mesh -> mesh.update(view()));
         await().until(() -> meshes.values().stream().allMatch(m -> m.connected().size() == 2));
         meshes.forEach((name, mesh) -> mesh.broadcast(Frame.revision(new Revision(1, 0, true))));
         await().until(
                         () ->
-                                heard.equals(
+                                received.equals(
                                         Set.of(
                                                 "e1<e2", "e1<e3", "e2<e1", "e2<e3", "e3<e1",
                                                 "e3<e2")));
@@ -89,13 +90,13 @@
         return new InstanceInfo(name, "entry", "riga", "127.0.0.1", port, "", false);
     }
 
-    private record Recorder(String name, Set<String> heard) implements FrameListener {
+    private record RecordingListener(String name, Set<String> received) implements FrameListener {
         @Override
         public void onUp(FrameConnection connection) {}
 
         @Override
         public void onFrame(FrameConnection connection, Frame frame) {
-            heard.add(name + "<" + connection.peer().getInstance());
+            received.add(name + "<" + connection.peer().getInstance());
         }
 
         @Override
