--- a/entry/src/main/java/org/sardinelift/entry/http/BatchRoutes.java
+++ b/entry/src/main/java/org/sardinelift/entry/http/BatchRoutes.java
@@ -13,8 +13,8 @@
      * @param exchange the request; its key has been checked
      * @param team team of the key
      * @param requestId identifier of the request, unique over the fleet
-     * @param answered told the HTTP status code at the end of the answer
-     * @return false where no route fits and nothing was or will be answered
+     * @param onAnswered receives the HTTP status code when the response ends
+     * @return false if no route matches and the request is left unanswered
      */
-    boolean handle(HttpExchange exchange, TeamPlan team, String requestId, IntConsumer answered);
+    boolean handle(HttpExchange exchange, TeamPlan team, String requestId, IntConsumer onAnswered);
 }
--- a/entry/src/main/java/org/sardinelift/entry/http/CallerRoutes.java
+++ b/entry/src/main/java/org/sardinelift/entry/http/CallerRoutes.java
@@ -19,53 +19,56 @@
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.http.HttpHandler;
 
-/** Routes of the callers' port. */
+/** HTTP routes of the callers' port. */
 public final class CallerRoutes implements HttpHandler {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String BATCHES = "/v1/batches";
+    private static final String BATCHES_PATH = "/v1/batches";
 
-    private final FilterChain calls;
-    private final FilterChain models;
-    private final FilterChain batches;
-    private final Function<HttpExchange, CallContext> contexts;
+    private final FilterChain callChain;
+    private final FilterChain modelChain;
+    private final FilterChain batchChain;
+    private final Function<HttpExchange, CallContext> contextFactory;
 
     private CallerRoutes(
-            FilterChain calls,
-            FilterChain models,
-            FilterChain batches,
-            Function<HttpExchange, CallContext> contexts) {
-        this.calls = calls;
-        this.models = models;
-        this.batches = batches;
-        this.contexts = contexts;
+            FilterChain callChain,
+            FilterChain modelChain,
+            FilterChain batchChain,
+            Function<HttpExchange, CallContext> contextFactory) {
+        this.callChain = callChain;
+        this.modelChain = modelChain;
+        this.batchChain = batchChain;
+        this.contextFactory = contextFactory;
     }
 
     /**
-     * Makes the routes.
+     * Creates the routes.
      *
-     * @param identity filters that every request passes, up to its team
-     * @param work filters of calls to targets, after those
+     * @param commonFilters filters that every request passes, up to the one that finds its team
+     * @param callFilters filters that calls to targets pass after the common filters
      * @param catalog configuration in force
-     * @param jobs routes of batch jobs
-     * @param contexts makes the context of a request
+     * @param batchRoutes routes of batch jobs
+     * @param contextFactory creates the context of a request
      * @return the routes
      */
     public static CallerRoutes of(
-            List<CallFilter> identity,
-            List<CallFilter> work,
+            List<CallFilter> commonFilters,
+            List<CallFilter> callFilters,
             Supplier<Catalog> catalog,
-            BatchRoutes jobs,
-            Function<HttpExchange, CallContext> contexts) {
+            BatchRoutes batchRoutes,
+            Function<HttpExchange, CallContext> contextFactory) {
         return new CallerRoutes(
-                chain(identity, work.toArray(CallFilter[]::new)),
-                chain(identity, (call, next) -> listModels(call, catalog.get())),
-                chain(identity, KeyLeakFilter.create(), (call, next) -> handOver(call, jobs)),
-                contexts);
+                chain(commonFilters, callFilters.toArray(CallFilter[]::new)),
+                chain(commonFilters, (call, next) -> listModels(call, catalog.get())),
+                chain(
+                        commonFilters,
+                        KeyLeakFilter.create(),
+                        (call, next) -> handleBatch(call, batchRoutes)),
+                contextFactory);
     }
 
     @Override
     public void handle(HttpExchange exchange) {
-        CallContext call = contexts.apply(exchange);
+        CallContext call = contextFactory.apply(exchange);
         String path;
         try {
             path = exchange.path();
@@ -76,12 +79,12 @@
                             "the path is not percent-encoded UTF-8"));
             return;
         }
-        if (path.equals(BATCHES) || path.startsWith(BATCHES + "/")) {
-            batches.run(call);
+        if (path.equals(BATCHES_PATH) || path.startsWith(BATCHES_PATH + "/")) {
+            batchChain.run(call);
         } else if (path.equals("/v1/models")) {
-            models.run(call);
+            modelChain.run(call);
         } else {
-            calls.run(call);
+            callChain.run(call);
         }
     }
 
@@ -91,8 +94,9 @@
         return FilterChain.of(all);
     }
 
-    private static void handOver(CallContext call, BatchRoutes jobs) {
-        if (!jobs.handle(call.exchange(), call.team(), call.requestId(), call::onLocalAnswer)) {
+    private static void handleBatch(CallContext call, BatchRoutes batchRoutes) {
+        if (!batchRoutes.handle(
+                call.exchange(), call.team(), call.requestId(), call::onLocalAnswer)) {
             call.refuse(
                     Problem.notRun(
                             ProblemKind.NOT_FOUND,
--- a/entry/src/main/java/org/sardinelift/entry/http/OperatorRoutes.java
+++ b/entry/src/main/java/org/sardinelift/entry/http/OperatorRoutes.java
@@ -18,7 +18,7 @@
 import org.sardinelift.http.HttpHandler;
 import org.sardinelift.runtime.Metrics;
 
-/** Routes of the operators' port. */
+/** HTTP routes of the operators' port. */
 public final class OperatorRoutes implements HttpHandler {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -26,19 +26,19 @@
     private final Map<String, Consumer<HttpExchange>> routes;
 
     /**
-     * What the routes show and do.
+     * The data that the routes return and the actions that they start.
      *
      * @param instance name of this instance
      * @param zone availability zone
-     * @param notReady why the balancer should not send requests here, or empty
+     * @param notReady why the load balancer should not send requests here, or empty
      * @param catalog configuration in force
-     * @param targets what is known of each target
-     * @param callsInFlight calls under way
-     * @param peers entries that this one is connected to
-     * @param teams what each active team gets here
-     * @param jobs jobs that this entry holds
-     * @param sharesToReclaim shares of the limits whose holders are gone
-     * @param explain decisions on a subject as JSON, answered later
+     * @param targets state of each known target
+     * @param callsInFlight number of calls in flight
+     * @param peers number of connected entries
+     * @param teams status of each active team at this entry
+     * @param jobs jobs that this entry owns
+     * @param sharesToReclaim shares of the limits whose owners are gone
+     * @param explain responds, later, with the decisions on a subject as JSON
      * @param drain starts the drain
      */
     public record Sources(
@@ -60,19 +60,19 @@
         this.routes =
                 Map.of(
                         "GET /healthz", exchange -> exchange.respondJson(200, "{\"ok\":true}"),
-                        "GET /readyz", this::ready,
-                        "GET /metrics", OperatorRoutes::metrics,
-                        "GET /config", this::config,
-                        "GET /targets", this::targets,
-                        "GET /status", this::status,
+                        "GET /readyz", this::respondReadiness,
+                        "GET /metrics", OperatorRoutes::respondMetrics,
+                        "GET /config", this::respondConfig,
+                        "GET /targets", this::respondTargets,
+                        "GET /status", this::respondStatus,
                         "GET /explain", sources.explain(),
-                        "POST /drain", this::drain);
+                        "POST /drain", this::startDrain);
     }
 
     /**
-     * Makes the routes.
+     * Creates the routes.
      *
-     * @param sources what the routes show and do
+     * @param sources data and actions of the routes
      * @return the routes
      */
     public static OperatorRoutes of(Sources sources) {
@@ -92,22 +92,22 @@
         route.accept(exchange);
     }
 
-    private void ready(HttpExchange exchange) {
+    private void respondReadiness(HttpExchange exchange) {
         Optional<String> reason = sources.notReady().get();
         ObjectNode answer = MAPPER.createObjectNode().put("ready", reason.isEmpty());
         reason.ifPresent(text -> answer.put("reason", text));
         exchange.respondJson(reason.isEmpty() ? 200 : 503, answer.toString());
     }
 
-    private static void metrics(HttpExchange exchange) {
+    private static void respondMetrics(HttpExchange exchange) {
         exchange.respond(200, Map.of("content-type", Metrics.CONTENT_TYPE), Metrics.text());
     }
 
-    private void config(HttpExchange exchange) {
-        exchange.respondJson(200, config().toString());
+    private void respondConfig(HttpExchange exchange) {
+        exchange.respondJson(200, configNode().toString());
     }
 
-    private ObjectNode config() {
+    private ObjectNode configNode() {
         Catalog catalog = sources.catalog().get();
         return MAPPER.createObjectNode()
                 .put("instance", sources.instance())
@@ -117,7 +117,7 @@
                 .put("services", catalog.services().size());
     }
 
-    private void targets(HttpExchange exchange) {
+    private void respondTargets(HttpExchange exchange) {
         ObjectNode answer = MAPPER.createObjectNode().put("instance", sources.instance());
         addTargets(answer);
         exchange.respondJson(200, answer.toString());
@@ -144,7 +144,7 @@
                         });
     }
 
-    private void status(HttpExchange exchange) {
+    private void respondStatus(HttpExchange exchange) {
         ObjectNode answer =
                 MAPPER.createObjectNode()
                         .put("instance", sources.instance())
@@ -152,17 +152,17 @@
                         .put("ready", sources.notReady().get().isEmpty())
                         .put("callsUnderWay", sources.callsInFlight().get())
                         .put("peers", sources.peers().get());
-        answer.set("config", config());
+        answer.set("config", configNode());
         addTargets(answer);
         ArrayNode teams = answer.putArray("teams");
-        sources.teams().get().forEach(team -> write(teams.addObject(), team));
+        sources.teams().get().forEach(team -> writeTeam(teams.addObject(), team));
         ArrayNode jobs = answer.putArray("jobs");
-        sources.jobs().get().forEach(job -> write(jobs.addObject(), job));
+        sources.jobs().get().forEach(job -> writeJob(jobs.addObject(), job));
         sources.sharesToReclaim().get().forEach(answer.putArray("sharesToReclaim")::add);
         exchange.respondJson(200, answer.toString());
     }
 
-    private static void write(ObjectNode node, TeamStatus status) {
+    private static void writeTeam(ObjectNode node, TeamStatus status) {
         node.put("team", status.team())
                 .put("admitted", status.traffic().admitted())
                 .put("refused", status.traffic().refused())
@@ -178,7 +178,7 @@
         }
     }
 
-    private static void write(ObjectNode node, JobStatus job) {
+    private static void writeJob(ObjectNode node, JobStatus job) {
         node.put("job", job.id())
                 .put("team", job.team())
                 .put("takenOverFrom", job.takenOverFrom())
@@ -193,7 +193,7 @@
         }
     }
 
-    private void drain(HttpExchange exchange) {
+    private void startDrain(HttpExchange exchange) {
         exchange.respondJson(202, "{\"draining\":true}");
         sources.drain().run();
     }
