--- a/entry/src/main/java/org/sardinelift/entry/CompanionConnections.java
+++ b/entry/src/main/java/org/sardinelift/entry/CompanionConnections.java
@@ -9,17 +9,17 @@
 import org.sardinelift.protocol.generated.ExplainResult;
 import org.sardinelift.protocol.generated.Frame;
 
-/** The control connections to companions, over which they are asked for their decisions. */
+/** The control connections to companions, used to query their decisions. */
 final class CompanionConnections {
     private final Map<String, FrameConnection> connections = new ConcurrentHashMap<>();
     private volatile BiConsumer<String, ExplainResult> onResult = (companion, result) -> {};
 
-    /** Lets a listener hear the companions' answers, on traffic threads. */
+    /** Sets the listener of the companions' results, called on event-loop threads. */
     void setResultListener(BiConsumer<String, ExplainResult> listener) {
         onResult = listener;
     }
 
-    /** Sends a frame; false where no connection to the companion is open. */
+    /** Sends a frame; false if no connection to the companion is open. */
     boolean send(String companion, Frame frame) {
         FrameConnection connection = connections.get(companion);
         return connection != null && connection.send(frame);
@@ -29,7 +29,7 @@
         return Set.copyOf(connections.keySet());
     }
 
-    /** Takes the answers out of what comes on a control connection; the rest goes on. */
+    /** Wraps a connection's listener: results go to the result listener, other frames to it. */
     FrameListener interceptResults(String companion, FrameListener next) {
         return new FrameListener() {
             @Override
--- a/entry/src/main/java/org/sardinelift/entry/Endpoint.java
+++ b/entry/src/main/java/org/sardinelift/entry/Endpoint.java
@@ -3,10 +3,10 @@
 import org.sardinelift.settings.SettingsNode;
 
 /**
- * An address to bind or to call.
+ * An address to bind or to connect to.
  *
  * @param host IP address
- * @param port port, 0 to bind any
+ * @param port port, 0 to bind any free one
  */
 public record Endpoint(String host, int port) {
     private static final int MAX_PORT = 65_535;
@@ -16,7 +16,7 @@
     }
 
     /**
-     * The address with the port that was bound.
+     * Returns the address with the port that was bound.
      *
      * @param boundPort port in use
      * @return host and port, joined by a colon
--- a/entry/src/main/java/org/sardinelift/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryMetrics.java
@@ -6,13 +6,13 @@
 import org.sardinelift.core.route.Candidate;
 import org.sardinelift.core.route.Ejection;
 
-/** Gauges of what an entry holds and sees. */
+/** Gauges of an entry's calls, targets, configuration and jobs. */
 final class EntryMetrics {
     private static final Gauge CALLS =
             gauge("sardinelift_calls_under_way", "Calls and batch items under way.");
     private static final Gauge TARGETS =
             gauge("sardinelift_targets_usable", "Targets that get calls of this entry.");
-    private static final Gauge TARGETS_OUT =
+    private static final Gauge TARGETS_LEFT_OUT =
             gauge("sardinelift_targets_left_out", "Known targets that get no call of this entry.");
     private static final Gauge REVISION =
             gauge("sardinelift_config_revision", "Revision of the configuration in force.");
@@ -24,8 +24,8 @@
 
     private EntryMetrics() {}
 
-    static void setCallsInFlight(int underWay) {
-        CALLS.set(underWay);
+    static void setCallsInFlight(int inFlight) {
+        CALLS.set(inFlight);
     }
 
     static void setRevision(long revision) {
@@ -39,7 +39,7 @@
                         .filter(target -> target.admission() == Ejection.Admission.IN)
                         .count();
         TARGETS.set(usable);
-        TARGETS_OUT.set(targets.size() - usable);
+        TARGETS_LEFT_OUT.set(targets.size() - usable);
     }
 
     static void setJobs(List<JobStatus> jobs) {
--- a/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
@@ -26,9 +26,9 @@
 import org.sardinelift.runtime.tls.TlsFiles;
 import org.tinylog.Logger;
 
-/** The entry role: takes callers' requests and sends them to companions. */
+/** A process of the entry role, which accepts callers' requests and sends them to companions. */
 public final class EntryProcess implements AutoCloseable {
-    private static final Duration DRAIN_POLL = Duration.ofMillis(50);
+    private static final Duration DRAIN_POLL_INTERVAL = Duration.ofMillis(50);
 
     private final EntrySettings settings;
     private final EventLoopGroup group;
@@ -36,8 +36,8 @@
     private final CompletableFuture<Void> drained = new CompletableFuture<>();
     private final CompletableFuture<Void> drainRequested = new CompletableFuture<>();
     private final FrameServer peerServer;
-    private final HttpServer callers;
-    private final HttpServer operators;
+    private final HttpServer callerServer;
+    private final HttpServer operatorServer;
 
     private EntryProcess(
             EntrySettings settings,
@@ -59,13 +59,13 @@
                         () -> services.createHello(Lane.CONTROL),
                         settings.links(),
                         services.peers().inboundListener());
-        operators =
+        operatorServer =
                 bind(
                         settings.operators(),
                         HttpLimits.defaults(),
                         null,
-                        services.createOperatorRoutes(this::askDrain));
-        callers =
+                        services.createOperatorRoutes(this::requestDrain));
+        callerServer =
                 bind(
                         settings.caller(),
                         settings.requests().httpLimits(),
@@ -81,29 +81,30 @@
      * @throws IOException where an address is taken or the certificates can't be read
      */
     public static EntryProcess start(EntrySettings settings) throws IOException {
-        return start(settings, group -> platform(settings, group));
+        return start(settings, group -> createPlatformClient(settings, group));
     }
 
     /**
-     * Starts an entry on a given platform.
+     * Starts an entry with a given platform client.
      *
      * @param settings its settings
-     * @param platform makes the client of the platform on the entry's event loops
+     * @param clientFactory creates the platform client on the entry's event loops
      * @return the running entry
      * @throws IOException where an address is taken or the certificates can't be read
      */
     public static EntryProcess start(
-            EntrySettings settings, Function<EventLoopGroup, ObjectStore> platform)
+            EntrySettings settings, Function<EventLoopGroup, ObjectStore> clientFactory)
             throws IOException {
         Certificates certificates = Certificates.open(settings);
         Metrics.registerJvm();
         EventLoopGroup group = new NioEventLoopGroup(settings.eventLoops());
-        EntryProcess entry = new EntryProcess(settings, group, platform.apply(group), certificates);
+        EntryProcess entry =
+                new EntryProcess(settings, group, clientFactory.apply(group), certificates);
         entry.services.start();
         return entry;
     }
 
-    private static ObjectStore platform(EntrySettings settings, EventLoopGroup group) {
+    private static ObjectStore createPlatformClient(EntrySettings settings, EventLoopGroup group) {
         HttpClient client = HttpClient.create(group, settings.platformTimeout(), null);
         ObjectStore store =
                 HttpObjectStore.create(
@@ -115,7 +116,7 @@
     }
 
     /**
-     * The line that tells the starter that the process is ready.
+     * Returns the line by which the parent process learns that this one is ready.
      *
      * @return one JSON object on one line
      */
@@ -125,17 +126,17 @@
                         + "\"operators\":\"%s\",\"peer\":\"%s\"}",
                 EntryServices.ROLE,
                 settings.instance(),
-                settings.caller().formatWithPort(callers.port()),
-                settings.operators().formatWithPort(operators.port()),
+                settings.caller().formatWithPort(callerServer.port()),
+                settings.operators().formatWithPort(operatorServer.port()),
                 settings.peer().formatWithPort(peerServer.port()));
     }
 
     /**
-     * Turns readiness, refuses new work after the delay, gives this entry's share of the limits
-     * back, and lets running calls end.
+     * Reports this entry as not ready, refuses new work after the drain delay, releases this
+     * entry's share of the limits, and waits for running calls to end.
      *
-     * @return completes when the share is back, or can't be given, and no call is under way or the
-     *     longest time has passed
+     * @return completes when the share is released, or can't be, and no call is in flight or the
+     *     drain timeout has passed
      */
     public CompletableFuture<Void> drain() {
         services.control().execute(this::startDrain);
@@ -143,16 +144,16 @@
     }
 
     /**
-     * Tells when an operator asks for a drain; the starter then ends the process once it is
-     * drained, as after SIGTERM.
+     * Completes when an operator requests a drain. Whoever started the entry then ends the process
+     * once it is drained, as after SIGTERM.
      *
-     * @return completes once a drain is asked for
+     * @return completes once a drain is requested
      */
     public CompletableFuture<Void> drainRequested() {
         return drainRequested;
     }
 
-    private void askDrain() {
+    private void requestDrain() {
         drain();
         drainRequested.complete(null);
     }
@@ -163,38 +164,38 @@
         }
         services.readiness().announceDrain();
         Logger.info(
-                "Draining: not ready for the balancer, new work is refused after {}",
+                "Draining: reported not ready to the load balancer; refusing new work after {}",
                 settings.drainDelay());
-        CompletableFuture<Void> batchDone = new CompletableFuture<>();
-        services.batch().drain(() -> batchDone.complete(null));
-        services.control().schedule(settings.drainDelay(), () -> closeToWork(batchDone));
+        CompletableFuture<Void> batchDrained = new CompletableFuture<>();
+        services.batch().drain(() -> batchDrained.complete(null));
+        services.control().schedule(settings.drainDelay(), () -> stopAcceptingWork(batchDrained));
     }
 
-    private void closeToWork(CompletableFuture<Void> batchDone) {
+    private void stopAcceptingWork(CompletableFuture<Void> batchDrained) {
         services.readiness().closeToWork();
         long deadline = System.nanoTime() + settings.drainTimeout().toNanos();
-        CompletableFuture.allOf(batchDone, services.limiter().leave())
+        CompletableFuture.allOf(batchDrained, services.limiter().leave())
                 .thenRun(() -> services.control().execute(() -> awaitCalls(deadline)));
     }
 
     private void awaitCalls(long deadlineNanos) {
         ControlThread control = services.control();
-        int left = Math.max(services.callsInFlight(), callers.answersDue());
-        if (left == 0) {
+        int callsLeft = Math.max(services.callsInFlight(), callerServer.answersDue());
+        if (callsLeft == 0) {
             drained.complete(null);
         } else if (System.nanoTime() - deadlineNanos >= 0) {
-            Logger.warn("{} calls are still under way past the drain timeout; they are cut", left);
+            Logger.warn("{} calls still in flight after the drain timeout are aborted", callsLeft);
             drained.complete(null);
         } else {
-            control.schedule(DRAIN_POLL, () -> awaitCalls(deadlineNanos));
+            control.schedule(DRAIN_POLL_INTERVAL, () -> awaitCalls(deadlineNanos));
         }
     }
 
-    /** Stops at once; calls under way are cut. */
+    /** Stops at once; calls in flight are aborted. */
     @Override
     public void close() {
-        callers.close();
-        operators.close();
+        callerServer.close();
+        operatorServer.close();
         peerServer.close();
         services.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
@@ -209,7 +210,7 @@
         return HttpServer.start(group, address.host(), address.port(), limits, tls, handler);
     }
 
-    /** What each port and link shows at a new connection; null for plaintext. */
+    /** TLS contexts for new connections of each port and of the links; null for plaintext. */
     private record Certificates(
             @Nullable Supplier<SslContext> caller,
             @Nullable Supplier<SslContext> peer,
--- a/entry/src/main/java/org/sardinelift/entry/EntryServices.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryServices.java
@@ -64,7 +64,7 @@
 import org.sardinelift.runtime.ControlThread;
 import org.sardinelift.runtime.Telemetry;
 
-/** The controllers, the dispatcher and the filters of an entry, wired to each other. */
+/** Creates and connects the controllers, the dispatcher and the filters of an entry. */
 final class EntryServices {
     static final String ROLE = "entry";
     private static final Duration METRICS_INTERVAL = Duration.ofSeconds(1);
@@ -75,22 +75,22 @@
     private final @Nullable Supplier<SslContext> peerTls;
     private final String incarnation = UUID.randomUUID().toString();
     private final ControlThread control = ControlThread.start("entry-control");
-    private final ControlThread explaining = ControlThread.start("entry-explain");
+    private final ControlThread explainThread = ControlThread.start("entry-explain");
     private final Telemetry telemetry;
     private final PeerMesh peers;
     private final ConfigController config;
     private final MembershipController membership;
     private final FleetLimiter limiter;
     private final Readiness readiness;
-    private final CrashGuard guard;
+    private final CrashGuard crashGuard;
     private final FrameDispatcher dispatcher;
     private final RunningCalls calls;
     private final DecisionRecorder decisions;
-    private final TeamRequestCounter tally = TeamRequestCounter.create();
+    private final TeamRequestCounter requestCounter = TeamRequestCounter.create();
     private final CompanionConnections companions = new CompanionConnections();
     private final Explainer explainer;
-    private final ShareReclaimMonitor shares;
-    private final JobDecisions jobs;
+    private final ShareReclaimMonitor reclaimMonitor;
+    private final JobDecisions jobDecisions;
     private final BatchService batch;
     private final OrderController orders;
 
@@ -114,21 +114,26 @@
         membership = MembershipController.of(store, control, settings.membership());
         limiter = createLimiter();
         readiness = Readiness.of(config::isReady, limiter::isReady, config::isIsolated);
-        guard = CrashGuard.of(settings.instance(), settings.poison(), peers, store, group);
+        crashGuard = CrashGuard.of(settings.instance(), settings.poison(), peers, store, group);
         DecisionLog log = DecisionLog.of(settings.explainEntries());
         decisions = DecisionRecorder.of(log, System::currentTimeMillis);
-        dispatcher = dispatcher(log);
+        dispatcher = createDispatcher(log);
         calls = RunningCalls.of(config::catalog);
         explainer =
                 new Explainer(
-                        settings.instance(), log, peers, companions, membership::view, explaining);
-        shares =
+                        settings.instance(),
+                        log,
+                        peers,
+                        companions,
+                        membership::view,
+                        explainThread);
+        reclaimMonitor =
                 ShareReclaimMonitor.of(
                         new MemberId(settings.instance(), incarnation),
                         decisions,
                         membership::view,
                         peers);
-        jobs = JobDecisions.of(decisions);
+        jobDecisions = JobDecisions.of(decisions);
         batch =
                 BatchService.start(
                         store,
@@ -138,13 +143,13 @@
                         settings.instance(),
                         control,
                         settings.batch(),
-                        jobs);
+                        jobDecisions);
         orders =
                 OrderController.of(
                         store,
                         control::execute,
                         System::nanoTime,
-                        new Lanes(dispatcher),
+                        new DispatcherTransport(dispatcher),
                         config::catalog,
                         new Holder(settings.instance(), incarnation),
                         settings.orders());
@@ -155,7 +160,7 @@
                 store,
                 control,
                 peers,
-                this::plan,
+                this::findPlan,
                 new MemberId(settings.instance(), incarnation),
                 settings.limits(),
                 settings.seed() == 0
@@ -163,24 +168,24 @@
                         : new SplittableRandom(settings.seed()));
     }
 
-    private Optional<TeamPlan> plan(String team) {
-        TeamPlan open = openTeam();
+    private Optional<TeamPlan> findPlan(String team) {
+        TeamPlan open = createOpenTeam();
         return team.equals(open.name())
                 ? Optional.of(open)
                 : Optional.ofNullable(config.catalog().teams().get(team));
     }
 
-    private FrameDispatcher dispatcher(DecisionLog log) {
+    private FrameDispatcher createDispatcher(DecisionLog log) {
         Random random = settings.seed() == 0 ? new Random() : new Random(settings.seed());
         return FrameDispatcher.create(
                 settings.instance(),
                 settings.zone(),
                 settings.calls(),
-                opener(),
-                new Evidence(),
+                createLinkOpener(),
+                new CompanionEvents(),
                 group,
                 random::nextDouble,
-                guard,
+                crashGuard,
                 log,
                 telemetry);
     }
@@ -192,22 +197,22 @@
         config.listen((before, after) -> calls.onCatalogChanged(after));
         config.listen(limiter);
         config.listen(ConfigChangeRecorder.of(decisions));
-        config.listen((before, after) -> tally.retainTeams(teams(after)));
-        limiter.listen(shares);
+        config.listen((before, after) -> requestCounter.retainTeams(teamNames(after)));
+        limiter.listen(reclaimMonitor);
         limiter.start();
         config.start(readiness::isAccepting);
         membership.start();
-        guard.setSuspectListener(dispatcher::requeueSuspects);
-        guard.start(control);
+        crashGuard.setSuspectListener(dispatcher::requeueSuspects);
+        crashGuard.start(control);
         control.repeat(settings.orders().pollInterval(), orders::poll);
-        control.repeat(METRICS_INTERVAL, this::measure);
+        control.repeat(METRICS_INTERVAL, this::updateMetrics);
     }
 
-    private void measure() {
+    private void updateMetrics() {
         EntryMetrics.setCallsInFlight(callsInFlight());
         EntryMetrics.setRevision(config.catalog().revision());
         EntryMetrics.setTargets(dispatcher.candidates());
-        EntryMetrics.setJobs(jobs.heldJobs());
+        EntryMetrics.setJobs(jobDecisions.heldJobs());
     }
 
     ControlThread control() {
@@ -230,7 +235,7 @@
         return batch;
     }
 
-    /** Online calls and batch items that are not at their end. */
+    /** Returns the number of online calls and batch items that have not ended. */
     int callsInFlight() {
         return Math.max(calls.size(), dispatcher.callsInFlight());
     }
@@ -248,14 +253,16 @@
 
     CallerRoutes createCallerRoutes() {
         RequestBounds requests = settings.requests();
-        List<CallFilter> identity =
+        List<CallFilter> commonFilters =
                 List.of(
                         TraceFilter.of(telemetry),
-                        RefusalRecordingFilter.of(decisions, tally),
+                        RefusalRecordingFilter.of(decisions, requestCounter),
                         DrainFilter.of(readiness::refusal),
                         KeyFilter.of(
-                                config::catalog, KeyDigest.of(settings.keyPepper()), openTeam()));
-        List<CallFilter> work =
+                                config::catalog,
+                                KeyDigest.of(settings.keyPepper()),
+                                createOpenTeam()));
+        List<CallFilter> callFilters =
                 List.of(
                         calls,
                         ServiceFilter.of(
@@ -263,12 +270,16 @@
                                 requests.deadline(),
                                 requests.maxDeadline(),
                                 requests.prefixChars()),
-                        LimitFilter.of(limiter, limiter::share, decisions, tally),
-                        PoisonFilter.of(guard),
+                        LimitFilter.of(limiter, limiter::share, decisions, requestCounter),
+                        PoisonFilter.of(crashGuard),
                         IdempotencyFilter.of(store, group, settings.idempotency()),
                         DispatchFilter.of(dispatcher));
         return CallerRoutes.of(
-                identity, work, config::catalog, BatchHttp.of(batch, limiter), this::context);
+                commonFilters,
+                callFilters,
+                config::catalog,
+                BatchHttp.of(batch, limiter),
+                this::createContext);
     }
 
     OperatorRoutes createOperatorRoutes(Runnable drain) {
@@ -282,8 +293,8 @@
                         this::callsInFlight,
                         () -> peers.connected().size(),
                         this::teamStatus,
-                        jobs::heldJobs,
-                        shares::pendingReclaims,
+                        jobDecisions::heldJobs,
+                        reclaimMonitor::pendingReclaims,
                         explainer::handle,
                         drain));
     }
@@ -293,16 +304,16 @@
         dispatcher.close();
         peers.close();
         control.close();
-        explaining.close();
+        explainThread.close();
         telemetry.close();
     }
 
-    private CallContext context(HttpExchange exchange) {
+    private CallContext createContext(HttpExchange exchange) {
         return CallContext.of(
                 exchange, UUID.randomUUID().toString(), settings.requests().maxUnsentBytes());
     }
 
-    private TeamPlan openTeam() {
+    private TeamPlan createOpenTeam() {
         return new TeamPlan(
                 "",
                 settings.requests().openRatePerSecond(),
@@ -313,7 +324,7 @@
                 1);
     }
 
-    private static Set<String> teams(Catalog catalog) {
+    private static Set<String> teamNames(Catalog catalog) {
         Set<String> names = new HashSet<>(catalog.teams().keySet());
         names.add("");
         return names;
@@ -322,12 +333,12 @@
     private List<TeamStatus> teamStatus() {
         return TeamStatus.ofActiveTeams(
                 config.catalog().teams(),
-                tally.traffic(System.nanoTime()),
+                requestCounter.traffic(System.nanoTime()),
                 dispatcher.callsByTeam(false),
                 dispatcher.callsByTeam(true));
     }
 
-    private LinkOpener opener() {
+    private LinkOpener createLinkOpener() {
         return (companion, lane, listener) ->
                 FrameLink.open(
                                 group,
@@ -342,12 +353,12 @@
                         ::close;
     }
 
-    /** Passes on what connections show. */
-    private final class Evidence implements CompanionListener {
+    /** Forwards the events of connections to companions. */
+    private final class CompanionEvents implements CompanionListener {
         @Override
-        public void onConnection(String instance, boolean up) {
-            membership.onConnection(instance, up);
-            if (!up) {
+        public void onConnection(String instance, boolean isConnected) {
+            membership.onConnection(instance, isConnected);
+            if (!isConnected) {
                 orders.onLost(instance);
             }
         }
@@ -364,8 +375,8 @@
         }
     }
 
-    /** Gives orders over the dispatcher's connections. */
-    private record Lanes(FrameDispatcher dispatcher) implements OrderTransport {
+    /** Sends orders over the dispatcher's connections. */
+    private record DispatcherTransport(FrameDispatcher dispatcher) implements OrderTransport {
         @Override
         public List<TargetView> targets() {
             return dispatcher.targetViews();
--- a/entry/src/main/java/org/sardinelift/entry/EntrySettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntrySettings.java
@@ -26,8 +26,8 @@
  * @param instance name of this instance, unique over the fleet
  * @param zone availability zone
  * @param platform address of the platform's object API
- * @param platformTimeout longest time for one call of the platform
- * @param platformBudget what this instance may call of the platform
+ * @param platformTimeout timeout of one platform call
+ * @param platformBudget limit of this instance's platform calls
  * @param caller address of the callers' port
  * @param callerTls certificate of the callers' port, or empty for plaintext
  * @param requests bounds of callers' requests
@@ -35,23 +35,23 @@
  * @param peer address of the port for other entries
  * @param peerTls certificates for links to entries and companions, or empty for plaintext
  * @param keyPepper secret of the keyed hash of callers' keys, the same on every instance
- * @param config intervals of the configuration
- * @param membership intervals of membership
+ * @param config intervals and timeouts of reading the configuration
+ * @param membership intervals and timeouts of membership
  * @param limits bounds of the fleet-wide limits
- * @param links times of connections between processes
+ * @param links intervals and timeouts of connections between processes
  * @param calls bounds of calls to targets
- * @param poison bounds of dealing with requests that crash targets
- * @param idempotency bounds of Idempotency-Key
+ * @param poison bounds for requests that crash targets
+ * @param idempotency bounds for requests with an Idempotency-Key
  * @param batch settings of batch work
  * @param orders bounds of orders to targets
- * @param drainDelay time between readiness turning and the refusal of new work
- * @param drainTimeout longest time for running calls to end
- * @param explainEntries decisions that are kept
- * @param traceFile file that gets one JSON line for each span
+ * @param drainDelay time between reporting not ready and refusing new work
+ * @param drainTimeout longest time to wait for running calls to end
+ * @param explainEntries maximum number of decisions kept in memory
+ * @param traceFile file to which each span is written as one JSON line
  * @param otlpEndpoint URL of an OTLP collector
- * @param traceRatio share of new traces that are recorded, 0 to 1
- * @param eventLoops threads for traffic
- * @param seed seed of this instance's random numbers, 0 for one of its own
+ * @param traceRatio fraction of new traces that are recorded, 0 to 1
+ * @param eventLoops number of event-loop threads
+ * @param seed seed of this instance's random numbers, 0 for a random one
  */
 public record EntrySettings(
         String instance,
@@ -103,7 +103,7 @@
                         node.text("zone"),
                         Endpoint.read(platform),
                         platform.millis("timeoutMs", 2_000),
-                        budget(platform),
+                        readCallBudget(platform),
                         Endpoint.read(caller),
                         caller.optionalObject("tls", ServerTlsSettings::read),
                         RequestBounds.read(caller.object("bounds")),
@@ -111,10 +111,10 @@
                         Endpoint.read(peer),
                         peer.optionalObject("tls", TlsSettings::read),
                         node.text("keyPepper"),
-                        config(node.object("config")),
-                        membership(node.object("membership")),
+                        readConfigTimings(node.object("config")),
+                        readMembershipTimings(node.object("membership")),
                         LimitSettings.read(node.object("limits")),
-                        links(node.object("links")),
+                        readLinkTimings(node.object("links")),
                         CallBounds.read(node.object("calls")),
                         PoisonBounds.read(node.object("poison")),
                         IdempotencyBounds.read(node.object("idempotency")),
@@ -133,43 +133,43 @@
         return settings;
     }
 
-    private static CallBudget budget(SettingsNode node) {
-        CallBudget standard = CallBudget.defaults();
+    private static CallBudget readCallBudget(SettingsNode node) {
+        CallBudget defaults = CallBudget.defaults();
         return new CallBudget(
-                node.number("callsPerSecond", standard.callsPerSecond(), 1, MAX_CALLS),
-                node.integer("burst", standard.burst(), 1, MAX_CALLS),
-                node.integer("maxQueued", standard.maxQueued(), 1, MAX_CALLS));
+                node.number("callsPerSecond", defaults.callsPerSecond(), 1, MAX_CALLS),
+                node.integer("burst", defaults.burst(), 1, MAX_CALLS),
+                node.integer("maxQueued", defaults.maxQueued(), 1, MAX_CALLS));
     }
 
-    private static ConfigTimings config(SettingsNode node) {
-        ConfigTimings standard = ConfigTimings.defaults();
+    private static ConfigTimings readConfigTimings(SettingsNode node) {
+        ConfigTimings defaults = ConfigTimings.defaults();
         return new ConfigTimings(
-                millis(node, "watchWaitMs", standard.watchWait()),
-                millis(node, "callTimeoutMs", standard.callTimeout()),
-                millis(node, "retryMs", standard.retryPause()),
-                millis(node, "watchPauseMs", standard.watchPause()),
-                millis(node, "gossipMs", standard.gossipInterval()),
-                millis(node, "behindBoundMs", standard.relistDelay()),
-                millis(node, "isolationMs", standard.isolationTimeout()));
+                millis(node, "watchWaitMs", defaults.watchWait()),
+                millis(node, "callTimeoutMs", defaults.callTimeout()),
+                millis(node, "retryMs", defaults.retryPause()),
+                millis(node, "watchPauseMs", defaults.watchPause()),
+                millis(node, "gossipMs", defaults.gossipInterval()),
+                millis(node, "behindBoundMs", defaults.relistDelay()),
+                millis(node, "isolationMs", defaults.isolationTimeout()));
     }
 
-    private static MembershipTimings membership(SettingsNode node) {
-        MembershipTimings standard = MembershipTimings.defaults();
+    private static MembershipTimings readMembershipTimings(SettingsNode node) {
+        MembershipTimings defaults = MembershipTimings.defaults();
         return new MembershipTimings(
-                millis(node, "pollMs", standard.pollInterval()),
-                millis(node, "goneAfterMs", standard.goneAfter()));
+                millis(node, "pollMs", defaults.pollInterval()),
+                millis(node, "goneAfterMs", defaults.goneAfter()));
     }
 
-    private static LinkTimings links(SettingsNode node) {
-        LinkTimings standard = LinkTimings.defaults();
+    private static LinkTimings readLinkTimings(SettingsNode node) {
+        LinkTimings defaults = LinkTimings.defaults();
         return new LinkTimings(
-                millis(node, "heartbeatMs", standard.heartbeat()),
-                millis(node, "silenceMs", standard.silence()),
-                millis(node, "reconnectMinMs", standard.reconnectMin()),
-                millis(node, "reconnectMaxMs", standard.reconnectMax()));
+                millis(node, "heartbeatMs", defaults.heartbeat()),
+                millis(node, "silenceMs", defaults.silence()),
+                millis(node, "reconnectMinMs", defaults.reconnectMin()),
+                millis(node, "reconnectMaxMs", defaults.reconnectMax()));
     }
 
-    private static Duration millis(SettingsNode node, String name, Duration standard) {
-        return node.millis(name, (int) standard.toMillis());
+    private static Duration millis(SettingsNode node, String name, Duration defaultValue) {
+        return node.millis(name, (int) defaultValue.toMillis());
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/Explainer.java
+++ b/entry/src/main/java/org/sardinelift/entry/Explainer.java
@@ -34,15 +34,15 @@
 import org.sardinelift.runtime.ControlThread;
 
 /**
- * Gathers the decisions on a subject into one timeline: first from all entries, then from the
+ * Collects the decisions on a subject into one timeline: first from all entries, then from the
  * companions that these decisions name. Owned by a thread of its own, since a search takes
  * milliseconds.
  */
 final class Explainer implements FrameListener {
-    private static final Duration WAIT = Duration.ofSeconds(1);
-    private static final int DEFAULT_LIMIT = 200;
+    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(1);
+    private static final int DEFAULT_MAX_DECISIONS = 200;
 
-    /** Companions that one question goes to at most; those named last come first. */
+    /** Maximum number of companions that are asked; those named most recently come first. */
     private static final int MAX_COMPANIONS = 32;
 
     private final String instance;
@@ -52,8 +52,8 @@
     private final Supplier<FleetView> fleet;
     private final ControlThread control;
     private final ObjectMapper mapper = new ObjectMapper();
-    private final Map<Long, Gathering> gatherings = new HashMap<>();
-    private long exchanges;
+    private final Map<Long, PendingQuery> queries = new HashMap<>();
+    private long lastQueryNumber;
 
     Explainer(
             String instance,
@@ -73,15 +73,15 @@
                 (name, result) -> control.execute(() -> onResult(name, result)));
     }
 
-    /** Answers with the decisions on the query's subject; instances that stay silent are named. */
+    /** Responds with the decisions on a subject, and the instances that did not answer. */
     void handle(HttpExchange exchange) {
         String subject = exchange.query("subject") == null ? "" : exchange.query("subject");
-        int limit = limit(exchange.query("limit"));
-        control.execute(() -> gather(exchange, companionOf(subject), limit));
+        int limit = parseLimit(exchange.query("limit"));
+        control.execute(() -> startQuery(exchange, toRecordedSubject(subject), limit));
     }
 
-    /** Decisions about a target stand under the name of its companion. */
-    private String companionOf(String subject) {
+    /** Decisions on a target are recorded under the name of its companion. */
+    private String toRecordedSubject(String subject) {
         return fleet.get().companions().stream()
                 .filter(companion -> companion.target().equals(subject))
                 .map(InstanceInfo::name)
@@ -89,17 +89,17 @@
                 .orElse(subject);
     }
 
-    private void gather(HttpExchange exchange, String subject, int limit) {
-        exchanges++;
-        Gathering gathering = new Gathering(exchange, exchanges, subject, limit);
-        gatherings.put(gathering.number, gathering);
+    private void startQuery(HttpExchange exchange, String subject, int limit) {
+        lastQueryNumber++;
+        PendingQuery query = new PendingQuery(exchange, lastQueryNumber, subject, limit);
+        queries.put(query.number, query);
         Set<String> names = subject.isEmpty() ? Set.of() : Set.of(subject);
-        gathering.decisions.addAll(DecisionFrames.find(log, instance, names, limit));
-        gathering.answered.add(instance);
-        ask(gathering, entries(), peers::send, () -> askCompanions(gathering));
+        query.decisions.addAll(DecisionFrames.find(log, instance, names, limit));
+        query.answered.add(instance);
+        sendQueries(query, otherEntries(), peers::send, () -> queryCompanions(query));
     }
 
-    private List<String> entries() {
+    private List<String> otherEntries() {
         return Stream.concat(
                         fleet.get().entries().stream().map(InstanceInfo::name),
                         peers.connected().stream())
@@ -108,7 +108,7 @@
                 .toList();
     }
 
-    private void askCompanions(Gathering gathering) {
+    private void queryCompanions(PendingQuery query) {
         Set<String> known =
                 Stream.concat(
                                 fleet.get().companions().stream().map(InstanceInfo::name),
@@ -116,73 +116,71 @@
                         .collect(Collectors.toSet());
         List<String> named =
                 Stream.concat(
-                                Stream.of(gathering.subject),
-                                gathering
-                                        .newestFirst()
+                                Stream.of(query.subject),
+                                query.newestFirst()
                                         .flatMap(each -> each.getFigures().values().stream()))
                         .filter(known::contains)
                         .distinct()
                         .toList();
-        named.stream().skip(MAX_COMPANIONS).forEach(gathering.silent::add);
-        ask(
-                gathering,
+        named.stream().skip(MAX_COMPANIONS).forEach(query.silent::add);
+        sendQueries(
+                query,
                 named.stream().limit(MAX_COMPANIONS).toList(),
                 companions::send,
-                () -> finish(gathering));
+                () -> finish(query));
     }
 
-    /** Asks some instances; goes on once all have answered, or after a time. */
-    private void ask(
-            Gathering gathering,
+    /** Queries instances; runs the next stage once all have answered, or after a timeout. */
+    private void sendQueries(
+            PendingQuery query,
             Collection<String> names,
             BiPredicate<String, Frame> send,
-            Runnable next) {
-        Frame query =
-                Frame.explainQuery(
-                        new ExplainQuery(gathering.number, gathering.subject, gathering.limit));
-        gathering.next = next;
-        gathering.silent.addAll(names);
-        names.stream().filter(name -> send.test(name, query)).forEach(gathering.waiting::add);
-        if (gathering.waiting.isEmpty()) {
-            next.run();
+            Runnable nextStage) {
+        Frame frame =
+                Frame.explainQuery(new ExplainQuery(query.number, query.subject, query.limit));
+        query.nextStage = nextStage;
+        query.silent.addAll(names);
+        names.stream().filter(name -> send.test(name, frame)).forEach(query.awaited::add);
+        if (query.awaited.isEmpty()) {
+            nextStage.run();
         } else {
-            control.schedule(WAIT, () -> giveUp(gathering, next));
+            control.schedule(ANSWER_TIMEOUT, () -> onTimeout(query, nextStage));
         }
     }
 
-    private void giveUp(Gathering gathering, Runnable stage) {
-        if (gathering.next == stage) {
-            gathering.waiting.clear();
+    private void onTimeout(PendingQuery query, Runnable stage) {
+        if (query.nextStage == stage) {
+            query.awaited.clear();
             stage.run();
         }
     }
 
     private void onResult(String from, ExplainResult result) {
-        Gathering gathering = gatherings.get(result.getExchange());
-        if (gathering == null || !gathering.silent.remove(from)) {
+        PendingQuery query = queries.get(result.getExchange());
+        if (query == null || !query.silent.remove(from)) {
             return;
         }
-        gathering.answered.add(from);
-        gathering.decisions.addAll(result.getDecisions());
-        if (gathering.waiting.remove(from) && gathering.waiting.isEmpty()) {
-            gathering.next.run();
+        query.answered.add(from);
+        query.decisions.addAll(result.getDecisions());
+        if (query.awaited.remove(from) && query.awaited.isEmpty()) {
+            query.nextStage.run();
         }
     }
 
-    private void finish(Gathering gathering) {
-        gathering.next = () -> {};
-        if (gatherings.remove(gathering.number) == null) {
+    private void finish(PendingQuery query) {
+        query.nextStage = () -> {};
+        if (queries.remove(query.number) == null) {
             return;
         }
-        ObjectNode answer = mapper.createObjectNode().put("subject", gathering.subject);
+        ObjectNode answer = mapper.createObjectNode().put("subject", query.subject);
         ArrayNode list = answer.putArray("decisions");
-        gathering.newest().forEach(decision -> write(list.addObject(), decision));
-        gathering.answered.forEach(answer.putArray("answered")::add);
-        gathering.silent.forEach(answer.putArray("silent")::add);
-        gathering.exchange.respondJson(200, answer.toString());
+        query.newest().forEach(decision -> writeDecision(list.addObject(), decision));
+        query.answered.forEach(answer.putArray("answered")::add);
+        query.silent.forEach(answer.putArray("silent")::add);
+        query.exchange.respondJson(200, answer.toString());
     }
 
-    private static void write(ObjectNode node, Decision decision) {
+    private static void writeDecision(ObjectNode node, Decision decision) {
         node.put("timeMs", decision.getTimeMs())
                 .put("instance", decision.getInstance())
                 .put("subject", decision.getSubject())
@@ -210,18 +208,18 @@
     @Override
     public void onDown(FrameConnection connection, String reason) {}
 
-    private static int limit(@Nullable String text) {
+    private static int parseLimit(@Nullable String text) {
         try {
             return text == null
-                    ? DEFAULT_LIMIT
+                    ? DEFAULT_MAX_DECISIONS
                     : Math.max(1, Math.min(DecisionFrames.MAX_DECISIONS, Integer.parseInt(text)));
         } catch (NumberFormatException e) {
-            return DEFAULT_LIMIT;
+            return DEFAULT_MAX_DECISIONS;
         }
     }
 
-    /** One question on its way over the fleet. */
-    private static final class Gathering {
+    /** One query, with the answers received so far. */
+    private static final class PendingQuery {
         private final HttpExchange exchange;
         private final long number;
         private final String subject;
@@ -229,10 +227,10 @@
         private final List<Decision> decisions = new ArrayList<>();
         private final Set<String> answered = new TreeSet<>();
         private final Set<String> silent = new TreeSet<>();
-        private final Set<String> waiting = new HashSet<>();
-        private Runnable next = () -> {};
+        private final Set<String> awaited = new HashSet<>();
+        private Runnable nextStage = () -> {};
 
-        Gathering(HttpExchange exchange, long number, String subject, int limit) {
+        PendingQuery(HttpExchange exchange, long number, String subject, int limit) {
             this.exchange = exchange;
             this.number = number;
             this.subject = subject;
@@ -244,7 +242,7 @@
                     .sorted(Comparator.comparingLong(Decision::getTimeMs).reversed());
         }
 
-        /** The newest decisions, oldest first. */
+        /** Returns the newest decisions, up to the limit, oldest first. */
         Stream<Decision> newest() {
             return decisions.stream()
                     .sorted(Comparator.comparingLong(Decision::getTimeMs))
--- a/entry/src/main/java/org/sardinelift/entry/Readiness.java
+++ b/entry/src/main/java/org/sardinelift/entry/Readiness.java
@@ -6,36 +6,36 @@
 import org.sardinelift.core.outcome.Problem;
 import org.sardinelift.core.outcome.ProblemKind;
 
-/** Whether this entry takes new work, and what the balancer hears of it. */
+/** Determines whether this entry accepts new work, and what it reports to the load balancer. */
 final class Readiness {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-    private final BooleanSupplier configured;
-    private final BooleanSupplier limited;
-    private final BooleanSupplier isolated;
+    private final BooleanSupplier isConfigured;
+    private final BooleanSupplier hasLimits;
+    private final BooleanSupplier isIsolated;
     private volatile boolean draining;
-    private volatile boolean closedToWork;
+    private volatile boolean isRefusingWork;
 
     private Readiness(
-            BooleanSupplier configured, BooleanSupplier limited, BooleanSupplier isolated) {
-        this.configured = configured;
-        this.limited = limited;
-        this.isolated = isolated;
+            BooleanSupplier isConfigured, BooleanSupplier hasLimits, BooleanSupplier isIsolated) {
+        this.isConfigured = isConfigured;
+        this.hasLimits = hasLimits;
+        this.isIsolated = isIsolated;
     }
 
     static Readiness of(
-            BooleanSupplier configured, BooleanSupplier limited, BooleanSupplier isolated) {
-        return new Readiness(configured, limited, isolated);
+            BooleanSupplier isConfigured, BooleanSupplier hasLimits, BooleanSupplier isIsolated) {
+        return new Readiness(isConfigured, hasLimits, isIsolated);
     }
 
-    /** Turns readiness, so that the balancer moves on; new work is still taken. */
+    /** Reports not ready, so that the load balancer sends no more; new work is still accepted. */
     void announceDrain() {
         draining = true;
     }
 
     /** Refuses new work from now on. */
     void closeToWork() {
-        closedToWork = true;
+        isRefusingWork = true;
     }
 
     boolean draining() {
@@ -46,7 +46,7 @@
         return notReady().isEmpty();
     }
 
-    /** Why the balancer should not send requests here, or empty. */
+    /** Returns why the load balancer should not send requests here, or empty. */
     Optional<String> notReady() {
         if (draining) {
             return Optional.of("draining");
@@ -54,27 +54,27 @@
         return refusal().map(Problem::detail);
     }
 
-    /** Why a new request is refused, or empty. */
+    /** Returns why a new request is refused, or empty. */
     Optional<Problem> refusal() {
-        if (closedToWork) {
+        if (isRefusingWork) {
             return refuse(ProblemKind.DRAINING, "this instance is shutting down");
         }
-        if (!configured.getAsBoolean()) {
+        if (!isConfigured.getAsBoolean()) {
             return refuse(ProblemKind.ISOLATED, "this instance has no configuration yet");
         }
-        if (!limited.getAsBoolean()) {
+        if (!hasLimits.getAsBoolean()) {
             return refuse(
                     ProblemKind.ISOLATED,
                     "this instance holds no share of the limits"
                             + " and reaches no entry to borrow from");
         }
-        if (isolated.getAsBoolean()) {
+        if (isIsolated.getAsBoolean()) {
             return refuse(ProblemKind.ISOLATED, "this instance can't tell whether keys still hold");
         }
         return Optional.empty();
     }
 
     private static Optional<Problem> refuse(ProblemKind kind, String detail) {
-        return Optional.of(Problem.notRun(kind, detail, COME_BACK));
+        return Optional.of(Problem.notRun(kind, detail, RETRY_AFTER));
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/RequestBounds.java
+++ b/entry/src/main/java/org/sardinelift/entry/RequestBounds.java
@@ -8,12 +8,12 @@
  * Bounds of callers' requests.
  *
  * @param httpLimits bounds of the callers' port
- * @param deadline time for a call whose caller names none
- * @param longestDeadline longest time that a caller may name
- * @param maxUnsentBytes bytes of answer that may wait for a slow caller
- * @param prefixChars characters of a prompt by which calls are taken to share a prefix
- * @param openRatePerSecond requests a second of callers without a key, on open services
- * @param openBurst requests at once of callers without a key, on open services
+ * @param deadline deadline of a call whose caller sets none
+ * @param maxDeadline longest deadline that a caller may set
+ * @param maxUnsentBytes maximum bytes of a response that wait for a slow caller
+ * @param prefixChars leading characters of a prompt by which calls are taken to share a prefix
+ * @param openRatePerSecond requests per second, on open services, of all callers without a key
+ * @param openBurst burst of requests, on open services, of all callers without a key
  */
 public record RequestBounds(
         HttpLimits httpLimits,
@@ -26,15 +26,15 @@
     private static final int MAX_BYTES = 1 << 30;
 
     static RequestBounds read(SettingsNode node) {
-        HttpLimits standard = HttpLimits.defaults();
+        HttpLimits defaults = HttpLimits.defaults();
         HttpLimits http =
                 new HttpLimits(
-                        node.integer("maxLineBytes", standard.maxLineBytes(), 128, MAX_BYTES),
-                        node.integer("maxHeaderBytes", standard.maxHeaderBytes(), 128, MAX_BYTES),
-                        node.integer("maxBodyBytes", standard.maxBodyBytes(), 1, MAX_BYTES),
-                        node.integer("maxConnections", standard.maxConnections(), 1, MAX_BYTES),
-                        node.millis("headTimeoutMs", (int) standard.headTimeout().toMillis()),
-                        node.millis("idleTimeoutMs", (int) standard.idleTimeout().toMillis()));
+                        node.integer("maxLineBytes", defaults.maxLineBytes(), 128, MAX_BYTES),
+                        node.integer("maxHeaderBytes", defaults.maxHeaderBytes(), 128, MAX_BYTES),
+                        node.integer("maxBodyBytes", defaults.maxBodyBytes(), 1, MAX_BYTES),
+                        node.integer("maxConnections", defaults.maxConnections(), 1, MAX_BYTES),
+                        node.millis("headTimeoutMs", (int) defaults.headTimeout().toMillis()),
+                        node.millis("idleTimeoutMs", (int) defaults.idleTimeout().toMillis()));
         return new RequestBounds(
                 http,
                 node.millis("deadlineMs", 120_000),
--- a/entry/src/main/java/org/sardinelift/entry/package-info.java
+++ b/entry/src/main/java/org/sardinelift/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The entry role as a process: settings and wiring. */
+/** The process of the entry role: its settings and the setup of its components. */
 @NullMarked
 package org.sardinelift.entry;
 
