--- a/entry/src/main/java/org/sardinelift/entry/CompanionConnections.java
+++ b/entry/src/main/java/org/sardinelift/entry/CompanionConnections.java
@@ -29,7 +29,7 @@
         return Set.copyOf(connections.keySet());
     }
 
-    /** Wraps a connection's listener: results go to the result listener, other frames to it. */
+    /** Wraps a connection's listener: explain results go to the result listener instead. */
     FrameListener interceptResults(String companion, FrameListener next) {
         return new FrameListener() {
             @Override
--- a/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
@@ -78,7 +78,7 @@
      *
      * @param settings its settings
      * @return the running entry
-     * @throws IOException where an address is taken or the certificates can't be read
+     * @throws IOException if an address is in use or the certificates can't be read
      */
     public static EntryProcess start(EntrySettings settings) throws IOException {
         return start(settings, group -> createPlatformClient(settings, group));
@@ -90,7 +90,7 @@
      * @param settings its settings
      * @param clientFactory creates the platform client on the entry's event loops
      * @return the running entry
-     * @throws IOException where an address is taken or the certificates can't be read
+     * @throws IOException if an address is in use or the certificates can't be read
      */
     public static EntryProcess start(
             EntrySettings settings, Function<EventLoopGroup, ObjectStore> clientFactory)
--- a/entry/src/main/java/org/sardinelift/entry/Explainer.java
+++ b/entry/src/main/java/org/sardinelift/entry/Explainer.java
@@ -73,7 +73,7 @@
                 (name, result) -> control.execute(() -> onResult(name, result)));
     }
 
-    /** Responds with the decisions on a subject, and the instances that did not answer. */
+    /** Responds with the decisions on the query's subject, and who did not answer. */
     void handle(HttpExchange exchange) {
         String subject = exchange.query("subject") == null ? "" : exchange.query("subject");
         int limit = parseLimit(exchange.query("limit"));
--- a/entry/src/main/java/org/sardinelift/entry/Readiness.java
+++ b/entry/src/main/java/org/sardinelift/entry/Readiness.java
@@ -28,7 +28,7 @@
         return new Readiness(isConfigured, hasLimits, isIsolated);
     }
 
-    /** Reports not ready, so that the load balancer sends no more; new work is still accepted. */
+    /** Reports not ready, so that the load balancer sends requests elsewhere; accepts new work. */
     void announceDrain() {
         draining = true;
     }
