--- a/sardinectl/src/main/java/org/sardinelift/ctl/CommandRunner.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/CommandRunner.java
@@ -38,9 +38,9 @@
 import org.sardinelift.ctl.command.StatusCommand;
 import org.sardinelift.ctl.command.TargetsCommand;
 import org.sardinelift.ctl.command.TeamsCommand;
-import org.sardinelift.ctl.http.Connections;
+import org.sardinelift.ctl.http.ApiClient;
 
-/** Finds the command, parses its options, runs it and prints what it came to. */
+/** Finds the command, parses its options, runs it and prints its outcome. */
 final class CommandRunner {
     private static final int HELP_WIDTH = 100;
     private static final int DEFAULT_TIMEOUT_MS = 10_000;
@@ -87,13 +87,13 @@
             out.println(version());
             return ExitCode.OK;
         }
-        Optional<Command> command = find(args);
+        Optional<Command> command = findCommand(args);
         if (command.isEmpty()) {
-            err.println("There is no such command.\n" + usage());
+            err.println("Unknown command.\n" + usage());
             return ExitCode.USAGE;
         }
-        int words = command.get().name().split(" ").length;
-        return run(command.get(), Arrays.copyOfRange(args, words, args.length));
+        int wordCount = command.get().name().split(" ").length;
+        return run(command.get(), Arrays.copyOfRange(args, wordCount, args.length));
     }
 
     private ExitCode run(Command command, String[] args) {
@@ -112,25 +112,25 @@
     }
 
     private Outcome execute(Command command, CommandLine line) throws ParseException {
-        String given = line.getOptionValue("timeout-ms", String.valueOf(DEFAULT_TIMEOUT_MS));
+        String value = line.getOptionValue("timeout-ms", String.valueOf(DEFAULT_TIMEOUT_MS));
         Duration timeout;
         try {
-            timeout = Duration.ofMillis(Integer.parseInt(given));
+            timeout = Duration.ofMillis(Integer.parseInt(value));
         } catch (NumberFormatException e) {
-            throw new ParseException("--timeout-ms: expected a whole number, found " + given);
+            throw new ParseException("--timeout-ms: expected a whole number, found " + value);
         }
-        try (Connections connections = Connections.open(timeout)) {
-            return command.run(new CommandContext(line, environment, connections, in, out));
+        try (ApiClient client = ApiClient.create(timeout)) {
+            return command.run(new CommandContext(line, environment, client, in, out));
         }
     }
 
     private ExitCode print(CommandLine line, Outcome outcome) throws ParseException {
-        String form = line.getOptionValue("output", "text");
-        if (!form.equals("text") && !form.equals("json")) {
-            throw new ParseException("--output: expected json or text, found " + form);
+        String format = line.getOptionValue("output", "text");
+        if (!format.equals("text") && !format.equals("json")) {
+            throw new ParseException("--output: expected json or text, found " + format);
         }
         boolean failed = outcome.code() != ExitCode.OK;
-        if (form.equals("json")) {
+        if (format.equals("json")) {
             out.println(outcome.json());
         } else {
             (failed ? err : out).println(outcome.text());
@@ -138,11 +138,14 @@
         return outcome.code();
     }
 
-    private static Optional<Command> find(String[] args) {
-        String one = args.length > 0 ? args[0] : "";
-        String two = args.length > 1 ? one + " " + args[1] : one;
+    private static Optional<Command> findCommand(String[] args) {
+        String firstWord = args.length > 0 ? args[0] : "";
+        String firstTwoWords = args.length > 1 ? firstWord + " " + args[1] : firstWord;
         return COMMANDS.stream()
-                .filter(command -> command.name().equals(two) || command.name().equals(one))
+                .filter(
+                        command ->
+                                command.name().equals(firstTwoWords)
+                                        || command.name().equals(firstWord))
                 .findFirst();
     }
 
@@ -153,14 +156,16 @@
                                 .longOpt("output")
                                 .hasArg()
                                 .argName("json|text")
-                                .desc("form of the result, default text")
+                                .desc("output format, default text")
                                 .get())
                 .addOption(
                         Option.builder()
                                 .longOpt("timeout-ms")
                                 .hasArg()
                                 .argName("MS")
-                                .desc("longest silence of a call, default " + DEFAULT_TIMEOUT_MS)
+                                .desc(
+                                        "longest time without data in a call, default "
+                                                + DEFAULT_TIMEOUT_MS)
                                 .get())
                 .addOption(null, "help", false, "show this help");
     }
@@ -197,7 +202,7 @@
                             "",
                             false);
         } catch (IOException e) {
-            throw new UncheckedIOException("a text can't fail to be written", e);
+            throw new UncheckedIOException("writing help to a string builder failed", e);
         }
         return text.toString().stripTrailing();
     }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/ExitCode.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/ExitCode.java
@@ -1,20 +1,20 @@
 package org.sardinelift.ctl;
 
-/** Exit codes of the program. */
+/** Exit codes of {@code sardinectl}. */
 public enum ExitCode {
-    /** Done. */
+    /** The command succeeded. */
     OK(0, "done"),
-    /** The other end refused the request; what it said is printed. */
+    /** The server refused the request; its answer is printed. */
     REFUSED(1, "the request was refused"),
-    /** The command line can't be understood. */
+    /** The command line is wrong. */
     USAGE(2, "the command line is wrong"),
-    /** A file or object fails the checks; nothing was written. */
+    /** A file or object is invalid; nothing was written. */
     INVALID(3, "the checks found errors and nothing was written"),
-    /** Another operator changed the object; what changed is printed. */
+    /** Another operator changed the object first; the difference is printed. */
     CONFLICT(4, "another operator changed the object first"),
-    /** No answer came. */
-    UNREACHABLE(5, "the platform or the entry gave no answer"),
-    /** The change is accepted, but not every instance confirmed it in time. */
+    /** The platform or the entry did not answer. */
+    UNREACHABLE(5, "the platform or the entry did not answer"),
+    /** The change was written, but not every instance confirmed it in time. */
     UNCONFIRMED(6, "not every instance confirmed the change in time");
 
     private final int status;
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Exit status of the process.
+     * Returns the exit status of the process.
      *
      * @return the status
      */
@@ -35,7 +35,7 @@
     }
 
     /**
-     * What the code means.
+     * Returns the meaning of the code.
      *
      * @return a short text
      */
--- a/sardinectl/src/main/java/org/sardinelift/ctl/Json.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/Json.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import java.util.stream.StreamSupport;
 
-/** JSON as the commands read and write it. */
+/** Reads and writes JSON; comments and trailing commas are accepted, duplicate fields are not. */
 public final class Json {
     private static final JsonMapper MAPPER =
             JsonMapper.builder()
@@ -23,39 +23,39 @@
     private Json() {}
 
     /**
-     * Makes an empty object.
+     * Creates an empty object.
      *
      * @return the object
      */
-    public static ObjectNode object() {
+    public static ObjectNode newObject() {
         return MAPPER.createObjectNode();
     }
 
     /**
-     * Makes an empty array.
+     * Creates an empty array.
      *
      * @return the array
      */
-    public static ArrayNode array() {
+    public static ArrayNode newArray() {
         return MAPPER.createArrayNode();
     }
 
     /**
      * Parses JSON with comments.
      *
-     * @param text what to parse
+     * @param text JSON text
      * @return the root
-     * @throws JsonProcessingException where the text is malformed; its message says where
+     * @throws JsonProcessingException if the text is malformed; its location says where
      */
     public static JsonNode parse(String text) throws JsonProcessingException {
         return MAPPER.readTree(text);
     }
 
     /**
-     * Parses an answer.
+     * Parses JSON that may be malformed.
      *
-     * @param text what to parse
-     * @return the root, or a missing node where the text is no JSON
+     * @param text JSON text
+     * @return the root, or a missing node if the text is not JSON
      */
     public static JsonNode parseOrMissing(String text) {
         try {
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Elements of an array.
+     * Returns the elements of an array.
      *
-     * @param array an array, or any other node for none
-     * @return its elements in order
+     * @param array the array; any other node has no elements
+     * @return the elements in order
      */
     public static Stream<JsonNode> elements(JsonNode array) {
         return array.isArray() ? StreamSupport.stream(array.spliterator(), false) : Stream.empty();
--- a/sardinectl/src/main/java/org/sardinelift/ctl/Outcome.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/Outcome.java
@@ -4,19 +4,19 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * What a command came to.
+ * Outcome of a command.
  *
  * @param code exit code
- * @param json result for machines
- * @param text result for people
+ * @param json result as JSON
+ * @param text result as text
  */
 public record Outcome(ExitCode code, JsonNode json, String text) {
 
     /**
-     * A success.
+     * Creates the outcome of a command that succeeded.
      *
-     * @param json result for machines
-     * @param text result for people
+     * @param json result as JSON
+     * @param text result as text
      * @return the outcome
      */
     public static Outcome ok(JsonNode json, String text) {
@@ -24,16 +24,16 @@
     }
 
     /**
-     * A failure.
+     * Creates the outcome of a command that failed.
      *
      * @param code exit code
-     * @param problem what was wrong
-     * @param remedy what to do
+     * @param problem what failed
+     * @param remedy how to correct it
      * @return the outcome
      */
     public static Outcome failed(ExitCode code, String problem, String remedy) {
         ObjectNode json =
-                Json.object()
+                Json.newObject()
                         .put("error", code.name().toLowerCase(java.util.Locale.ROOT))
                         .put("detail", problem)
                         .put("remedy", remedy);
--- a/sardinectl/src/main/java/org/sardinelift/ctl/Sardinectl.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/Sardinectl.java
@@ -5,14 +5,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Entry point of the program. */
+/** Command-line tool for operators and callers. */
 public final class Sardinectl {
     private Sardinectl() {}
 
     /**
      * Runs one command; see {@code --help}.
      *
-     * @param args name of the command, its options and arguments
+     * @param args command name, options and arguments
      */
     public static void main(String[] args) {
         PrintStream out = new PrintStream(System.out, true, StandardCharsets.UTF_8);
@@ -21,14 +21,14 @@
     }
 
     /**
-     * Runs one command with its surroundings given.
+     * Runs one command with the given environment and streams.
      *
-     * @param args name of the command, its options and arguments
+     * @param args command name, options and arguments
      * @param environment environment variables
      * @param in standard input
      * @param out receives the result
-     * @param err receives failures in text form
-     * @return exit code
+     * @param err receives the text of failures
+     * @return the exit code
      */
     public static ExitCode run(
             String[] args,
--- a/sardinectl/src/main/java/org/sardinelift/ctl/TextTable.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/TextTable.java
@@ -5,33 +5,33 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Rows of text in aligned columns. */
+/** Formats rows of text in aligned columns. */
 public final class TextTable {
-    private static final String GAP = "  ";
+    private static final String COLUMN_GAP = "  ";
 
     private final List<List<String>> rows = new ArrayList<>();
 
-    private TextTable(List<String> head) {
-        rows.add(head);
+    private TextTable(List<String> header) {
+        rows.add(header);
     }
 
     /**
-     * Makes a table.
+     * Creates a table.
      *
      * @param columns titles of the columns
      * @return a table without rows
      */
-    public static TextTable of(String... columns) {
+    public static TextTable withColumns(String... columns) {
         return new TextTable(List.of(columns));
     }
 
     /**
      * Adds a row.
      *
-     * @param cells one text for each column
+     * @param cells text of each column
      * @return this table
      */
-    public TextTable row(String... cells) {
+    public TextTable addRow(String... cells) {
         rows.add(List.of(cells));
         return this;
     }
@@ -47,18 +47,18 @@
                                                 .max()
                                                 .orElse(0))
                         .toArray();
-        return rows.stream().map(row -> line(row, widths)).collect(Collectors.joining("\n"));
+        return rows.stream().map(row -> formatRow(row, widths)).collect(Collectors.joining("\n"));
     }
 
     private static int width(List<String> row, int column) {
         return row.get(column).length();
     }
 
-    private static String line(List<String> row, int[] widths) {
+    private static String formatRow(List<String> row, int[] widths) {
         return IntStream.range(0, row.size())
                 .mapToObj(
                         column -> row.get(column) + " ".repeat(widths[column] - width(row, column)))
-                .collect(Collectors.joining(GAP))
+                .collect(Collectors.joining(COLUMN_GAP))
                 .stripTrailing();
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/ApplyCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/ApplyCommand.java
@@ -18,10 +18,10 @@
 import org.sardinelift.ctl.config.WriteOutcome;
 import org.sardinelift.objects.ObjectStore;
 
-/** Writes the objects of a file, each over the version that it was made for. */
+/** Writes the objects of a file, each only if its stored version is the expected one. */
 public final class ApplyCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public ApplyCommand() {
         super("apply", "", "write templates, teams and services from a file");
     }
@@ -30,37 +30,37 @@
     public Options options() {
         return CommonOptions.platform()
                 .addOption(
-                        shortValued("f", "FILE", "file of objects, - for standard input, required"))
+                        shortOption("f", "FILE", "file of objects, - for standard input, required"))
                 .addOption(null, "wait", false, "wait until all --operators have confirmed")
-                .addOption(valued("wait-ms", "MS", "longest wait, default 10000"))
+                .addOption(longOption("wait-ms", "MS", "longest time to wait, default 10000"))
                 .addOptions(CommonOptions.operators());
     }
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
-        ConfigFile file = ConfigFile.parse(context.text(context.required("f")));
+        ConfigFile file = ConfigFile.parse(context.readText(context.requiredOption("f")));
         if (!file.problems().isEmpty()) {
             return StoreOutcomes.invalid(file.problems());
         }
-        ObjectStore store = context.platform();
+        ObjectStore store = context.objectStore();
         StoredConfig.Result read =
                 StoredConfig.read(store, ConfigKind.TEMPLATE, ConfigKind.TEAM, ConfigKind.SERVICE);
         if (read instanceof StoredConfig.Result.Unavailable unavailable) {
             return StoreOutcomes.unavailable(unavailable.reason());
         }
         StoredConfig config = ((StoredConfig.Result.Read) read).config();
-        List<ConfigProblem> problems = config.check(file.entries());
+        List<ConfigProblem> problems = config.checkReferences(file.entries());
         if (!problems.isEmpty()) {
             return StoreOutcomes.invalid(problems);
         }
         List<WriteOutcome> outcomes = write(store, config, file.entries());
         Outcome written = StoreOutcomes.written(outcomes);
         return written.code() == ExitCode.OK && context.line().hasOption("wait")
-                ? confirmed(context, outcomes, written)
+                ? awaitConfirmation(context, outcomes, written)
                 : written;
     }
 
-    /** Stops at the first object that was not written, since later ones may build on it. */
+    /** Stops at the first object that was not written, since later ones may refer to it. */
     private static List<WriteOutcome> write(
             ObjectStore store, StoredConfig config, List<ConfigEntry> entries) {
         ConfigWriter writer = ConfigWriter.of(store, () -> UUID.randomUUID().toString());
@@ -75,17 +75,18 @@
         return outcomes;
     }
 
-    private static Outcome confirmed(
+    private static Outcome awaitConfirmation(
             CommandContext context, List<WriteOutcome> outcomes, Outcome written)
             throws ParseException {
         long revision = outcomes.stream().mapToLong(ApplyCommand::revision).max().orElse(0);
-        Duration limit = Duration.ofMillis(context.number("wait-ms", 10_000));
+        Duration timeout = Duration.ofMillis(context.intOption("wait-ms", 10_000));
         Confirmation confirmation =
-                Confirmation.await(context.connections(), context.operators(), revision, limit);
+                Confirmation.await(
+                        context.client(), context.operatorAddresses(), revision, timeout);
         ObjectNode json = written.json().deepCopy();
         json.set("confirmation", confirmation.toJson());
-        ExitCode code = confirmation.complete() ? ExitCode.OK : ExitCode.UNCONFIRMED;
-        return new Outcome(code, json, written.text() + "\n" + confirmation.text());
+        ExitCode exitCode = confirmation.isComplete() ? ExitCode.OK : ExitCode.UNCONFIRMED;
+        return new Outcome(exitCode, json, written.text() + "\n" + confirmation.text());
     }
 
     private static long revision(WriteOutcome outcome) {
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/AskCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/AskCommand.java
@@ -9,64 +9,66 @@
 import org.sardinelift.ctl.Json;
 import org.sardinelift.ctl.Outcome;
 import org.sardinelift.ctl.http.Address;
-import org.sardinelift.ctl.http.Reply;
+import org.sardinelift.ctl.http.CallResult;
 
-/** Asks a model one question and prints the answer as it comes. */
+/** Asks a model one question and prints the answer as it arrives. */
 public final class AskCommand extends Command {
-    private static final String DATA = "data: ";
-    private static final String DONE = "[DONE]";
+    private static final String DATA_PREFIX = "data: ";
+    private static final String END_MARKER = "[DONE]";
 
-    /** Makes the command. */
+    /** Creates the command. */
     public AskCommand() {
-        super("ask", "QUESTION", "ask a model one question and print the answer as it comes");
+        super("ask", "QUESTION", "ask a model one question and print the answer as it arrives");
     }
 
     @Override
     public Options options() {
         return CommonOptions.caller()
-                .addOption(valued("model", "MODEL", "model to ask, required"))
-                .addOption(valued("max-tokens", "N", "longest answer in tokens"));
+                .addOption(longOption("model", "MODEL", "model to ask, required"))
+                .addOption(longOption("max-tokens", "N", "longest answer in tokens"));
     }
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
-        Address entry = context.entry();
-        boolean printAtOnce = !context.json();
+        Address entry = context.entryAddress();
+        boolean printsTokens = !context.isJsonOutput();
         StringBuilder text = new StringBuilder();
-        AtomicBoolean whole = new AtomicBoolean();
-        Reply reply =
-                context.connections().stream(
-                        entry,
-                        "/v1/chat/completions",
-                        context.authorization(),
-                        question(context).toString(),
-                        line -> {
-                            if (line.equals(DATA + DONE)) {
-                                whole.set(true);
-                                return;
-                            }
-                            String token = token(line);
-                            text.append(token);
-                            if (printAtOnce) {
-                                context.out().print(token);
-                                context.out().flush();
-                            }
-                        });
-        if (!(reply instanceof Reply.Answered)) {
-            return Reply.failure(reply, entry);
+        AtomicBoolean isComplete = new AtomicBoolean();
+        CallResult result =
+                context.client()
+                        .streamLines(
+                                entry,
+                                "/v1/chat/completions",
+                                context.authorizationHeader(),
+                                requestBody(context).toString(),
+                                line -> {
+                                    if (line.equals(DATA_PREFIX + END_MARKER)) {
+                                        isComplete.set(true);
+                                        return;
+                                    }
+                                    String token = token(line);
+                                    text.append(token);
+                                    if (printsTokens) {
+                                        context.out().print(token);
+                                        context.out().flush();
+                                    }
+                                });
+        if (!(result instanceof CallResult.Answered)) {
+            return CallResult.failureOutcome(result, entry);
         }
-        if (!whole.get()) {
+        if (!isComplete.get()) {
             return Outcome.failed(
                     ExitCode.UNREACHABLE,
-                    "The answer of " + entry + " ended before it was whole",
+                    "The answer of " + entry + " ended before it was complete",
                     "Ask again.");
         }
-        return Outcome.ok(Json.object().put("answer", text.toString()), "");
+        return Outcome.ok(Json.newObject().put("answer", text.toString()), "");
     }
 
-    private static ObjectNode question(CommandContext context) throws ParseException {
-        ObjectNode body = Json.object().put("model", context.required("model")).put("stream", true);
-        int maxTokens = context.number("max-tokens", 0);
+    private static ObjectNode requestBody(CommandContext context) throws ParseException {
+        ObjectNode body =
+                Json.newObject().put("model", context.requiredOption("model")).put("stream", true);
+        int maxTokens = context.intOption("max-tokens", 0);
         if (maxTokens > 0) {
             body.put("max_tokens", maxTokens);
         }
@@ -78,10 +80,10 @@
     }
 
     private static String token(String line) {
-        if (!line.startsWith(DATA)) {
+        if (!line.startsWith(DATA_PREFIX)) {
             return "";
         }
-        JsonNode event = Json.parseOrMissing(line.substring(DATA.length()));
+        JsonNode event = Json.parseOrMissing(line.substring(DATA_PREFIX.length()));
         return event.at("/choices/0/delta/content").asText("");
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/BatchCancelCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/BatchCancelCommand.java
@@ -4,12 +4,12 @@
 import org.apache.commons.cli.ParseException;
 import org.sardinelift.ctl.Outcome;
 
-/** Cancels a job; what was complete stays readable. */
+/** Cancels a job; results completed before stay readable. */
 public final class BatchCancelCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public BatchCancelCommand() {
-        super("batch cancel", "JOB", "cancel a job; what was complete stays readable");
+        super("batch cancel", "JOB", "cancel a job; completed results stay readable");
     }
 
     @Override
@@ -19,13 +19,13 @@
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
-        String job = EntryCalls.encode(context.argument(0, "JOB"));
+        String job = EntryCalls.urlEncode(context.argument(0, "JOB"));
         return EntryCalls.call(
                 context,
-                context.entry(),
+                context.entryAddress(),
                 "POST",
                 "/v1/batches/" + job + "/cancel",
-                context.authorization(),
+                context.authorizationHeader(),
                 "");
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/BatchResultsCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/BatchResultsCommand.java
@@ -7,12 +7,12 @@
 import org.sardinelift.ctl.Json;
 import org.sardinelift.ctl.Outcome;
 import org.sardinelift.ctl.http.Address;
-import org.sardinelift.ctl.http.Reply;
+import org.sardinelift.ctl.http.CallResult;
 
-/** Prints the results of a job as JSON lines, in the order of its items. */
+/** Prints the results of a job so far as JSON lines, in the order of its items. */
 public final class BatchResultsCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public BatchResultsCommand() {
         super("batch results", "JOB", "print the results so far as JSON lines");
     }
@@ -24,20 +24,20 @@
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
-        String job = EntryCalls.encode(context.argument(0, "JOB"));
-        Address entry = context.entry();
-        Reply reply =
-                context.connections()
+        String job = EntryCalls.urlEncode(context.argument(0, "JOB"));
+        Address entry = context.entryAddress();
+        CallResult result =
+                context.client()
                         .call(
                                 entry,
                                 "GET",
                                 "/v1/batches/" + job + "/results",
-                                context.authorization(),
+                                context.authorizationHeader(),
                                 "");
-        if (!(reply instanceof Reply.Answered answered)) {
-            return Reply.failure(reply, entry);
+        if (!(result instanceof CallResult.Answered answered)) {
+            return CallResult.failureOutcome(result, entry);
         }
-        ObjectNode json = Json.object();
+        ObjectNode json = Json.newObject();
         ArrayNode results = json.putArray("results");
         answered.text()
                 .lines()
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/BatchStatusCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/BatchStatusCommand.java
@@ -4,12 +4,12 @@
 import org.apache.commons.cli.ParseException;
 import org.sardinelift.ctl.Outcome;
 
-/** Shows how far a job is. */
+/** Shows the progress of a job. */
 public final class BatchStatusCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public BatchStatusCommand() {
-        super("batch status", "JOB", "show how far a job is");
+        super("batch status", "JOB", "show the progress of a job");
     }
 
     @Override
@@ -19,7 +19,8 @@
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
-        String uri = "/v1/batches/" + EntryCalls.encode(context.argument(0, "JOB"));
-        return EntryCalls.call(context, context.entry(), "GET", uri, context.authorization(), "");
+        String uri = "/v1/batches/" + EntryCalls.urlEncode(context.argument(0, "JOB"));
+        return EntryCalls.call(
+                context, context.entryAddress(), "GET", uri, context.authorizationHeader(), "");
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/Command.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/Command.java
@@ -5,7 +5,7 @@
 import org.apache.commons.cli.ParseException;
 import org.sardinelift.ctl.Outcome;
 
-/** One command of the program. */
+/** A command of {@code sardinectl}. */
 public abstract class Command {
     private final String name;
     private final String summary;
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Name on the command line, one or two words.
+     * Returns the name on the command line, one or two words.
      *
      * @return the name
      */
@@ -27,7 +27,7 @@
     }
 
     /**
-     * What the command does.
+     * Returns what the command does.
      *
      * @return one line
      */
@@ -36,16 +36,16 @@
     }
 
     /**
-     * Its arguments after the options.
+     * Returns the arguments that follow the options.
      *
-     * @return their names, empty for none
+     * @return names of the arguments, empty for none
      */
     public final String arguments() {
         return arguments;
     }
 
     /**
-     * Its options, without those that every command takes.
+     * Returns the options of this command, without those that all commands have.
      *
      * @return the options
      */
@@ -54,17 +54,17 @@
     /**
      * Runs the command.
      *
-     * @param context its command line and connections
-     * @return what it came to
-     * @throws ParseException where the command line is wrong
+     * @param context command line, client and streams
+     * @return the outcome
+     * @throws ParseException if the command line is wrong
      */
     public abstract Outcome run(CommandContext context) throws ParseException;
 
-    static Option valued(String longName, String argName, String description) {
+    static Option longOption(String longName, String argName, String description) {
         return Option.builder().longOpt(longName).hasArg().argName(argName).desc(description).get();
     }
 
-    static Option shortValued(String name, String argName, String description) {
+    static Option shortOption(String name, String argName, String description) {
         return Option.builder(name).hasArg().argName(argName).desc(description).get();
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/CommandContext.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/CommandContext.java
@@ -12,22 +12,22 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.ParseException;
 import org.sardinelift.ctl.http.Address;
-import org.sardinelift.ctl.http.Connections;
+import org.sardinelift.ctl.http.ApiClient;
 import org.sardinelift.objects.ObjectStore;
 
 /**
- * What a command runs with.
+ * Command line, environment, client and streams of a command.
  *
  * @param line parsed options and arguments
  * @param environment environment variables
- * @param connections the means to call
+ * @param client client for calls to the platform and the instances
  * @param in standard input
  * @param out standard output
  */
 public record CommandContext(
         CommandLine line,
         Map<String, String> environment,
-        Connections connections,
+        ApiClient client,
         InputStream in,
         PrintStream out) {
     static final String PLATFORM_VARIABLE = "SARDINELIFT_PLATFORM";
@@ -36,37 +36,37 @@
     static final String KEY_VARIABLE = "SARDINELIFT_KEY";
     static final String PEPPER_VARIABLE = "SARDINELIFT_PEPPER";
 
-    ObjectStore platform() throws ParseException {
-        return connections.platform(Address.parse(required("platform", PLATFORM_VARIABLE)));
+    ObjectStore objectStore() throws ParseException {
+        return client.objectStore(Address.parse(requiredOption("platform", PLATFORM_VARIABLE)));
     }
 
-    Address entry() throws ParseException {
-        return Address.parse(required("entry", ENTRY_VARIABLE));
+    Address entryAddress() throws ParseException {
+        return Address.parse(requiredOption("entry", ENTRY_VARIABLE));
     }
 
-    List<Address> operators() throws ParseException {
-        return Address.parseList(required("operators", OPERATORS_VARIABLE));
+    List<Address> operatorAddresses() throws ParseException {
+        return Address.parseList(requiredOption("operators", OPERATORS_VARIABLE));
     }
 
-    Map<String, String> authorization() throws ParseException {
-        return Map.of("authorization", "Bearer " + required("key", KEY_VARIABLE));
+    Map<String, String> authorizationHeader() throws ParseException {
+        return Map.of("authorization", "Bearer " + requiredOption("key", KEY_VARIABLE));
     }
 
-    String required(String option, String variable) throws ParseException {
-        return given(option, variable)
+    String requiredOption(String option, String variable) throws ParseException {
+        return optionOrVariable(option, variable)
                 .orElseThrow(
                         () ->
                                 new ParseException(
                                         "--" + option + " is missing; set it or " + variable));
     }
 
-    Optional<String> given(String option, String variable) {
+    Optional<String> optionOrVariable(String option, String variable) {
         return Optional.ofNullable(line.getOptionValue(option))
                 .or(() -> Optional.ofNullable(environment.get(variable)))
                 .filter(value -> !value.isBlank());
     }
 
-    String required(String option) throws ParseException {
+    String requiredOption(String option) throws ParseException {
         String value = line.getOptionValue(option);
         if (value == null) {
             throw new ParseException("--" + option + " is missing");
@@ -74,10 +74,10 @@
         return value;
     }
 
-    int number(String option, int fallback) throws ParseException {
+    int intOption(String option, int defaultValue) throws ParseException {
         String value = line.getOptionValue(option);
         if (value == null) {
-            return fallback;
+            return defaultValue;
         }
         try {
             return Integer.parseInt(value);
@@ -94,12 +94,12 @@
         return arguments.get(index);
     }
 
-    boolean json() {
+    boolean isJsonOutput() {
         return "json".equals(line.getOptionValue("output"));
     }
 
-    /** Text of a file, or of standard input where the name is {@code -}. */
-    String text(String file) throws ParseException {
+    /** Reads the text of a file, or of standard input if the name is {@code -}. */
+    String readText(String file) throws ParseException {
         try {
             return file.equals("-")
                     ? new String(in.readAllBytes(), StandardCharsets.UTF_8)
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/CommonOptions.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/CommonOptions.java
@@ -2,14 +2,14 @@
 
 import org.apache.commons.cli.Options;
 
-/** Options that several commands take. */
+/** Options that several commands have in common. */
 final class CommonOptions {
     private CommonOptions() {}
 
     static Options platform() {
         return new Options()
                 .addOption(
-                        Command.valued(
+                        Command.longOption(
                                 "platform",
                                 "HOST:PORT",
                                 "address of the platform, or " + CommandContext.PLATFORM_VARIABLE));
@@ -18,21 +18,21 @@
     static Options caller() {
         return new Options()
                 .addOption(
-                        Command.valued(
+                        Command.longOption(
                                 "entry",
                                 "HOST:PORT",
                                 "callers' port of an entry, or " + CommandContext.ENTRY_VARIABLE))
                 .addOption(
-                        Command.valued(
+                        Command.longOption(
                                 "key",
                                 "KEY",
-                                "caller's key, or better " + CommandContext.KEY_VARIABLE));
+                                "caller's key; prefer " + CommandContext.KEY_VARIABLE));
     }
 
     static Options operators() {
         return new Options()
                 .addOption(
-                        Command.valued(
+                        Command.longOption(
                                 "operators",
                                 "HOST:PORT,...",
                                 "operators' ports of the instances, or "
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/Confirmation.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/Confirmation.java
@@ -10,47 +10,47 @@
 import java.util.stream.Collectors;
 import org.sardinelift.ctl.Json;
 import org.sardinelift.ctl.http.Address;
-import org.sardinelift.ctl.http.Connections;
-import org.sardinelift.ctl.http.Reply;
+import org.sardinelift.ctl.http.ApiClient;
+import org.sardinelift.ctl.http.CallResult;
 
 /**
- * Which instances hold a revision of the configuration.
+ * Instances that have and have not applied a revision of the configuration.
  *
- * @param revision the revision asked for
- * @param missing what each instance that has not confirmed said last
- * @param asked number of instances asked
+ * @param revision the revision
+ * @param unconfirmed instances that have not confirmed it, with their last answer
+ * @param instanceCount number of instances asked
  */
-record Confirmation(long revision, Map<Address, String> missing, int asked) {
-    private static final Duration POLL = Duration.ofMillis(100);
+record Confirmation(long revision, Map<Address, String> unconfirmed, int instanceCount) {
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
     static Confirmation await(
-            Connections connections, List<Address> instances, long revision, Duration limit) {
-        long deadline = System.nanoTime() + limit.toNanos();
-        Map<Address, String> missing = new LinkedHashMap<>();
-        instances.forEach(address -> missing.put(address, "not asked"));
+            ApiClient client, List<Address> instances, long revision, Duration timeout) {
+        long deadline = System.nanoTime() + timeout.toNanos();
+        Map<Address, String> unconfirmed = new LinkedHashMap<>();
+        instances.forEach(address -> unconfirmed.put(address, "not asked"));
         while (true) {
-            for (Address address : List.copyOf(missing.keySet())) {
-                ask(connections, address, revision, missing);
+            for (Address address : List.copyOf(unconfirmed.keySet())) {
+                poll(client, address, revision, unconfirmed);
             }
-            if (missing.isEmpty() || System.nanoTime() - deadline >= 0) {
-                return new Confirmation(revision, missing, instances.size());
+            if (unconfirmed.isEmpty() || System.nanoTime() - deadline >= 0) {
+                return new Confirmation(revision, unconfirmed, instances.size());
             }
-            LockSupport.parkNanos(POLL.toNanos());
+            LockSupport.parkNanos(POLL_INTERVAL.toNanos());
         }
     }
 
-    boolean complete() {
-        return missing.isEmpty();
+    boolean isComplete() {
+        return unconfirmed.isEmpty();
     }
 
     ObjectNode toJson() {
         ObjectNode json =
-                Json.object()
+                Json.newObject()
                         .put("revision", revision)
-                        .put("confirmed", asked - missing.size())
-                        .put("asked", asked);
+                        .put("confirmed", instanceCount - unconfirmed.size())
+                        .put("asked", instanceCount);
         ArrayNode list = json.putArray("missing");
-        missing.forEach(
+        unconfirmed.forEach(
                 (address, last) ->
                         list.addObject().put("address", address.toString()).put("last", last));
         return json;
@@ -58,30 +58,36 @@
 
     String text() {
         String confirmed =
-                (asked - missing.size()) + " of " + asked + " instances hold revision " + revision;
-        return missing.isEmpty()
+                (instanceCount - unconfirmed.size())
+                        + " of "
+                        + instanceCount
+                        + " instances have revision "
+                        + revision;
+        return unconfirmed.isEmpty()
                 ? confirmed
                 : confirmed
                         + "; not confirmed: "
-                        + missing.entrySet().stream()
+                        + unconfirmed.entrySet().stream()
                                 .map(each -> each.getKey() + " (" + each.getValue() + ")")
                                 .collect(Collectors.joining(", "));
     }
 
-    private static void ask(
-            Connections connections, Address address, long revision, Map<Address, String> missing) {
-        Reply reply = connections.call(address, "GET", "/config", Map.of(), "");
-        if (reply instanceof Reply.Answered answered) {
-            long held = answered.json().path("revision").asLong();
-            if (held >= revision) {
-                missing.remove(address);
+    private static void poll(
+            ApiClient client, Address address, long revision, Map<Address, String> unconfirmed) {
+        CallResult result = client.call(address, "GET", "/config", Map.of(), "");
+        if (result instanceof CallResult.Answered answered) {
+            long applied = answered.json().path("revision").asLong();
+            if (applied >= revision) {
+                unconfirmed.remove(address);
             } else {
-                missing.put(address, "holds revision " + held);
+                unconfirmed.put(address, "has revision " + applied);
             }
             return;
         }
-        missing.put(
+        unconfirmed.put(
                 address,
-                reply instanceof Reply.Silent silent ? silent.reason() : "refused the question");
+                result instanceof CallResult.Unanswered unanswered
+                        ? unanswered.reason()
+                        : "refused the request");
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/DiffCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/DiffCommand.java
@@ -14,10 +14,10 @@
 import org.sardinelift.ctl.config.ObjectDiff;
 import org.sardinelift.ctl.config.StoredConfig;
 
-/** Shows what an apply of a file would change. */
+/** Shows what applying a file would change. */
 public final class DiffCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public DiffCommand() {
         super("diff", "", "show what applying a file would change");
     }
@@ -26,19 +26,19 @@
     public Options options() {
         return CommonOptions.platform()
                 .addOption(
-                        shortValued(
+                        shortOption(
                                 "f", "FILE", "file of objects, - for standard input, required"));
     }
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
-        ConfigFile file = ConfigFile.parse(context.text(context.required("f")));
+        ConfigFile file = ConfigFile.parse(context.readText(context.requiredOption("f")));
         if (!file.problems().isEmpty()) {
             return StoreOutcomes.invalid(file.problems());
         }
         StoredConfig.Result read =
                 StoredConfig.read(
-                        context.platform(),
+                        context.objectStore(),
                         ConfigKind.TEMPLATE,
                         ConfigKind.TEAM,
                         ConfigKind.SERVICE);
@@ -49,19 +49,19 @@
     }
 
     private static Outcome compare(StoredConfig config, List<ConfigEntry> entries) {
-        ObjectNode json = Json.object();
+        ObjectNode json = Json.newObject();
         ArrayNode list = json.putArray("objects");
         List<String> lines = new ArrayList<>();
         for (ConfigEntry entry : entries) {
-            var held = config.find(entry.ref());
+            var stored = config.find(entry.ref());
             ObjectDiff diff =
                     ObjectDiff.between(
-                            held.map(StoredConfig::value).orElseGet(Json::object),
-                            entry.delete() ? Json.object() : entry.value());
+                            stored.map(StoredConfig::parseValue).orElseGet(Json::newObject),
+                            entry.isDeletion() ? Json.newObject() : entry.value());
             String action =
-                    entry.delete()
-                            ? (held.isPresent() ? "delete" : "none")
-                            : held.isEmpty() ? "create" : diff.isEmpty() ? "none" : "change";
+                    entry.isDeletion()
+                            ? (stored.isPresent() ? "delete" : "none")
+                            : stored.isEmpty() ? "create" : diff.isEmpty() ? "none" : "change";
             ObjectNode node =
                     list.addObject()
                             .put("kind", entry.ref().kind().label())
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/DrainCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/DrainCommand.java
@@ -5,15 +5,15 @@
 import org.apache.commons.cli.ParseException;
 import org.sardinelift.ctl.Outcome;
 
-/** Tells instances to take no new work and to end when what runs is complete. */
+/** Drains instances: they accept no new work and exit when the running work is complete. */
 public final class DrainCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public DrainCommand() {
         super(
                 "drain",
                 "",
-                "tell the entries at --operators to take no new work and complete what runs");
+                "drain the entries at --operators: no new work, running work is completed");
     }
 
     @Override
@@ -23,11 +23,11 @@
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
-        FleetView view = FleetView.ask(context, "POST", "/drain");
+        FleetResponses responses = FleetResponses.callAll(context, "POST", "/drain");
         String text =
-                view.answers().keySet().stream()
-                        .map(address -> address + " drains")
+                responses.answers().keySet().stream()
+                        .map(address -> address + " is draining")
                         .collect(Collectors.joining("\n"));
-        return view.outcome(view.byAddress(), text);
+        return responses.toOutcome(responses.toJson(), text);
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/EntryCalls.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/EntryCalls.java
@@ -6,9 +6,9 @@
 import org.sardinelift.ctl.Json;
 import org.sardinelift.ctl.Outcome;
 import org.sardinelift.ctl.http.Address;
-import org.sardinelift.ctl.http.Reply;
+import org.sardinelift.ctl.http.CallResult;
 
-/** Calls whose JSON answer is the command's result. */
+/** Makes calls whose answer is the outcome of a command. */
 final class EntryCalls {
     private EntryCalls() {}
 
@@ -19,16 +19,16 @@
             String uri,
             Map<String, String> headers,
             String body) {
-        Reply reply = context.connections().call(address, method, uri, headers, body);
-        if (!(reply instanceof Reply.Answered answered)) {
-            return Reply.failure(reply, address);
+        CallResult result = context.client().call(address, method, uri, headers, body);
+        if (!(result instanceof CallResult.Answered answered)) {
+            return CallResult.failureOutcome(result, address);
         }
         return answered.json().isMissingNode()
-                ? Outcome.ok(Json.object().put("text", answered.text()), answered.text())
+                ? Outcome.ok(Json.newObject().put("text", answered.text()), answered.text())
                 : Outcome.ok(answered.json(), answered.json().toPrettyString());
     }
 
-    static String encode(String part) {
-        return URLEncoder.encode(part, StandardCharsets.UTF_8).replace("+", "%20");
+    static String urlEncode(String text) {
+        return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("+", "%20");
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/ExplainCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/ExplainCommand.java
@@ -15,12 +15,12 @@
 import org.sardinelift.ctl.Outcome;
 import org.sardinelift.ctl.TextTable;
 
-/** Shows what was decided about a request, job, target or team, and why, in order of time. */
+/** Shows the decisions about a request, job, target or team, with reasons, in order of time. */
 public final class ExplainCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public ExplainCommand() {
-        super("explain", "REQUEST|JOB|TARGET|TEAM", "show what was decided about it, and why");
+        super("explain", "REQUEST|JOB|TARGET|TEAM", "show the decisions about it, with reasons");
     }
 
     @Override
@@ -31,52 +31,55 @@
     @Override
     public Outcome run(CommandContext context) throws ParseException {
         String subject = context.argument(0, "REQUEST|JOB|TARGET|TEAM");
-        FleetView view =
-                FleetView.ask(context, "GET", "/explain?subject=" + EntryCalls.encode(subject));
+        FleetResponses responses =
+                FleetResponses.callAll(
+                        context, "GET", "/explain?subject=" + EntryCalls.urlEncode(subject));
         List<JsonNode> timeline =
-                view.answers().values().stream()
+                responses.answers().values().stream()
                         .flatMap(answer -> Json.elements(answer.path("decisions")))
                         .distinct()
                         .sorted(Comparator.comparingLong(each -> each.path("timeMs").asLong()))
                         .toList();
-        List<String> unheard = unheard(view);
-        ObjectNode json = Json.object().put("subject", subject);
+        List<String> unheard = unheard(responses);
+        ObjectNode json = Json.newObject().put("subject", subject);
         ArrayNode list = json.putArray("decisions");
         timeline.forEach(list::add);
         unheard.forEach(json.putArray("unheard")::add);
         String text =
-                timeline.isEmpty() ? "nothing is known of " + subject : table(timeline).toString();
-        return view.outcome(json, text + missing(unheard));
+                timeline.isEmpty()
+                        ? "no decisions are known about " + subject
+                        : table(timeline).toString();
+        return responses.toOutcome(json, text + missingNotes(unheard));
     }
 
-    /** Instances that some entry asked and that answered none. */
-    private static List<String> unheard(FleetView view) {
-        Set<String> answered = names(view, "answered").collect(Collectors.toSet());
-        return names(view, "silent")
+    /** Instances that entries asked and that answered none of them. */
+    private static List<String> unheard(FleetResponses responses) {
+        Set<String> answered = instanceNames(responses, "answered").collect(Collectors.toSet());
+        return instanceNames(responses, "silent")
                 .filter(name -> !answered.contains(name))
                 .distinct()
                 .sorted()
                 .toList();
     }
 
-    private static Stream<String> names(FleetView view, String field) {
-        return view.answers().values().stream()
+    private static Stream<String> instanceNames(FleetResponses responses, String field) {
+        return responses.answers().values().stream()
                 .flatMap(answer -> Json.elements(answer.path(field)))
                 .map(JsonNode::asText);
     }
 
-    private static String missing(List<String> unheard) {
+    private static String missingNotes(List<String> unheard) {
         return unheard.stream()
-                .map(name -> "\nno answer from " + name + "; what it decided is not shown")
+                .map(name -> "\nno answer from " + name + "; its decisions are not shown")
                 .collect(Collectors.joining());
     }
 
     private static TextTable table(List<JsonNode> timeline) {
         TextTable table =
-                TextTable.of("TIME", "INSTANCE", "SUBJECT", "ACTION", "REASON", "FIGURES");
+                TextTable.withColumns("TIME", "INSTANCE", "SUBJECT", "ACTION", "REASON", "FIGURES");
         timeline.forEach(
                 decision ->
-                        table.row(
+                        table.addRow(
                                 Instant.ofEpochMilli(decision.path("timeMs").asLong()).toString(),
                                 decision.path("instance").asText(),
                                 decision.path("subject").asText(),
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/FleetStatus.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/FleetStatus.java
@@ -14,48 +14,48 @@
 import org.sardinelift.ctl.Json;
 
 /**
- * The fleet as the entries that answered see it together.
+ * State of the fleet, merged from the answers of the entries.
  *
  * @param instances the entries
- * @param targets the targets; those that some entry leaves out come first
- * @param teams the active teams; the busiest come first
- * @param jobs the jobs that entries hold; the late ones come first
- * @param repairs what is being repaired, one line each
+ * @param targets the targets; those that some entry does not use come first
+ * @param teams the active teams, by request rate, highest first
+ * @param jobs the jobs that entries run; late jobs come first
+ * @param repairs repairs in progress, one line each
  */
 record FleetStatus(
         List<Instance> instances,
         List<Target> targets,
-        List<TeamTotal> teams,
+        List<TeamUsage> teams,
         List<Job> jobs,
         List<String> repairs) {
-    private static final String IN = "in";
+    private static final String IN_STATE = "in";
 
     /** An entry. */
     record Instance(
-            String name, String zone, boolean ready, long calls, long peers, long revision) {}
+            String name, String zone, boolean isReady, long calls, long peers, long revision) {}
 
-    /** A target, as the entries see it together; its state names those that leave it out. */
+    /** A target; its state names the entries that do not use it. */
     record Target(String name, String service, String zone, int slots, int load, String state) {}
 
-    /** A job against its deadline; times are ISO 8601, empty where there is none. */
+    /** A job and its deadline; times are ISO 8601, empty if there is none. */
     record Job(
             String id,
             String team,
-            String heldBy,
+            String holder,
             String takenOverFrom,
             int open,
             int items,
             String expectedEnd,
             String due,
-            boolean late) {}
+            boolean isLate) {}
 
     static FleetStatus of(Collection<JsonNode> answers) {
         List<Instance> instances = answers.stream().map(FleetStatus::instance).toList();
         List<Target> targets = targets(answers);
         List<Job> jobs =
                 answers.stream()
-                        .flatMap(answer -> each(answer, "jobs").map(job -> job(answer, job)))
-                        .sorted(Comparator.comparing(job -> !job.late()))
+                        .flatMap(answer -> elements(answer, "jobs").map(job -> job(answer, job)))
+                        .sorted(Comparator.comparing(job -> !job.isLate()))
                         .toList();
         List<String> repairs = new ArrayList<>();
         jobs.stream()
@@ -63,24 +63,30 @@
                 .map(job -> job.id() + " was taken over from " + job.takenOverFrom())
                 .forEach(repairs::add);
         targets.stream()
-                .filter(target -> !target.state().equals(IN))
+                .filter(target -> !target.state().equals(IN_STATE))
                 .map(target -> target.name() + " is " + target.state())
                 .forEach(repairs::add);
         answers.stream()
-                .flatMap(answer -> each(answer, "sharesToReclaim"))
-                .map(share -> "the share of the limits of " + share.asText() + " is to reclaim")
+                .flatMap(answer -> elements(answer, "sharesToReclaim"))
+                .map(share -> "the rate-limit share of " + share.asText() + " is to be reclaimed")
                 .distinct()
                 .forEach(repairs::add);
         long newest = instances.stream().mapToLong(Instance::revision).max().orElse(0);
         instances.stream()
                 .filter(each -> each.revision() < newest)
-                .map(each -> each.name() + " holds revision " + each.revision() + " of " + newest)
+                .map(
+                        each ->
+                                each.name()
+                                        + " has configuration revision "
+                                        + each.revision()
+                                        + ", newest is "
+                                        + newest)
                 .forEach(repairs::add);
         return new FleetStatus(instances, targets, teams(answers), jobs, repairs);
     }
 
-    /** Slots of all targets together. */
-    int slots() {
+    /** Returns the number of slots of all targets. */
+    int totalSlots() {
         return targets.stream().mapToInt(Target::slots).sum();
     }
 
@@ -106,13 +112,13 @@
     private static void write(ObjectNode node, Job job) {
         node.put("job", job.id())
                 .put("team", job.team())
-                .put("heldBy", job.heldBy())
+                .put("heldBy", job.holder())
                 .put("takenOverFrom", job.takenOverFrom())
                 .put("open", job.open())
                 .put("items", job.items())
                 .put("expectedEnd", job.expectedEnd())
                 .put("due", job.due())
-                .put("late", job.late());
+                .put("late", job.isLate());
     }
 
     private static Instance instance(JsonNode answer) {
@@ -138,81 +144,81 @@
                 job.path("late").asBoolean());
     }
 
-    private static List<TeamTotal> teams(Collection<JsonNode> answers) {
-        Map<String, TeamTotal> totals =
+    private static List<TeamUsage> teams(Collection<JsonNode> answers) {
+        Map<String, TeamUsage> totals =
                 answers.stream()
-                        .flatMap(answer -> each(answer, "teams"))
-                        .map(TeamTotal::of)
+                        .flatMap(answer -> elements(answer, "teams"))
+                        .map(TeamUsage::of)
                         .collect(
                                 Collectors.toMap(
-                                        TeamTotal::team,
+                                        TeamUsage::team,
                                         team -> team,
-                                        TeamTotal::plus,
+                                        TeamUsage::plus,
                                         TreeMap::new));
         return totals.values().stream()
-                .sorted(Comparator.comparingDouble(TeamTotal::perSecond).reversed())
+                .sorted(Comparator.comparingDouble(TeamUsage::admittedPerSecond).reversed())
                 .toList();
     }
 
     private static List<Target> targets(Collection<JsonNode> answers) {
-        Map<String, List<Sight>> sights =
+        Map<String, List<EntryView>> views =
                 answers.stream()
                         .flatMap(
                                 answer ->
-                                        each(answer, "targets")
-                                                .map(target -> Sight.of(answer, target)))
+                                        elements(answer, "targets")
+                                                .map(target -> EntryView.of(answer, target)))
                         .collect(
                                 Collectors.groupingBy(
-                                        Sight::name, TreeMap::new, Collectors.toList()));
-        return sights.values().stream()
+                                        EntryView::name, TreeMap::new, Collectors.toList()));
+        return views.values().stream()
                 .map(FleetStatus::target)
-                .sorted(Comparator.comparing(target -> target.state().equals(IN)))
+                .sorted(Comparator.comparing(target -> target.state().equals(IN_STATE)))
                 .toList();
     }
 
-    private static Target target(List<Sight> sights) {
-        Sight first = sights.get(0);
+    private static Target target(List<EntryView> views) {
+        EntryView first = views.get(0);
         String state =
-                sights.stream()
-                        .filter(sight -> !sight.trouble().isEmpty())
-                        .map(sight -> sight.trouble() + " " + sight.seenBy())
+                views.stream()
+                        .filter(view -> !view.problem().isEmpty())
+                        .map(view -> view.problem() + " " + view.entry())
                         .collect(Collectors.joining(", "));
         return new Target(
                 first.name(),
-                sights.stream().map(Sight::service).max(String::compareTo).orElse(""),
+                views.stream().map(EntryView::service).max(String::compareTo).orElse(""),
                 first.zone(),
-                sights.stream().mapToInt(Sight::slots).max().orElse(0),
-                sights.stream().mapToInt(Sight::reported).max().orElse(0),
-                state.isEmpty() ? IN : state);
+                views.stream().mapToInt(EntryView::slots).max().orElse(0),
+                views.stream().mapToInt(EntryView::reportedLoad).max().orElse(0),
+                state.isEmpty() ? IN_STATE : state);
     }
 
-    private static Stream<JsonNode> each(JsonNode answer, String field) {
+    private static Stream<JsonNode> elements(JsonNode answer, String field) {
         return Json.elements(answer.path(field));
     }
 
-    /** A target as one entry sees it. */
-    private record Sight(
-            String seenBy,
+    /** State of a target at one entry. */
+    private record EntryView(
+            String entry,
             String name,
             String service,
             String zone,
             int slots,
-            int reported,
-            String trouble) {
+            int reportedLoad,
+            String problem) {
 
-        static Sight of(JsonNode answer, JsonNode target) {
-            String trouble =
+        static EntryView of(JsonNode answer, JsonNode target) {
+            String problem =
                     !target.path("usable").asBoolean()
                             ? "not usable for"
                             : target.path("admission").asText().equals("IN") ? "" : "left out by";
-            return new Sight(
+            return new EntryView(
                     answer.path("instance").asText(),
                     target.path("companion").asText(),
                     target.path("service").asText(),
                     target.path("zone").asText(),
                     target.path("slots").asInt(),
                     target.path("reported").asInt(),
-                    trouble);
+                    problem);
         }
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/GetCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/GetCommand.java
@@ -14,10 +14,10 @@
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.objects.kinds.ConfigCodec;
 
-/** Prints configuration objects in the form that apply reads. */
+/** Prints configuration objects in the format that {@code apply} reads. */
 public final class GetCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public GetCommand() {
         super("get", "[KIND[/NAME]]", "print objects with their versions, as apply reads them");
     }
@@ -30,9 +30,9 @@
     @Override
     public Outcome run(CommandContext context) throws ParseException {
         List<String> arguments = context.line().getArgList();
-        String[] wanted = (arguments.isEmpty() ? "" : arguments.get(0)).split("/", 2);
-        ConfigKind[] kinds = kinds(wanted[0]);
-        StoredConfig.Result read = StoredConfig.read(context.platform(), kinds);
+        String[] kindAndName = (arguments.isEmpty() ? "" : arguments.get(0)).split("/", 2);
+        ConfigKind[] kinds = kinds(kindAndName[0]);
+        StoredConfig.Result read = StoredConfig.read(context.objectStore(), kinds);
         if (read instanceof StoredConfig.Result.Unavailable unavailable) {
             return StoreOutcomes.unavailable(unavailable.reason());
         }
@@ -42,17 +42,18 @@
                         .flatMap(kind -> config.list(kind).stream())
                         .filter(
                                 object ->
-                                        wanted.length < 2 || object.key().name().equals(wanted[1]))
+                                        kindAndName.length < 2
+                                                || object.key().name().equals(kindAndName[1]))
                         .toList();
-        if (objects.isEmpty() && wanted.length == 2) {
+        if (objects.isEmpty() && kindAndName.length == 2) {
             return Outcome.failed(
                     ExitCode.REFUSED,
                     "There is no " + arguments.get(0),
-                    "List the names with get " + wanted[0] + ".");
+                    "List the names with get " + kindAndName[0] + ".");
         }
-        ObjectNode json = Json.object();
+        ObjectNode json = Json.newObject();
         ArrayNode list = json.putArray("objects");
-        objects.forEach(object -> list.add(entry(object)));
+        objects.forEach(object -> list.add(toEntry(object)));
         return Outcome.ok(json, json.toPrettyString());
     }
 
@@ -68,11 +69,11 @@
                                         "expected template, team, key or service, found " + label));
     }
 
-    private static ObjectNode entry(StoredObject object) {
-        ObjectNode value = StoredConfig.value(object);
+    private static ObjectNode toEntry(StoredObject object) {
+        ObjectNode value = StoredConfig.parseValue(object);
         value.remove(ConfigCodec.WRITE_MARK_FIELD);
         ObjectNode node =
-                Json.object()
+                Json.newObject()
                         .put("kind", object.key().kind())
                         .put("name", object.key().name())
                         .put("version", object.version());
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/KeysIssueCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/KeysIssueCommand.java
@@ -24,14 +24,14 @@
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.kinds.ConfigCodec;
 
-/** Issues a key to a team and shows it once; only its keyed hash is kept. */
+/** Issues a key to a team and prints it once; only its keyed hash is stored. */
 public final class KeysIssueCommand extends Command {
     private static final int ID_BYTES = 6;
     private static final int SECRET_BYTES = 24;
 
     private final SecureRandom random = new SecureRandom();
 
-    /** Makes the command. */
+    /** Creates the command. */
     public KeysIssueCommand() {
         super("keys issue", "TEAM", "issue a key to a team; it is shown once");
     }
@@ -40,7 +40,7 @@
     public Options options() {
         return CommonOptions.platform()
                 .addOption(
-                        valued(
+                        longOption(
                                 "pepper-file",
                                 "FILE",
                                 "file with the deployment's secret, or "
@@ -51,33 +51,33 @@
     public Outcome run(CommandContext context) throws ParseException {
         String team = context.argument(0, "TEAM");
         String pepper = pepper(context);
-        ObjectStore store = context.platform();
-        ReadResult found = store.read(new ObjectKey(ConfigKind.TEAM.label(), team)).join();
-        if (found instanceof ReadResult.Unavailable unavailable) {
+        ObjectStore store = context.objectStore();
+        ReadResult read = store.read(new ObjectKey(ConfigKind.TEAM.label(), team)).join();
+        if (read instanceof ReadResult.Unavailable unavailable) {
             return StoreOutcomes.unavailable(unavailable.reason());
         }
-        String id = HexFormat.of().formatHex(bytes(ID_BYTES));
-        if (found instanceof ReadResult.Absent) {
+        String id = HexFormat.of().formatHex(randomBytes(ID_BYTES));
+        if (read instanceof ReadResult.Absent) {
             return StoreOutcomes.invalid(List.of(ConfigProblem.missingTeam(id, team)));
         }
-        String key = "sl_" + id + "_" + HexFormat.of().formatHex(bytes(SECRET_BYTES));
+        String key = "sl_" + id + "_" + HexFormat.of().formatHex(randomBytes(SECRET_BYTES));
         KeyEntry entry = new KeyEntry(id, team, KeyDigest.of(pepper).digest(key), false);
         WriteOutcome written = write(store, entry);
-        if (written instanceof WriteOutcome.Unreachable unclear) {
+        if (written instanceof WriteOutcome.Unreachable unconfirmed) {
             return Outcome.failed(
-                    unclear.code(),
-                    "The key " + id + " is not confirmed: " + unclear.reason(),
+                    unconfirmed.code(),
+                    "The key " + id + " is not confirmed: " + unconfirmed.reason(),
                     "Withdraw " + id + " if get key lists it, and issue another.");
         }
-        if (!(written instanceof WriteOutcome.Written done)) {
+        if (!(written instanceof WriteOutcome.Written success)) {
             return StoreOutcomes.written(List.of(written));
         }
         ObjectNode json =
-                Json.object()
+                Json.newObject()
                         .put("id", id)
                         .put("team", team)
                         .put("key", key)
-                        .put("revision", done.revision());
+                        .put("revision", success.revision());
         return Outcome.ok(json, key);
     }
 
@@ -93,7 +93,7 @@
         String pepper =
                 file == null
                         ? context.environment().getOrDefault(CommandContext.PEPPER_VARIABLE, "")
-                        : context.text(file).strip();
+                        : context.readText(file).strip();
         if (pepper.isBlank()) {
             throw new ParseException(
                     "--pepper-file is missing; set it or "
@@ -103,7 +103,7 @@
         return pepper;
     }
 
-    private byte[] bytes(int count) {
+    private byte[] randomBytes(int count) {
         byte[] bytes = new byte[count];
         random.nextBytes(bytes);
         return bytes;
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/KeysWithdrawCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/KeysWithdrawCommand.java
@@ -20,12 +20,12 @@
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.StoredObject;
 
-/** Withdraws a key; the entry stays, so that the key can never come back. */
+/** Withdraws a key; its object is kept, so that the key can never become valid again. */
 public final class KeysWithdrawCommand extends Command {
-    private static final String WITHDRAWN = "withdrawn";
+    private static final String WITHDRAWN_FIELD = "withdrawn";
     private static final int MAX_ATTEMPTS = 5;
 
-    /** Makes the command. */
+    /** Creates the command. */
     public KeysWithdrawCommand() {
         super("keys withdraw", "ID", "withdraw a key by its identifier, the part after sl_");
     }
@@ -38,8 +38,8 @@
     @Override
     public Outcome run(CommandContext context) throws ParseException {
         String id = context.argument(0, "ID");
-        ObjectStore store = context.platform();
-        WriteOutcome last = null;
+        ObjectStore store = context.objectStore();
+        WriteOutcome outcome = null;
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             ReadResult read = store.read(new ObjectKey(ConfigKind.KEY.label(), id)).join();
             if (read instanceof ReadResult.Unavailable unavailable) {
@@ -51,18 +51,20 @@
                         "There is no key " + id,
                         "List the identifiers with get key.");
             }
-            last = withdraw(store, id, ((ReadResult.Found) read).object());
-            if (last.code() != ExitCode.CONFLICT) {
+            outcome = withdraw(store, id, ((ReadResult.Found) read).object());
+            if (outcome.code() != ExitCode.CONFLICT) {
                 break;
             }
         }
-        return StoreOutcomes.written(List.of(last));
+        return StoreOutcomes.written(List.of(outcome));
     }
 
-    private static WriteOutcome withdraw(ObjectStore store, String id, StoredObject held) {
-        ObjectNode value = StoredConfig.value(held).put(WITHDRAWN, true);
+    private static WriteOutcome withdraw(ObjectStore store, String id, StoredObject stored) {
+        ObjectNode value = StoredConfig.parseValue(stored).put(WITHDRAWN_FIELD, true);
         ConfigRef ref = new ConfigRef(ConfigKind.KEY, id);
         return ConfigWriter.of(store, () -> UUID.randomUUID().toString())
-                .write(new ConfigEntry(ref, OptionalLong.empty(), false, value), Optional.of(held));
+                .write(
+                        new ConfigEntry(ref, OptionalLong.empty(), false, value),
+                        Optional.of(stored));
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutObjects.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutObjects.java
@@ -17,7 +17,7 @@
 import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.RolloutCodec;
 
-/** The objects of one roll-out at the platform. */
+/** Reads and writes the stored objects of one roll-out. */
 final class RolloutObjects {
     private static final int MAX_ATTEMPTS = 5;
 
@@ -33,79 +33,84 @@
         return new RolloutObjects(store, name);
     }
 
-    /** What was read, or the command's outcome where it could not be. */
-    sealed interface Reading<T> {
-        record Read<T>(Optional<T> value, long version) implements Reading<T> {}
+    /** The object that was read, or the command's outcome if it can't be read. */
+    sealed interface ReadOutcome<T> {
+        record Read<T>(Optional<T> value, long version) implements ReadOutcome<T> {}
 
-        record Failed<T>(Outcome outcome) implements Reading<T> {}
+        record Failed<T>(Outcome outcome) implements ReadOutcome<T> {}
     }
 
-    Reading<RolloutSpec> spec() {
+    ReadOutcome<RolloutSpec> readSpec() {
         return read(
                 RolloutCodec.SPEC_KIND,
                 object -> RolloutCodec.decodeSpec(name, object.revision(), object.value()));
     }
 
-    Reading<RolloutState> state() {
+    ReadOutcome<RolloutState> readState() {
         return read(
                 RolloutCodec.STATUS_KIND, object -> RolloutCodec.decodeState(name, object.value()));
     }
 
-    private <T> Reading<T> read(String kind, Function<StoredObject, DecodeResult<T>> reader) {
+    private <T> ReadOutcome<T> read(String kind, Function<StoredObject, DecodeResult<T>> decoder) {
         ReadResult result = store.read(new ObjectKey(kind, name)).join();
         if (result instanceof ReadResult.Unavailable unavailable) {
-            return new Reading.Failed<>(StoreOutcomes.unavailable(unavailable.reason()));
+            return new ReadOutcome.Failed<>(StoreOutcomes.unavailable(unavailable.reason()));
         }
         if (!(result instanceof ReadResult.Found found)) {
-            return new Reading.Read<>(Optional.empty(), ObjectStore.ABSENT_VERSION);
+            return new ReadOutcome.Read<>(Optional.empty(), ObjectStore.ABSENT_VERSION);
         }
-        DecodeResult<T> value = reader.apply(found.object());
-        return value instanceof DecodeResult.Valid<T> sound
-                ? new Reading.Read<>(Optional.of(sound.item()), found.object().version())
-                : new Reading.Failed<>(
+        DecodeResult<T> value = decoder.apply(found.object());
+        return value instanceof DecodeResult.Valid<T> valid
+                ? new ReadOutcome.Read<>(Optional.of(valid.item()), found.object().version())
+                : new ReadOutcome.Failed<>(
                         StoreOutcomes.invalid(((DecodeResult.Invalid<T>) value).problems()));
     }
 
-    /** Writes what is wanted over a version; its own write is known again by what it holds. */
-    Outcome write(RolloutSpec wanted, long version, String done) {
+    /**
+     * Writes the specification if the stored version is unchanged. After an unclear answer the
+     * stored value shows whether the write took effect.
+     */
+    Outcome writeSpec(RolloutSpec wanted, long version, String outcome) {
         String value = RolloutCodec.encodeSpec(wanted);
-        DecodeResult<RolloutSpec> checked = RolloutCodec.decodeSpec(name, 0, value);
-        if (checked instanceof DecodeResult.Invalid<RolloutSpec> unsound) {
-            return StoreOutcomes.invalid(unsound.problems());
+        DecodeResult<RolloutSpec> decoded = RolloutCodec.decodeSpec(name, 0, value);
+        if (decoded instanceof DecodeResult.Invalid<RolloutSpec> invalid) {
+            return StoreOutcomes.invalid(invalid.problems());
         }
         ObjectKey key = new ObjectKey(RolloutCodec.SPEC_KIND, name);
         String reason = "";
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             WriteResult result = store.write(key, version, value).join();
             if (result instanceof WriteResult.Written) {
-                return done(wanted, done);
+                return success(wanted, outcome);
             }
-            if (result instanceof WriteResult.NotWritten refused) {
-                return unreachable(refused.reason(), "Nothing was written; try again.");
+            if (result instanceof WriteResult.NotWritten failure) {
+                return unconfirmed(failure.reason(), "Nothing was written; try again.");
             }
             reason = result instanceof WriteResult.Unclear unclear ? unclear.reason() : reason;
-            ReadResult now = store.read(key).join();
-            if (now instanceof ReadResult.Found found && found.object().value().equals(value)) {
-                return done(wanted, done);
+            ReadResult current = store.read(key).join();
+            if (current instanceof ReadResult.Found found && found.object().value().equals(value)) {
+                return success(wanted, outcome);
             }
-            long held = now instanceof ReadResult.Found found ? found.object().version() : 0;
-            if (!(now instanceof ReadResult.Unavailable) && held != version) {
+            long storedVersion =
+                    current instanceof ReadResult.Found found ? found.object().version() : 0;
+            if (!(current instanceof ReadResult.Unavailable) && storedVersion != version) {
                 return Outcome.failed(
                         ExitCode.CONFLICT,
                         "Another operator changed the roll-out " + name + " first",
-                        "Look at it with rollout status, then decide again.");
+                        "Check it with rollout status, then decide whether to repeat this.");
             }
         }
-        return unreachable(reason, "Look at rollout status: it may have been written.");
+        return unconfirmed(reason, "Check with rollout status: it may have been written.");
     }
 
-    private static Outcome unreachable(String reason, String remedy) {
-        return Outcome.failed(ExitCode.UNREACHABLE, "No clear answer: " + reason, remedy);
+    private static Outcome unconfirmed(String reason, String remedy) {
+        return Outcome.failed(
+                ExitCode.UNREACHABLE, "The platform did not confirm the write: " + reason, remedy);
     }
 
-    private Outcome done(RolloutSpec wanted, String text) {
+    private Outcome success(RolloutSpec wanted, String text) {
         return Outcome.ok(
-                Json.object().put("name", name).put("id", wanted.id()).put("outcome", text),
+                Json.newObject().put("name", name).put("id", wanted.id()).put("outcome", text),
                 "Roll-out " + name + " is " + text);
     }
 
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStartCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStartCommand.java
@@ -20,97 +20,102 @@
 import org.sardinelift.objects.kinds.ConfigCodec;
 import org.sardinelift.objects.kinds.DecodeResult;
 
-/** Starts a roll-out: writes what every target of a service is to hold. */
+/** Starts a roll-out of a model version or a role to all targets of a service. */
 public final class RolloutStartCommand extends Command {
     private static final String MODEL = "model";
-    private static final String VERSION = "model-version";
+    private static final String MODEL_VERSION = "model-version";
     private static final String ROLE = "role";
-    private static final String LEAST = "least-serving";
-    private static final String DEFAULT_LEAST = "0.5";
+    private static final String LEAST_SERVING = "least-serving";
+    private static final String DEFAULT_LEAST_SERVING = "0.5";
 
-    /** Makes the command. */
+    /** Creates the command. */
     public RolloutStartCommand() {
         super(
                 "rollout start",
                 "SERVICE",
-                "bring a model's version or a role to every target of a service");
+                "roll out a model version or a role to every target of a service");
     }
 
     @Override
     public Options options() {
         return CommonOptions.platform()
-                .addOption(valued(MODEL, "MODEL", "model or adapter"))
-                .addOption(valued(VERSION, "VERSION", "version of it that is wanted"))
-                .addOption(valued(ROLE, "ROLE", "role that is wanted, instead of a version"))
+                .addOption(longOption(MODEL, "MODEL", "model or adapter"))
+                .addOption(longOption(MODEL_VERSION, "VERSION", "version to roll out"))
+                .addOption(longOption(ROLE, "ROLE", "role to roll out, instead of a version"))
                 .addOption(
-                        valued(
-                                LEAST,
+                        longOption(
+                                LEAST_SERVING,
                                 "FRACTION",
-                                "least part of the targets that go on serving, default "
-                                        + DEFAULT_LEAST));
+                                "smallest fraction of the targets that keep serving, default "
+                                        + DEFAULT_LEAST_SERVING));
     }
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
         String service = context.argument(0, "SERVICE");
         RolloutGoal goal = goal(context);
-        double least = least(context);
-        ObjectStore store = context.platform();
-        Optional<Outcome> wrong = check(store, service, goal);
-        if (wrong.isPresent()) {
-            return wrong.get();
+        double minServingFraction = minServingFraction(context);
+        ObjectStore store = context.objectStore();
+        Optional<Outcome> error = check(store, service, goal);
+        if (error.isPresent()) {
+            return error.get();
         }
-        String name = name(service, goal);
+        String name = rolloutName(service, goal);
         RolloutObjects objects = RolloutObjects.of(store, name);
-        RolloutObjects.Reading<RolloutSpec> spec = objects.spec();
-        RolloutObjects.Reading<RolloutState> state = objects.state();
-        if (spec instanceof RolloutObjects.Reading.Failed<RolloutSpec> failed) {
+        RolloutObjects.ReadOutcome<RolloutSpec> spec = objects.readSpec();
+        RolloutObjects.ReadOutcome<RolloutState> state = objects.readState();
+        if (spec instanceof RolloutObjects.ReadOutcome.Failed<RolloutSpec> failed) {
             return failed.outcome();
         }
-        if (state instanceof RolloutObjects.Reading.Failed<RolloutState> failed) {
+        if (state instanceof RolloutObjects.ReadOutcome.Failed<RolloutState> failed) {
             return failed.outcome();
         }
-        RolloutObjects.Reading.Read<RolloutSpec> known =
-                (RolloutObjects.Reading.Read<RolloutSpec>) spec;
-        if (running(known.value(), ((RolloutObjects.Reading.Read<RolloutState>) state).value())) {
+        RolloutObjects.ReadOutcome.Read<RolloutSpec> read =
+                (RolloutObjects.ReadOutcome.Read<RolloutSpec>) spec;
+        if (isRunning(
+                read.value(), ((RolloutObjects.ReadOutcome.Read<RolloutState>) state).value())) {
             return Outcome.failed(
                     ExitCode.REFUSED,
                     "The roll-out " + name + " has not ended",
-                    "Wait for its end in rollout status, or end it with rollout stop.");
+                    "Wait until rollout status shows its end, or end it with rollout stop.");
         }
         String id = UUID.randomUUID().toString();
-        return objects.write(
-                new RolloutSpec(name, id, 0, service, goal, least, false),
-                known.version(),
+        return objects.writeSpec(
+                new RolloutSpec(name, id, 0, service, goal, minServingFraction, false),
+                read.version(),
                 "started");
     }
 
-    /** The name under which a goal's roll-out is kept: one at a time for each service and model. */
-    static String name(String service, RolloutGoal goal) {
+    /**
+     * Returns the name of the roll-out of a goal. There is one roll-out at a time for each service
+     * and model.
+     */
+    static String rolloutName(String service, RolloutGoal goal) {
         return goal.action() == OrderAction.ROLE ? service : service + "/" + goal.model();
     }
 
-    private static boolean running(Optional<RolloutSpec> spec, Optional<RolloutState> state) {
+    private static boolean isRunning(Optional<RolloutSpec> spec, Optional<RolloutState> state) {
         if (spec.isEmpty()) {
             return false;
         }
-        boolean taken =
+        boolean isStateOfSpec =
                 state.filter(known -> known.spec().id().equals(spec.get().id())).isPresent();
-        return taken ? !state.get().phase().isTerminal() : !spec.get().isStopped();
+        return isStateOfSpec ? !state.get().phase().isTerminal() : !spec.get().isStopped();
     }
 
     private static RolloutGoal goal(CommandContext context) throws ParseException {
         boolean role = context.line().hasOption(ROLE);
-        if (role && (context.line().hasOption(MODEL) || context.line().hasOption(VERSION))) {
-            throw new ParseException("--role goes without --model and --model-version");
+        if (role && (context.line().hasOption(MODEL) || context.line().hasOption(MODEL_VERSION))) {
+            throw new ParseException("--role can't be combined with --model or --model-version");
         }
         return role
-                ? RolloutGoal.role(context.required(ROLE))
-                : RolloutGoal.version(context.required(MODEL), context.required(VERSION));
+                ? RolloutGoal.role(context.requiredOption(ROLE))
+                : RolloutGoal.version(
+                        context.requiredOption(MODEL), context.requiredOption(MODEL_VERSION));
     }
 
-    private static double least(CommandContext context) throws ParseException {
-        String text = context.line().getOptionValue(LEAST, DEFAULT_LEAST);
+    private static double minServingFraction(CommandContext context) throws ParseException {
+        String text = context.line().getOptionValue(LEAST_SERVING, DEFAULT_LEAST_SERVING);
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -129,23 +134,23 @@
                             "rollout/service",
                             "the name of a service",
                             service,
-                            "List them with get service, or apply it first."));
+                            "List the services with get service, or apply this one first."));
         }
         DecodeResult<ConfigItem> item =
                 ConfigCodec.decode(
                         new ConfigRef(ConfigKind.SERVICE, service), found.object().value());
-        if (!(item instanceof DecodeResult.Valid<ConfigItem> sound)) {
+        if (!(item instanceof DecodeResult.Valid<ConfigItem> valid)) {
             return Optional.of(
                     StoreOutcomes.invalid(((DecodeResult.Invalid<ConfigItem>) item).problems()));
         }
-        ServiceSpec spec = (ServiceSpec) sound.item();
+        ServiceSpec spec = (ServiceSpec) valid.item();
         if (!spec.isEngine()) {
             return Optional.of(
                     RolloutObjects.invalid(
                             "rollout/service",
                             "a service of model engines",
                             service,
-                            "Plain services take no orders; name another."));
+                            "Plain services accept no orders; name a service of model engines."));
         }
         return goal.action() == OrderAction.ROLE || spec.models().contains(goal.model())
                 ? Optional.empty()
@@ -154,6 +159,6 @@
                                 "rollout/model",
                                 "one of " + spec.models(),
                                 goal.model(),
-                                "Add it to the service's models first, or name another."));
+                                "Add it to the service's models first, or name another model."));
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStatusCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStatusCommand.java
@@ -26,12 +26,15 @@
 import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.RolloutCodec;
 
-/** Shows how far roll-outs are, and why they went back. */
+/** Shows the progress of roll-outs, and why they were rolled back. */
 public final class RolloutStatusCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public RolloutStatusCommand() {
-        super("rollout status", "[NAME]", "show how far roll-outs are, and why they went back");
+        super(
+                "rollout status",
+                "[NAME]",
+                "show the progress of roll-outs, and why they were rolled back");
     }
 
     @Override
@@ -42,7 +45,7 @@
     @Override
     public Outcome run(CommandContext context) throws ParseException {
         List<String> names = context.line().getArgList();
-        ObjectStore store = context.platform();
+        ObjectStore store = context.objectStore();
         ListResult specs = store.list(RolloutCodec.SPEC_KIND, "").join();
         ListResult states = store.list(RolloutCodec.STATUS_KIND, "").join();
         if (specs instanceof ListResult.Unavailable unavailable) {
@@ -51,20 +54,21 @@
         if (states instanceof ListResult.Unavailable unavailable) {
             return StoreOutcomes.unavailable(unavailable.reason());
         }
-        Map<String, StoredObject> decided = byName(states);
-        ArrayNode list = Json.array();
+        Map<String, StoredObject> storedStates = byName(states);
+        ArrayNode list = Json.newArray();
         TextTable table =
-                TextTable.of("ROLL-OUT", "WANTED", "PHASE", "MOVED", "OPEN", "REASON", "TROUBLE");
+                TextTable.withColumns(
+                        "ROLL-OUT", "WANTED", "PHASE", "MOVED", "OPEN", "REASON", "TROUBLE");
         byName(specs)
                 .forEach(
                         (name, object) -> {
                             if (names.isEmpty() || names.contains(name)) {
-                                ObjectNode node = describe(object, decided.get(name));
+                                ObjectNode node = describe(object, storedStates.get(name));
                                 list.add(node);
-                                table.row(cells(node));
+                                table.addRow(cells(node));
                             }
                         });
-        ObjectNode json = Json.object();
+        ObjectNode json = Json.newObject();
         json.set("rollouts", list);
         return Outcome.ok(json, table.toString());
     }
@@ -80,15 +84,19 @@
                                         TreeMap::new));
     }
 
-    private static ObjectNode describe(StoredObject wanted, @Nullable StoredObject decided) {
-        String name = wanted.key().name();
-        ObjectNode node = Json.object().put("name", name);
+    private static ObjectNode describe(
+            StoredObject storedSpec, @Nullable StoredObject storedState) {
+        String name = storedSpec.key().name();
+        ObjectNode node = Json.newObject().put("name", name);
         Optional<RolloutSpec> spec =
-                sound(RolloutCodec.decodeSpec(name, wanted.revision(), wanted.value()));
+                validItem(RolloutCodec.decodeSpec(name, storedSpec.revision(), storedSpec.value()));
         Optional<RolloutState> state =
-                Optional.ofNullable(decided)
-                        .flatMap(object -> sound(RolloutCodec.decodeState(name, object.value())));
-        spec.ifPresent(known -> node.put("wanted", text(known)).put("stopped", known.isStopped()));
+                Optional.ofNullable(storedState)
+                        .flatMap(
+                                object ->
+                                        validItem(RolloutCodec.decodeState(name, object.value())));
+        spec.ifPresent(
+                known -> node.put("wanted", describeGoal(known)).put("stopped", known.isStopped()));
         Optional<RolloutState> own =
                 state.filter(
                         known ->
@@ -100,7 +108,11 @@
                     node.put("reason", known.rollbackReason()).put("trouble", known.problem());
                     ObjectNode steps = node.putObject("steps");
                     Arrays.stream(StepState.values())
-                            .forEach(at -> steps.put(at.name(), count(known, at)));
+                            .forEach(
+                                    stepState ->
+                                            steps.put(
+                                                    stepState.name(),
+                                                    countSteps(known, stepState)));
                     ObjectNode targets = node.putObject("targets");
                     known.steps()
                             .forEach((target, step) -> targets.put(target, step.state().name()));
@@ -108,28 +120,28 @@
         return node;
     }
 
-    private static String text(RolloutSpec spec) {
+    private static String describeGoal(RolloutSpec spec) {
         RolloutGoal goal = spec.goal();
         return goal.action() == OrderAction.ROLE
                 ? spec.service() + " role " + goal.wanted()
                 : spec.service() + " " + goal.model() + " " + goal.wanted();
     }
 
-    private static long count(RolloutState state, StepState at) {
-        return state.steps().values().stream().filter(step -> step.state() == at).count();
+    private static long countSteps(RolloutState state, StepState stepState) {
+        return state.steps().values().stream().filter(step -> step.state() == stepState).count();
     }
 
-    private static <T> Optional<T> sound(DecodeResult<T> result) {
-        return result instanceof DecodeResult.Valid<T> sound
-                ? Optional.of(sound.item())
+    private static <T> Optional<T> validItem(DecodeResult<T> result) {
+        return result instanceof DecodeResult.Valid<T> valid
+                ? Optional.of(valid.item())
                 : Optional.empty();
     }
 
     private static String[] cells(ObjectNode node) {
         long open =
                 Arrays.stream(StepState.values())
-                        .filter(at -> !at.mayServe())
-                        .mapToLong(at -> node.at("/steps/" + at.name()).asLong())
+                        .filter(stepState -> !stepState.mayServe())
+                        .mapToLong(stepState -> node.at("/steps/" + stepState.name()).asLong())
                         .sum();
         return new String[] {
             node.path("name").asText(),
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStopCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/RolloutStopCommand.java
@@ -6,12 +6,12 @@
 import org.sardinelift.ctl.ExitCode;
 import org.sardinelift.ctl.Outcome;
 
-/** Stops a roll-out; the targets already moved go back. */
+/** Stops a roll-out; targets that were already changed are rolled back. */
 public final class RolloutStopCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public RolloutStopCommand() {
-        super("rollout stop", "NAME", "stop a roll-out; targets already moved go back");
+        super("rollout stop", "NAME", "stop a roll-out; targets already changed are rolled back");
     }
 
     @Override
@@ -22,28 +22,28 @@
     @Override
     public Outcome run(CommandContext context) throws ParseException {
         String name = context.argument(0, "NAME");
-        RolloutObjects objects = RolloutObjects.of(context.platform(), name);
-        RolloutObjects.Reading<RolloutSpec> reading = objects.spec();
-        if (reading instanceof RolloutObjects.Reading.Failed<RolloutSpec> failed) {
+        RolloutObjects objects = RolloutObjects.of(context.objectStore(), name);
+        RolloutObjects.ReadOutcome<RolloutSpec> result = objects.readSpec();
+        if (result instanceof RolloutObjects.ReadOutcome.Failed<RolloutSpec> failed) {
             return failed.outcome();
         }
-        RolloutObjects.Reading.Read<RolloutSpec> read =
-                (RolloutObjects.Reading.Read<RolloutSpec>) reading;
+        RolloutObjects.ReadOutcome.Read<RolloutSpec> read =
+                (RolloutObjects.ReadOutcome.Read<RolloutSpec>) result;
         if (read.value().isEmpty()) {
             return Outcome.failed(
                     ExitCode.REFUSED,
                     "There is no roll-out " + name,
                     "List the names with rollout status.");
         }
-        RolloutSpec held = read.value().get();
-        return objects.write(
+        RolloutSpec spec = read.value().get();
+        return objects.writeSpec(
                 new RolloutSpec(
                         name,
-                        held.id(),
+                        spec.id(),
                         0,
-                        held.service(),
-                        held.goal(),
-                        held.minServingFraction(),
+                        spec.service(),
+                        spec.goal(),
+                        spec.minServingFraction(),
                         true),
                 read.version(),
                 "stopped");
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/StatusCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/StatusCommand.java
@@ -10,14 +10,14 @@
 import org.sardinelift.ctl.Outcome;
 import org.sardinelift.ctl.TextTable;
 
-/** Shows the fleet on one screen. */
+/** Shows the state of the fleet on one screen. */
 public final class StatusCommand extends Command {
-    /** Rows that each table shows at most, so that all fit on one screen. */
+    /** Limits each table so that all tables fit on one screen. */
     private static final int MAX_ROWS = 20;
 
     private static final int PERCENT = 100;
 
-    /** Makes the command. */
+    /** Creates the command. */
     public StatusCommand() {
         super("status", "", "show instances, targets, teams, jobs and repairs on one screen");
     }
@@ -29,9 +29,9 @@
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
-        FleetView view = FleetView.ask(context, "GET", "/status");
-        FleetStatus status = FleetStatus.of(view.answers().values());
-        ObjectNode json = view.byAddress();
+        FleetResponses responses = FleetResponses.callAll(context, "GET", "/status");
+        FleetStatus status = FleetStatus.of(responses.answers().values());
+        ObjectNode json = responses.toJson();
         status.writeTo(json);
         String text =
                 Stream.of(
@@ -41,19 +41,20 @@
                                 jobs(status),
                                 repairs(status))
                         .collect(Collectors.joining("\n\n"));
-        return view.outcome(json, text);
+        return responses.toOutcome(json, text);
     }
 
     private static String instances(FleetStatus status) {
         TextTable table =
-                TextTable.of("INSTANCE", "ZONE", "READY", "CALLS", "PEERS", "CONFIG REVISION");
+                TextTable.withColumns(
+                        "INSTANCE", "ZONE", "READY", "CALLS", "PEERS", "CONFIG REVISION");
         status.instances()
                 .forEach(
                         each ->
-                                table.row(
+                                table.addRow(
                                         each.name(),
                                         each.zone(),
-                                        String.valueOf(each.ready()),
+                                        String.valueOf(each.isReady()),
                                         String.valueOf(each.calls()),
                                         String.valueOf(each.peers()),
                                         String.valueOf(each.revision())));
@@ -61,23 +62,24 @@
     }
 
     private static String targets(FleetStatus status) {
-        TextTable table = TextTable.of("TARGET", "SERVICE", "ZONE", "SLOTS", "LOAD", "STATE");
-        shown(status.targets())
+        TextTable table =
+                TextTable.withColumns("TARGET", "SERVICE", "ZONE", "SLOTS", "LOAD", "STATE");
+        firstRows(status.targets())
                 .forEach(
                         each ->
-                                table.row(
+                                table.addRow(
                                         each.name(),
                                         each.service(),
                                         each.zone(),
                                         String.valueOf(each.slots()),
                                         String.valueOf(each.load()),
                                         each.state()));
-        return table + more(status.targets());
+        return table + omittedNote(status.targets());
     }
 
     private static String teams(FleetStatus status) {
         TextTable table =
-                TextTable.of(
+                TextTable.withColumns(
                         "TEAM",
                         "ADMITTED",
                         "REFUSED",
@@ -88,40 +90,43 @@
                         "BATCH",
                         "SLOTS",
                         "DUE");
-        double weights = status.teams().stream().mapToDouble(TeamTotal::onlineWeight).sum();
-        shown(status.teams())
+        double weights = status.teams().stream().mapToDouble(TeamUsage::onlineWeight).sum();
+        firstRows(status.teams())
                 .forEach(
                         team ->
-                                table.row(
+                                table.addRow(
                                         team.team().isEmpty() ? "(open)" : team.team(),
                                         String.valueOf(team.admitted()),
                                         String.valueOf(team.refused()),
-                                        rounded(team.perSecond()),
-                                        rounded(team.ratePerSecond()),
-                                        rounded(team.burst()),
-                                        String.valueOf(team.online()),
-                                        String.valueOf(team.batch()),
-                                        percent(team.online() + team.batch(), status.slots()),
+                                        formatNumber(team.admittedPerSecond()),
+                                        formatNumber(team.ratePerSecond()),
+                                        formatNumber(team.burst()),
+                                        String.valueOf(team.onlineCalls()),
+                                        String.valueOf(team.batchItems()),
+                                        percent(
+                                                team.onlineCalls() + team.batchItems(),
+                                                status.totalSlots()),
                                         percent(team.onlineWeight(), weights)));
-        return table + more(status.teams());
+        return table + omittedNote(status.teams());
     }
 
     private static String jobs(FleetStatus status) {
         TextTable table =
-                TextTable.of("JOB", "TEAM", "HELD BY", "OPEN", "ITEMS", "EXPECTED END", "DUE", "");
-        shown(status.jobs())
+                TextTable.withColumns(
+                        "JOB", "TEAM", "HELD BY", "OPEN", "ITEMS", "EXPECTED END", "DUE", "");
+        firstRows(status.jobs())
                 .forEach(
                         job ->
-                                table.row(
+                                table.addRow(
                                         job.id(),
                                         job.team(),
-                                        job.heldBy(),
+                                        job.holder(),
                                         String.valueOf(job.open()),
                                         String.valueOf(job.items()),
                                         job.expectedEnd().isEmpty() ? "-" : job.expectedEnd(),
                                         job.due().isEmpty() ? "-" : job.due(),
-                                        job.late() ? "LATE" : ""));
-        return table + more(status.jobs());
+                                        job.isLate() ? "LATE" : ""));
+        return table + omittedNote(status.jobs());
     }
 
     private static String repairs(FleetStatus status) {
@@ -129,24 +134,25 @@
         return "BEING REPAIRED\n"
                 + (repairs.isEmpty()
                         ? "nothing"
-                        : shown(repairs).collect(Collectors.joining("\n")) + more(repairs));
+                        : firstRows(repairs).collect(Collectors.joining("\n"))
+                                + omittedNote(repairs));
     }
 
-    private static <T> Stream<T> shown(List<T> rows) {
+    private static <T> Stream<T> firstRows(List<T> rows) {
         return rows.stream().limit(MAX_ROWS);
     }
 
-    private static String more(List<?> rows) {
+    private static String omittedNote(List<?> rows) {
         return rows.size() > MAX_ROWS
-                ? "\nand " + (rows.size() - MAX_ROWS) + " more; --output json has them all"
+                ? "\nand " + (rows.size() - MAX_ROWS) + " more; --output json shows all of them"
                 : "";
     }
 
-    private static String percent(double part, double all) {
-        return all == 0 ? "-" : Math.round(PERCENT * part / all) + "%";
+    private static String percent(double part, double total) {
+        return total == 0 ? "-" : Math.round(PERCENT * part / total) + "%";
     }
 
-    private static String rounded(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value)
                 ? String.valueOf((long) value)
                 : String.format(Locale.ROOT, "%.1f", value);
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/StoreOutcomes.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/StoreOutcomes.java
@@ -11,7 +11,7 @@
 import org.sardinelift.ctl.Outcome;
 import org.sardinelift.ctl.config.WriteOutcome;
 
-/** Outcomes of commands on configuration objects. */
+/** Creates outcomes of commands on stored objects. */
 final class StoreOutcomes {
     private StoreOutcomes() {}
 
@@ -23,7 +23,7 @@
     }
 
     static Outcome invalid(List<ConfigProblem> problems) {
-        ObjectNode json = Json.object().put("error", "invalid");
+        ObjectNode json = Json.newObject().put("error", "invalid");
         ArrayNode list = json.putArray("problems");
         problems.forEach(
                 problem ->
@@ -38,7 +38,7 @@
     }
 
     static Outcome written(List<WriteOutcome> outcomes) {
-        ObjectNode json = Json.object();
+        ObjectNode json = Json.newObject();
         ArrayNode list = json.putArray("objects");
         outcomes.forEach(outcome -> list.add(outcome.toJson()));
         String text =
@@ -51,11 +51,11 @@
                                                 + ": "
                                                 + outcome.text())
                         .collect(Collectors.joining("\n"));
-        ExitCode worst =
+        ExitCode worstCode =
                 outcomes.stream()
                         .map(WriteOutcome::code)
                         .max(Comparator.comparingInt(ExitCode::status))
                         .orElse(ExitCode.OK);
-        return new Outcome(worst, json, text);
+        return new Outcome(worstCode, json, text);
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/TargetsCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/TargetsCommand.java
@@ -7,12 +7,12 @@
 import org.sardinelift.ctl.Outcome;
 import org.sardinelift.ctl.TextTable;
 
-/** Shows the targets as each entry sees them. */
+/** Shows the state of the targets at each entry. */
 public final class TargetsCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public TargetsCommand() {
-        super("targets", "", "show the targets as each entry sees them");
+        super("targets", "", "show the state of the targets at each entry");
     }
 
     @Override
@@ -22,13 +22,13 @@
 
     @Override
     public Outcome run(CommandContext context) throws ParseException {
-        FleetView view = FleetView.ask(context, "GET", "/targets");
-        return view.outcome(view.byAddress(), table(view).toString());
+        FleetResponses responses = FleetResponses.callAll(context, "GET", "/targets");
+        return responses.toOutcome(responses.toJson(), table(responses).toString());
     }
 
-    static TextTable table(FleetView view) {
+    static TextTable table(FleetResponses responses) {
         TextTable table =
-                TextTable.of(
+                TextTable.withColumns(
                         "SEEN BY",
                         "TARGET",
                         "SERVICE",
@@ -38,17 +38,18 @@
                         "REPORTED",
                         "USABLE",
                         "STATE");
-        view.answers()
+        responses
+                .answers()
                 .values()
                 .forEach(
                         answer ->
                                 Json.elements(answer.path("targets"))
-                                        .forEach(target -> add(table, answer, target)));
+                                        .forEach(target -> addTarget(table, answer, target)));
         return table;
     }
 
-    private static void add(TextTable table, JsonNode answer, JsonNode target) {
-        table.row(
+    private static void addTarget(TextTable table, JsonNode answer, JsonNode target) {
+        table.addRow(
                 answer.path("instance").asText(),
                 target.path("companion").asText(),
                 target.path("service").asText(),
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/TeamTotal.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/TeamUsage.java
@@ -4,31 +4,31 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * What one team gets over all entries that answered, against what it is due.
+ * Usage of one team, summed over the entries that answered, and its configured limits.
  *
- * @param team its name, empty for callers of open services
- * @param admitted requests let in since the entries' starts
- * @param refused requests turned away since then
- * @param perSecond requests let in a second, over the last seconds
- * @param ratePerSecond requests a second that it is due
- * @param burst requests at once that it is due
- * @param onlineWeight its weight among online calls
- * @param online online calls under way
- * @param batch batch items under way
+ * @param team team name, empty for callers of open services
+ * @param admitted requests admitted since the entries started
+ * @param refused requests refused since the entries started
+ * @param admittedPerSecond requests admitted per second, over the last seconds
+ * @param ratePerSecond configured rate, requests per second
+ * @param burst configured burst, requests
+ * @param onlineWeight configured weight of its online calls
+ * @param onlineCalls online calls in progress
+ * @param batchItems batch items in progress
  */
-record TeamTotal(
+record TeamUsage(
         String team,
         long admitted,
         long refused,
-        double perSecond,
+        double admittedPerSecond,
         double ratePerSecond,
         double burst,
         double onlineWeight,
-        long online,
-        long batch) {
+        long onlineCalls,
+        long batchItems) {
 
-    static TeamTotal of(JsonNode node) {
-        return new TeamTotal(
+    static TeamUsage of(JsonNode node) {
+        return new TeamUsage(
                 node.path("team").asText(),
                 node.path("admitted").asLong(),
                 node.path("refused").asLong(),
@@ -40,29 +40,29 @@
                 node.path("batch").asLong());
     }
 
-    /** Adds what the team gets at another entry; what it is due is the same everywhere. */
-    TeamTotal plus(TeamTotal other) {
-        return new TeamTotal(
+    /** Adds the usage at another entry; the configured limits are the same at all entries. */
+    TeamUsage plus(TeamUsage other) {
+        return new TeamUsage(
                 team,
                 admitted + other.admitted,
                 refused + other.refused,
-                perSecond + other.perSecond,
+                admittedPerSecond + other.admittedPerSecond,
                 Math.max(ratePerSecond, other.ratePerSecond),
                 Math.max(burst, other.burst),
                 Math.max(onlineWeight, other.onlineWeight),
-                online + other.online,
-                batch + other.batch);
+                onlineCalls + other.onlineCalls,
+                batchItems + other.batchItems);
     }
 
     void writeTo(ObjectNode node) {
         node.put("team", team)
                 .put("admitted", admitted)
                 .put("refused", refused)
-                .put("perSecond", perSecond)
+                .put("perSecond", admittedPerSecond)
                 .put("ratePerSecond", ratePerSecond)
                 .put("burst", burst)
                 .put("onlineWeight", onlineWeight)
-                .put("online", online)
-                .put("batch", batch);
+                .put("online", onlineCalls)
+                .put("batch", batchItems);
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/command/TeamsCommand.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/command/TeamsCommand.java
@@ -24,12 +24,12 @@
 import org.sardinelift.objects.kinds.ConfigCodec;
 import org.sardinelift.objects.kinds.DecodeResult;
 
-/** Shows what each team is due: its template with its own values laid over it. */
+/** Shows the limits of each team: the values of its template, overridden by its own. */
 public final class TeamsCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public TeamsCommand() {
-        super("teams", "", "show what each team is due, and its keys in force");
+        super("teams", "", "show the limits of each team and the number of its valid keys");
     }
 
     @Override
@@ -41,49 +41,53 @@
     public Outcome run(CommandContext context) throws ParseException {
         StoredConfig.Result read =
                 StoredConfig.read(
-                        context.platform(), ConfigKind.TEMPLATE, ConfigKind.TEAM, ConfigKind.KEY);
+                        context.objectStore(),
+                        ConfigKind.TEMPLATE,
+                        ConfigKind.TEAM,
+                        ConfigKind.KEY);
         if (read instanceof StoredConfig.Result.Unavailable unavailable) {
             return StoreOutcomes.unavailable(unavailable.reason());
         }
-        return show(((StoredConfig.Result.Read) read).config());
+        return toOutcome(((StoredConfig.Result.Read) read).config());
     }
 
-    private static Outcome show(StoredConfig config) {
+    private static Outcome toOutcome(StoredConfig config) {
         Map<String, Long> keys =
                 items(config, ConfigKind.KEY, KeyEntry.class).stream()
                         .filter(key -> !key.isWithdrawn())
                         .collect(Collectors.groupingBy(KeyEntry::team, Collectors.counting()));
-        ObjectNode json = Json.object();
+        ObjectNode json = Json.newObject();
         ArrayNode list = json.putArray("teams");
         TextTable table =
-                TextTable.of(
+                TextTable.withColumns(
                         "TEAM", "TEMPLATE", "RATE/S", "BURST", "ONLINE", "BATCH", "KEYS", "MODELS");
         for (TeamSpec team : items(config, ConfigKind.TEAM, TeamSpec.class)) {
             long count = keys.getOrDefault(team.name(), 0L);
             ObjectNode node = list.addObject().put("name", team.name());
             node.put("template", team.template()).put("keys", count);
             Optional<TeamPlan> plan = template(config, team).map(team::resolve);
-            plan.ifPresent(due -> describe(node, due));
-            table.row(
+            plan.ifPresent(teamPlan -> putLimits(node, teamPlan));
+            table.addRow(
                     team.name(),
                     team.template() + (plan.isEmpty() ? " (missing)" : ""),
-                    plan.map(due -> String.valueOf(due.ratePerSecond())).orElse("-"),
-                    plan.map(due -> String.valueOf(due.burst())).orElse("-"),
-                    plan.map(due -> String.valueOf(due.onlineWeight())).orElse("-"),
-                    plan.map(due -> String.valueOf(due.batchWeight())).orElse("-"),
+                    plan.map(teamPlan -> String.valueOf(teamPlan.ratePerSecond())).orElse("-"),
+                    plan.map(teamPlan -> String.valueOf(teamPlan.burst())).orElse("-"),
+                    plan.map(teamPlan -> String.valueOf(teamPlan.onlineWeight())).orElse("-"),
+                    plan.map(teamPlan -> String.valueOf(teamPlan.batchWeight())).orElse("-"),
                     String.valueOf(count),
-                    plan.map(due -> String.join(",", new TreeSet<>(due.models()))).orElse("-"));
+                    plan.map(teamPlan -> String.join(",", new TreeSet<>(teamPlan.models())))
+                            .orElse("-"));
         }
         return Outcome.ok(json, table.toString());
     }
 
-    private static void describe(ObjectNode node, TeamPlan due) {
-        node.put("ratePerSecond", due.ratePerSecond())
-                .put("burst", due.burst())
-                .put("onlineWeight", due.onlineWeight())
-                .put("batchWeight", due.batchWeight());
-        new TreeSet<>(due.models()).forEach(node.withArray("/models")::add);
-        new TreeSet<>(due.services()).forEach(node.withArray("/services")::add);
+    private static void putLimits(ObjectNode node, TeamPlan teamPlan) {
+        node.put("ratePerSecond", teamPlan.ratePerSecond())
+                .put("burst", teamPlan.burst())
+                .put("onlineWeight", teamPlan.onlineWeight())
+                .put("batchWeight", teamPlan.batchWeight());
+        new TreeSet<>(teamPlan.models()).forEach(node.withArray("/models")::add);
+        new TreeSet<>(teamPlan.services()).forEach(node.withArray("/services")::add);
     }
 
     private static Optional<TeamTemplate> template(StoredConfig config, TeamSpec team) {
@@ -100,8 +104,8 @@
     private static <T> Optional<T> item(ConfigKind kind, StoredObject object, Class<T> type) {
         ConfigRef ref = new ConfigRef(kind, object.key().name());
         return ConfigCodec.decode(ref, object.value())
-                        instanceof DecodeResult.Valid<ConfigItem> sound
-                ? Optional.of(sound.item()).filter(type::isInstance).map(type::cast)
+                        instanceof DecodeResult.Valid<ConfigItem> valid
+                ? Optional.of(valid.item()).filter(type::isInstance).map(type::cast)
                 : Optional.empty();
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigEntry.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigEntry.java
@@ -8,8 +8,9 @@
  * One object of a configuration file.
  *
  * @param ref its kind and name
- * @param version version that the platform must still hold, empty to write over any
- * @param delete whether the object is to be deleted
- * @param value its value, empty for a deletion
+ * @param version version that the object must still have at the platform, empty for any
+ * @param isDeletion whether the object is to be deleted
+ * @param value value to write, without fields for a deletion
  */
-public record ConfigEntry(ConfigRef ref, OptionalLong version, boolean delete, ObjectNode value) {}
+public record ConfigEntry(
+        ConfigRef ref, OptionalLong version, boolean isDeletion, ObjectNode value) {}
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigFile.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigFile.java
@@ -21,10 +21,10 @@
 
 /**
  * A configuration file: {@code {"objects": [{"kind", "name", "value"}, ...]}} or one such object,
- * JSON with comments. Keys are not applied but issued.
+ * in JSON with comments. Keys can't be applied from a file; {@code keys issue} creates them.
  *
  * @param entries the objects, in the order in which they are written
- * @param problems everything that is wrong; nothing may be written unless this is empty
+ * @param problems all errors found; nothing may be written unless this is empty
  */
 public record ConfigFile(List<ConfigEntry> entries, List<ConfigProblem> problems) {
     private static final Set<String> FIELDS = Set.of("kind", "name", "version", "delete", "value");
@@ -32,10 +32,10 @@
             List.of(ConfigKind.SERVICE, ConfigKind.TEMPLATE, ConfigKind.TEAM);
 
     /**
-     * Reads and checks a file's text.
+     * Parses and checks the text of a file.
      *
      * @param text JSON with comments
-     * @return the objects and everything that is wrong with them
+     * @return the objects and all errors found
      */
     public static ConfigFile parse(String text) {
         JsonNode root;
@@ -55,26 +55,26 @@
         Stream<JsonNode> nodes =
                 root.has("objects") ? Json.elements(root.path("objects")) : Stream.of(root);
         List<ConfigEntry> entries =
-                nodes.map(node -> entry(node, problems))
+                nodes.map(node -> parseEntry(node, problems))
                         .flatMap(Optional::stream)
-                        .sorted(order())
+                        .sorted(writeOrder())
                         .toList();
-        refuseTwice(entries, problems);
+        rejectDuplicates(entries, problems);
         return new ConfigFile(entries, List.copyOf(problems));
     }
 
-    private static Comparator<ConfigEntry> order() {
+    private static Comparator<ConfigEntry> writeOrder() {
         Comparator<ConfigEntry> byKind =
                 Comparator.comparing(entry -> WRITE_ORDER.indexOf(entry.ref().kind()));
         return (left, right) -> {
-            if (left.delete() != right.delete()) {
-                return left.delete() ? 1 : -1;
+            if (left.isDeletion() != right.isDeletion()) {
+                return left.isDeletion() ? 1 : -1;
             }
-            return left.delete() ? byKind.compare(right, left) : byKind.compare(left, right);
+            return left.isDeletion() ? byKind.compare(right, left) : byKind.compare(left, right);
         };
     }
 
-    private static Optional<ConfigEntry> entry(JsonNode node, List<ConfigProblem> problems) {
+    private static Optional<ConfigEntry> parseEntry(JsonNode node, List<ConfigProblem> problems) {
         String label = node.path("kind").asText();
         String name = node.path("name").asText();
         String path = label + "/" + name;
@@ -82,37 +82,42 @@
         if (kind.isEmpty()) {
             problems.add(
                     new ConfigProblem(
-                            path + "/kind", "template, team or service", label, "Correct it."));
+                            path + "/kind",
+                            "template, team or service",
+                            label,
+                            "Correct the kind."));
             return Optional.empty();
         }
         if (name.isBlank()) {
-            problems.add(new ConfigProblem(path + "/name", "a name", "nothing", "Set it."));
+            problems.add(new ConfigProblem(path + "/name", "a name", "nothing", "Set the name."));
             return Optional.empty();
         }
         node.fieldNames()
                 .forEachRemaining(
                         field -> {
                             if (!FIELDS.contains(field)) {
-                                problems.add(unknown(path, field));
+                                problems.add(unknownField(path, field));
                             }
                         });
         boolean delete = node.path("delete").asBoolean();
-        ObjectNode value = node.path("value") instanceof ObjectNode object ? object : Json.object();
+        ObjectNode value =
+                node.path("value") instanceof ObjectNode object ? object : Json.newObject();
         ConfigRef ref = new ConfigRef(kind.get(), name);
         if (!delete) {
-            check(ref, value, problems);
+            checkValue(ref, value, problems);
         }
-        return Optional.of(new ConfigEntry(ref, version(node, path, problems), delete, value));
+        return Optional.of(new ConfigEntry(ref, parseVersion(node, path, problems), delete, value));
     }
 
-    private static void check(ConfigRef ref, ObjectNode value, List<ConfigProblem> problems) {
+    private static void checkValue(ConfigRef ref, ObjectNode value, List<ConfigProblem> problems) {
         if (ConfigCodec.decode(ref, value.toString())
-                instanceof DecodeResult.Invalid<ConfigItem> unsound) {
-            problems.addAll(unsound.problems());
+                instanceof DecodeResult.Invalid<ConfigItem> invalid) {
+            problems.addAll(invalid.problems());
         }
     }
 
-    private static OptionalLong version(JsonNode node, String path, List<ConfigProblem> problems) {
+    private static OptionalLong parseVersion(
+            JsonNode node, String path, List<ConfigProblem> problems) {
         JsonNode version = node.path("version");
         if (version.isMissingNode()) {
             return OptionalLong.empty();
@@ -123,20 +128,20 @@
                             path + "/version",
                             "a whole number from 0",
                             version.toString(),
-                            "Take the version that get prints, or leave it out."));
+                            "Use the version that get prints, or leave it out."));
         }
         return OptionalLong.of(version.asLong());
     }
 
-    private static ConfigProblem unknown(String path, String field) {
+    private static ConfigProblem unknownField(String path, String field) {
         return new ConfigProblem(
                 path + "/" + field,
                 "one of " + FIELDS.stream().sorted().toList(),
                 "an unknown field",
-                "Remove it or correct its name.");
+                "Remove the field or correct its name.");
     }
 
-    private static void refuseTwice(List<ConfigEntry> entries, List<ConfigProblem> problems) {
+    private static void rejectDuplicates(List<ConfigEntry> entries, List<ConfigProblem> problems) {
         Set<ConfigRef> seen = new HashSet<>();
         entries.stream()
                 .map(ConfigEntry::ref)
@@ -147,7 +152,7 @@
                                         new ConfigProblem(
                                                 ref.kind().label() + "/" + ref.name(),
                                                 "each object once",
-                                                "it stands twice",
+                                                "it is listed twice",
                                                 "Remove one of the two.")));
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigWriter.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/ConfigWriter.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 import org.sardinelift.core.catalog.ConfigRef;
 import org.sardinelift.ctl.Json;
-import org.sardinelift.ctl.config.WriteOutcome.Overtaken.Compared;
+import org.sardinelift.ctl.config.WriteOutcome.Conflict.DiffBase;
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.ReadResult;
@@ -14,8 +14,10 @@
 import org.sardinelift.objects.kinds.ConfigCodec;
 
 /**
- * Writes objects over the version that was read. Each write leaves a mark of its own, so that a
- * write whose answer was lost is told from another operator's.
+ * Writes configuration objects with compare-and-set on the version that was read.
+ *
+ * <p>Each write stores a unique mark in the object. After a lost answer the mark shows whether the
+ * stored object is this write or another operator's.
  */
 public final class ConfigWriter {
     private static final int MAX_ATTEMPTS = 3;
@@ -29,10 +31,10 @@
     }
 
     /**
-     * Makes a writer.
+     * Creates a writer.
      *
      * @param store the platform
-     * @param marks gives a mark that no other write has
+     * @param marks supplies a unique mark for each write
      * @return the writer
      */
     public static ConfigWriter of(ObjectStore store, Supplier<String> marks) {
@@ -40,36 +42,36 @@
     }
 
     /**
-     * Writes one object, unless the platform holds the same already.
+     * Writes one object, unless the stored object is the same already.
      *
-     * @param entry what to write
-     * @param before the object as the operator or this command read it
-     * @return what became of it
+     * @param entry the object to write
+     * @param before the stored object as it was read, empty if there was none
+     * @return the outcome
      */
     public WriteOutcome write(ConfigEntry entry, Optional<StoredObject> before) {
-        ObjectNode held = before.map(StoredConfig::value).orElseGet(Json::object);
-        long heldVersion = before.map(StoredObject::version).orElse(ObjectStore.ABSENT_VERSION);
-        boolean same =
-                entry.delete()
+        ObjectNode stored = before.map(StoredConfig::parseValue).orElseGet(Json::newObject);
+        long storedVersion = before.map(StoredObject::version).orElse(ObjectStore.ABSENT_VERSION);
+        boolean isSame =
+                entry.isDeletion()
                         ? before.isEmpty()
-                        : before.isPresent() && ObjectDiff.between(held, entry.value()).isEmpty();
-        if (same) {
+                        : before.isPresent() && ObjectDiff.between(stored, entry.value()).isEmpty();
+        if (isSame) {
             return new WriteOutcome.Unchanged(
                     entry.ref(), before.map(StoredObject::revision).orElse(0L));
         }
-        long expected = entry.version().orElse(heldVersion);
-        if (expected != heldVersion) {
-            return new WriteOutcome.Overtaken(
+        long expected = entry.version().orElse(storedVersion);
+        if (expected != storedVersion) {
+            return new WriteOutcome.Conflict(
                     entry.ref(),
                     expected,
-                    heldVersion,
-                    Compared.OWN_VALUE,
-                    ObjectDiff.between(entry.value(), held));
+                    storedVersion,
+                    DiffBase.OWN_VALUE,
+                    ObjectDiff.between(entry.value(), stored));
         }
-        return entry.delete() ? delete(entry, expected, held) : put(entry, expected, held);
+        return entry.isDeletion() ? delete(entry, expected, stored) : put(entry, expected, stored);
     }
 
-    private WriteOutcome put(ConfigEntry entry, long expected, ObjectNode held) {
+    private WriteOutcome put(ConfigEntry entry, long expected, ObjectNode stored) {
         ObjectKey key = key(entry.ref());
         String mark = marks.get();
         String value = entry.value().deepCopy().put(ConfigCodec.WRITE_MARK_FIELD, mark).toString();
@@ -77,69 +79,69 @@
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             WriteResult result = store.write(key, expected, value).join();
             if (result instanceof WriteResult.Written written) {
-                return written(entry, written.version(), written.revision(), held);
+                return written(entry, written.version(), written.revision(), stored);
             }
-            if (result instanceof WriteResult.NotWritten refused) {
-                return new WriteOutcome.Unreachable(entry.ref(), refused.reason(), false);
+            if (result instanceof WriteResult.NotWritten failure) {
+                return new WriteOutcome.Unreachable(entry.ref(), failure.reason(), false);
             }
             reason = result instanceof WriteResult.Unclear unclear ? unclear.reason() : "";
-            ReadResult now = store.read(key).join();
-            if (now instanceof ReadResult.Unavailable unavailable) {
+            ReadResult current = store.read(key).join();
+            if (current instanceof ReadResult.Unavailable unavailable) {
                 return new WriteOutcome.Unreachable(entry.ref(), unavailable.reason(), true);
             }
-            Optional<StoredObject> object = found(now);
-            ObjectNode actual = object.map(StoredConfig::value).orElseGet(Json::object);
+            Optional<StoredObject> object = found(current);
+            ObjectNode actual = object.map(StoredConfig::parseValue).orElseGet(Json::newObject);
             if (mark.equals(actual.path(ConfigCodec.WRITE_MARK_FIELD).asText())) {
-                StoredObject ours = object.orElseThrow();
-                return written(entry, ours.version(), ours.revision(), held);
+                StoredObject own = object.orElseThrow();
+                return written(entry, own.version(), own.revision(), stored);
             }
             long version = object.map(StoredObject::version).orElse(ObjectStore.ABSENT_VERSION);
             if (version != expected) {
-                return overtaken(entry, expected, version, held, actual);
+                return conflict(entry, expected, version, stored, actual);
             }
         }
         return new WriteOutcome.Unreachable(entry.ref(), reason, true);
     }
 
-    private WriteOutcome delete(ConfigEntry entry, long expected, ObjectNode held) {
+    private WriteOutcome delete(ConfigEntry entry, long expected, ObjectNode stored) {
         ObjectKey key = key(entry.ref());
         WriteResult result = store.delete(key, expected).join();
         if (result instanceof WriteResult.Written written) {
-            return written(entry, 0, written.revision(), held);
+            return written(entry, 0, written.revision(), stored);
         }
-        if (result instanceof WriteResult.NotWritten refused) {
-            return new WriteOutcome.Unreachable(entry.ref(), refused.reason(), false);
+        if (result instanceof WriteResult.NotWritten failure) {
+            return new WriteOutcome.Unreachable(entry.ref(), failure.reason(), false);
         }
-        ReadResult now = store.read(key).join();
-        if (now instanceof ReadResult.Absent absent) {
-            return written(entry, 0, absent.revision(), held);
+        ReadResult current = store.read(key).join();
+        if (current instanceof ReadResult.Absent absent) {
+            return written(entry, 0, absent.revision(), stored);
         }
-        if (now instanceof ReadResult.Found found && found.object().version() != expected) {
-            return overtaken(
+        if (current instanceof ReadResult.Found found && found.object().version() != expected) {
+            return conflict(
                     entry,
                     expected,
                     found.object().version(),
-                    held,
-                    StoredConfig.value(found.object()));
+                    stored,
+                    StoredConfig.parseValue(found.object()));
         }
         return new WriteOutcome.Unreachable(entry.ref(), "the deletion was not confirmed", true);
     }
 
     private static WriteOutcome written(
-            ConfigEntry entry, long version, long revision, ObjectNode held) {
-        ObjectNode after = entry.delete() ? Json.object() : entry.value();
+            ConfigEntry entry, long version, long revision, ObjectNode stored) {
+        ObjectNode after = entry.isDeletion() ? Json.newObject() : entry.value();
         return new WriteOutcome.Written(
-                entry.ref(), version, revision, ObjectDiff.between(held, after));
+                entry.ref(), version, revision, ObjectDiff.between(stored, after));
     }
 
-    private static WriteOutcome overtaken(
-            ConfigEntry entry, long expected, long actual, ObjectNode before, ObjectNode now) {
-        return new WriteOutcome.Overtaken(
+    private static WriteOutcome conflict(
+            ConfigEntry entry, long expected, long actual, ObjectNode before, ObjectNode current) {
+        return new WriteOutcome.Conflict(
                 entry.ref(),
                 expected,
                 actual,
-                Compared.EXPECTED_VERSION,
-                ObjectDiff.between(before, now));
+                DiffBase.EXPECTED_VERSION,
+                ObjectDiff.between(before, current));
     }
 
     private static Optional<StoredObject> found(ReadResult result) {
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/ObjectDiff.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/ObjectDiff.java
@@ -10,26 +10,26 @@
 import org.sardinelift.objects.kinds.ConfigCodec;
 
 /**
- * What differs between two values of one object; the writers' marks don't count.
+ * Difference between two values of one object, without the marks that writers store in them.
  *
  * @param changes fields that differ, by name
  */
 public record ObjectDiff(List<FieldChange> changes) {
 
     /**
-     * One field that differs.
+     * A field that differs.
      *
      * @param field field name
-     * @param before value before, a missing node where the field was absent
-     * @param after value after, a missing node where the field is absent
+     * @param before value before, a missing node if the field was absent
+     * @param after value after, a missing node if the field is absent
      */
     public record FieldChange(String field, JsonNode before, JsonNode after) {}
 
     /**
      * Compares two values.
      *
-     * @param before the value before, empty where there was no object
-     * @param after the value after, empty where there is none
+     * @param before value before, without fields if there was no object
+     * @param after value after, without fields if there is none
      * @return the difference
      */
     public static ObjectDiff between(JsonNode before, JsonNode after) {
@@ -40,26 +40,26 @@
         return new ObjectDiff(
                 fields.stream()
                         .map(name -> new FieldChange(name, before.path(name), after.path(name)))
-                        .filter(change -> !same(change.before(), change.after()))
+                        .filter(change -> !isSame(change.before(), change.after()))
                         .toList());
     }
 
     /**
-     * Whether nothing differs.
+     * Whether the values are equal.
      *
-     * @return true where the values are the same
+     * @return true if no field differs
      */
     public boolean isEmpty() {
         return changes.isEmpty();
     }
 
     /**
-     * The difference for machines.
+     * Returns the difference as JSON.
      *
      * @return an array of objects {@code field}, {@code before}, {@code after}
      */
     public ArrayNode toJson() {
-        ArrayNode array = Json.array();
+        ArrayNode array = Json.newArray();
         changes.forEach(
                 change -> {
                     ObjectNode node = array.addObject().put("field", change.field());
@@ -80,19 +80,19 @@
                         change ->
                                 change.field()
                                         + ": "
-                                        + show(change.before())
+                                        + format(change.before())
                                         + " -> "
-                                        + show(change.after()))
+                                        + format(change.after()))
                 .collect(Collectors.joining("; "));
     }
 
-    private static boolean same(JsonNode before, JsonNode after) {
+    private static boolean isSame(JsonNode before, JsonNode after) {
         return before.isNumber() && after.isNumber()
                 ? before.decimalValue().compareTo(after.decimalValue()) == 0
                 : before.equals(after);
     }
 
-    private static String show(JsonNode value) {
+    private static String format(JsonNode value) {
         return value.isMissingNode() ? "(none)" : value.toString();
     }
 }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/StoredConfig.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/StoredConfig.java
@@ -23,7 +23,7 @@
 import org.sardinelift.objects.kinds.ConfigCodec;
 import org.sardinelift.objects.kinds.DecodeResult;
 
-/** Configuration as the platform holds it. */
+/** Configuration objects read from the platform. */
 public final class StoredConfig {
     private final Map<ConfigKind, Map<String, StoredObject>> objects;
 
@@ -34,26 +34,26 @@
     /** Outcome of reading the configuration. */
     public sealed interface Result {
         /**
-         * It was read.
+         * The configuration was read.
          *
          * @param config the configuration
          */
         record Read(StoredConfig config) implements Result {}
 
         /**
-         * The platform gave no answer.
+         * The platform did not answer.
          *
-         * @param reason what was wrong
+         * @param reason why it did not answer
          */
         record Unavailable(String reason) implements Result {}
     }
 
     /**
-     * Reads objects of some kinds.
+     * Reads all objects of the given kinds.
      *
      * @param store the platform
-     * @param kinds which kinds
-     * @return the configuration
+     * @param kinds kinds to read
+     * @return the configuration, or why it can't be read
      */
     public static Result read(ObjectStore store, ConfigKind... kinds) {
         Map<ConfigKind, Map<String, StoredObject>> found = new TreeMap<>();
@@ -79,7 +79,7 @@
     /**
      * Finds an object.
      *
-     * @param ref its kind and name
+     * @param ref kind and name of the object
      * @return the object, or empty
      */
     public Optional<StoredObject> find(ConfigRef ref) {
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Objects of one kind.
+     * Returns the objects of one kind.
      *
      * @param kind the kind
      * @return the objects, by name
@@ -97,41 +97,44 @@
     }
 
     /**
-     * The value of an object.
+     * Parses the value of an object.
      *
      * @param object the object
-     * @return its fields, none where the value is no JSON object
+     * @return the value, without fields if it is not a JSON object
      */
-    public static ObjectNode value(StoredObject object) {
+    public static ObjectNode parseValue(StoredObject object) {
         return Json.parseOrMissing(object.value()) instanceof ObjectNode node
                 ? node
-                : Json.object();
+                : Json.newObject();
     }
 
     /**
-     * Checks that what the entries name will be there once they are written, as an instance does.
+     * Checks that the template of each team will exist once the entries are written. Instances make
+     * the same check.
      *
      * @param entries the objects to write
-     * @return everything that is wrong
+     * @return all errors found
      */
-    public List<ConfigProblem> check(List<ConfigEntry> entries) {
+    public List<ConfigProblem> checkReferences(List<ConfigEntry> entries) {
         Set<String> templates = new HashSet<>(ofKind(ConfigKind.TEMPLATE).keySet());
-        ofKind(entries, ConfigKind.TEMPLATE, false).forEach(e -> templates.add(e.ref().name()));
-        ofKind(entries, ConfigKind.TEMPLATE, true).forEach(e -> templates.remove(e.ref().name()));
+        ofKind(entries, ConfigKind.TEMPLATE, false)
+                .forEach(entry -> templates.add(entry.ref().name()));
+        ofKind(entries, ConfigKind.TEMPLATE, true)
+                .forEach(entry -> templates.remove(entry.ref().name()));
         Map<String, String> teams = new TreeMap<>();
         list(ConfigKind.TEAM)
                 .forEach(
                         object ->
                                 teams.put(
                                         object.key().name(),
-                                        template(object.value(), object.key().name())));
+                                        templateOf(object.value(), object.key().name())));
         ofKind(entries, ConfigKind.TEAM, false)
                 .forEach(
-                        e ->
+                        entry ->
                                 teams.put(
-                                        e.ref().name(),
-                                        template(e.value().toString(), e.ref().name())));
-        ofKind(entries, ConfigKind.TEAM, true).forEach(e -> teams.remove(e.ref().name()));
+                                        entry.ref().name(),
+                                        templateOf(entry.value().toString(), entry.ref().name())));
+        ofKind(entries, ConfigKind.TEAM, true).forEach(entry -> teams.remove(entry.ref().name()));
         List<ConfigProblem> problems = new ArrayList<>();
         teams.forEach(
                 (team, template) -> {
@@ -142,10 +145,10 @@
         return problems;
     }
 
-    private static String template(String value, String team) {
+    private static String templateOf(String value, String team) {
         return ConfigCodec.decode(new ConfigRef(ConfigKind.TEAM, team), value)
-                                instanceof DecodeResult.Valid<ConfigItem> sound
-                        && sound.item() instanceof TeamSpec spec
+                                instanceof DecodeResult.Valid<ConfigItem> valid
+                        && valid.item() instanceof TeamSpec spec
                 ? spec.template()
                 : "";
     }
@@ -153,7 +156,7 @@
     private static Stream<ConfigEntry> ofKind(
             List<ConfigEntry> entries, ConfigKind kind, boolean delete) {
         return entries.stream()
-                .filter(entry -> entry.ref().kind() == kind && entry.delete() == delete);
+                .filter(entry -> entry.ref().kind() == kind && entry.isDeletion() == delete);
     }
 
     private Map<String, StoredObject> ofKind(ConfigKind kind) {
--- a/sardinectl/src/main/java/org/sardinelift/ctl/config/WriteOutcome.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/config/WriteOutcome.java
@@ -5,44 +5,44 @@
 import org.sardinelift.ctl.ExitCode;
 import org.sardinelift.ctl.Json;
 
-/** What became of one object. */
+/** Outcome of writing one object. */
 public sealed interface WriteOutcome {
 
     /**
-     * The object that it concerns.
+     * Returns the object that was to be written.
      *
      * @return kind and name
      */
     ConfigRef ref();
 
     /**
-     * Exit code where this is the worst outcome of a command.
+     * Returns the exit code of a command whose worst outcome this is.
      *
      * @return the code
      */
     ExitCode code();
 
     /**
-     * The outcome for people.
+     * Returns the outcome as text.
      *
      * @return one line
      */
     String text();
 
     /**
-     * The outcome for machines.
+     * Returns the outcome as JSON.
      *
-     * @return fields kind, name, outcome and what belongs to it
+     * @return fields kind, name, outcome and the details of the outcome
      */
     default ObjectNode toJson() {
-        return Json.object().put("kind", ref().kind().label()).put("name", ref().name());
+        return Json.newObject().put("kind", ref().kind().label()).put("name", ref().name());
     }
 
     /**
-     * The platform holds what was wanted already.
+     * The stored object is the same already; nothing was written.
      *
      * @param ref the object
-     * @param revision store revision at which it was written
+     * @param revision store revision of the last write
      */
     record Unchanged(ConfigRef ref, long revision) implements WriteOutcome {
         @Override
@@ -70,7 +70,7 @@
      * @param ref the object
      * @param version its new version, 0 for a deletion
      * @param revision store revision of the write
-     * @param diff what changed
+     * @param diff fields that changed
      */
     record Written(ConfigRef ref, long version, long revision, ObjectDiff diff)
             implements WriteOutcome {
@@ -101,25 +101,25 @@
      * Another operator changed the object first; nothing was written.
      *
      * @param ref the object
-     * @param expected version that this write was made for
-     * @param actual version that the platform holds, 0 for none
-     * @param compared what the difference starts from
-     * @param diff the difference to what the platform holds
+     * @param expected version that this write expected
+     * @param actual version of the stored object, 0 for none
+     * @param diffBase value that is compared with the stored object
+     * @param diff difference from that value to the stored object
      */
-    record Overtaken(ConfigRef ref, long expected, long actual, Compared compared, ObjectDiff diff)
+    record Conflict(ConfigRef ref, long expected, long actual, DiffBase diffBase, ObjectDiff diff)
             implements WriteOutcome {
 
-        /** What a difference to the object as it is now starts from. */
-        public enum Compared {
-            /** The expected version, so that the difference is the other operator's change. */
+        /** Value that is compared with the stored object. */
+        public enum DiffBase {
+            /** The expected version; the difference is the other operator's change. */
             EXPECTED_VERSION("theirChanges", "the other operator changed"),
-            /** This operator's own value, where the expected version is not known any more. */
-            OWN_VALUE("differsFromYours", "yours against theirs");
+            /** This operator's value, used if the expected version is no longer stored. */
+            OWN_VALUE("differsFromYours", "your value against the stored one");
 
             private final String field;
             private final String text;
 
-            Compared(String field, String text) {
+            DiffBase(String field, String text) {
                 this.field = field;
                 this.text = text;
             }
@@ -132,13 +132,13 @@
 
         @Override
         public String text() {
-            return "not written: made for version %d, the platform holds %d; %s %s. %s"
+            return "not written: expected version %d, the platform has %d; %s %s. %s"
                     .formatted(
                             expected,
                             actual,
-                            compared.text,
+                            diffBase.text,
                             diff,
-                            "Look at the object with get, then apply again.");
+                            "Read the object with get, then apply again.");
         }
 
         @Override
@@ -149,19 +149,20 @@
                             .put("outcome", "conflict")
                             .put("expectedVersion", expected)
                             .put("actualVersion", actual);
-            node.set(compared.field, diff.toJson());
+            node.set(diffBase.field, diff.toJson());
             return node;
         }
     }
 
     /**
-     * The platform gave no clear answer.
+     * The platform did not confirm the write.
      *
      * @param ref the object
-     * @param reason what was wrong
-     * @param mayBeWritten whether the write may have taken effect
+     * @param reason why there is no confirmation
+     * @param mayHaveBeenWritten whether the write may have taken effect
      */
-    record Unreachable(ConfigRef ref, String reason, boolean mayBeWritten) implements WriteOutcome {
+    record Unreachable(ConfigRef ref, String reason, boolean mayHaveBeenWritten)
+            implements WriteOutcome {
         @Override
         public ExitCode code() {
             return ExitCode.UNREACHABLE;
@@ -169,16 +170,16 @@
 
         @Override
         public String text() {
-            return (mayBeWritten ? "unclear whether written: " : "not written: ")
+            return (mayHaveBeenWritten ? "unclear whether written: " : "not written: ")
                     + reason
-                    + ". Repeat the command; that is safe.";
+                    + ". It is safe to repeat the command.";
         }
 
         @Override
         public ObjectNode toJson() {
             return WriteOutcome.super
                     .toJson()
-                    .put("outcome", mayBeWritten ? "unclear" : "not_written")
+                    .put("outcome", mayHaveBeenWritten ? "unclear" : "not_written")
                     .put("reason", reason);
         }
     }
--- a/sardinectl/src/main/java/org/sardinelift/ctl/http/Address.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/http/Address.java
@@ -5,7 +5,7 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * Where to call.
+ * Address of a server.
  *
  * @param host IP address or name
  * @param port port number
@@ -18,7 +18,7 @@
      *
      * @param text {@code HOST:PORT}
      * @return the address
-     * @throws ParseException where the text has another form
+     * @throws ParseException if the text is malformed
      */
     public static Address parse(String text) throws ParseException {
         int colon = text.lastIndexOf(':');
@@ -28,7 +28,7 @@
                 return new Address(text.substring(0, colon), port);
             }
         } catch (NumberFormatException ignored) {
-            // Told below, as any other wrong form.
+            // Reported below, as for any other malformed address.
         }
         throw new ParseException("expected HOST:PORT, found " + text);
     }
@@ -36,9 +36,9 @@
     /**
      * Parses a list of addresses.
      *
-     * @param text addresses with commas between
+     * @param text addresses separated by commas
      * @return the addresses
-     * @throws ParseException where one has another form
+     * @throws ParseException if one of them is malformed
      */
     public static List<Address> parseList(String text) throws ParseException {
         List<Address> addresses = new java.util.ArrayList<>();
--- a/sardinectl/src/main/java/org/sardinelift/ctl/http/Connections.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/http/ApiClient.java
@@ -21,16 +21,16 @@
 import org.sardinelift.objects.HttpObjectStore;
 import org.sardinelift.objects.ObjectStore;
 
-/** Calls of one run of the program. */
-public final class Connections implements AutoCloseable {
-    private static final int FIRST_ERROR = 400;
-    private static final long STOP_MS = 1_000;
+/** HTTP client of one run of the program. Calls block until they are answered. */
+public final class ApiClient implements AutoCloseable {
+    private static final int FIRST_ERROR_STATUS = 400;
+    private static final long SHUTDOWN_TIMEOUT_MS = 1_000;
 
     private final EventLoopGroup group;
     private final HttpClient client;
     private final Duration timeout;
 
-    private Connections(Duration timeout) {
+    private ApiClient(Duration timeout) {
         this.group =
                 new MultiThreadIoEventLoopGroup(
                         1, new DefaultThreadFactory("sardinectl", true), NioIoHandler.newFactory());
@@ -39,71 +39,71 @@
     }
 
     /**
-     * Makes the means to call.
+     * Creates a client.
      *
-     * @param timeout longest silence of any call
-     * @return the connections, none open yet
+     * @param timeout longest time without data in a call
+     * @return the client, without an open connection
      */
-    public static Connections open(Duration timeout) {
-        return new Connections(timeout);
+    public static ApiClient create(Duration timeout) {
+        return new ApiClient(timeout);
     }
 
     /**
-     * The platform's object API.
+     * Returns a client of the platform's object API.
      *
      * @param address address of the platform
-     * @return its client
+     * @return the client
      */
-    public ObjectStore platform(Address address) {
+    public ObjectStore objectStore(Address address) {
         return HttpObjectStore.create(client, address.host(), address.port(), timeout);
     }
 
     /**
-     * Makes a call and waits for its whole answer.
+     * Makes a call and waits for the complete answer.
      *
-     * @param address who is called
-     * @param method method in capitals
+     * @param address address of the server
+     * @param method HTTP method in upper case
      * @param uri path and query
      * @param headers request headers
-     * @param body body, empty for none
-     * @return what became of it
+     * @param body request body, empty for none
+     * @return the result
      */
-    public Reply call(
+    public CallResult call(
             Address address, String method, String uri, Map<String, String> headers, String body) {
         try {
             HttpAnswer answer = client.call(request(address, method, uri, headers, body)).join();
-            return answer.status() < FIRST_ERROR
-                    ? new Reply.Answered(answer.text())
-                    : new Reply.Refused(answer.status(), answer.text());
+            return answer.status() < FIRST_ERROR_STATUS
+                    ? new CallResult.Answered(answer.text())
+                    : new CallResult.Refused(answer.status(), answer.text());
         } catch (CompletionException e) {
-            return silent(e.getCause());
+            return unanswered(e.getCause());
         }
     }
 
     /**
-     * Makes a call and passes the lines of its answer on as they come.
+     * Makes a call and passes on the lines of its answer as they arrive.
      *
-     * @param address who is called
+     * @param address address of the server
      * @param uri path and query of a POST
      * @param headers request headers
-     * @param body body
-     * @param onLine receives each whole line
-     * @return what became of it
+     * @param body request body
+     * @param onLine receives each complete line
+     * @return the result
      */
-    public Reply stream(
+    public CallResult streamLines(
             Address address,
             String uri,
             Map<String, String> headers,
             String body,
             Consumer<String> onLine) {
-        CompletableFuture<Reply> result = new CompletableFuture<>();
+        CompletableFuture<CallResult> result = new CompletableFuture<>();
         client.send(request(address, "POST", uri, headers, body), new LineListener(onLine, result));
         return result.join();
     }
 
     @Override
     public void close() {
-        group.shutdownGracefully(0, STOP_MS, TimeUnit.MILLISECONDS);
+        group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     private HttpCall request(
@@ -120,19 +120,19 @@
                 timeout);
     }
 
-    private static Reply silent(Throwable cause) {
+    private static CallResult unanswered(Throwable cause) {
         boolean mayHaveRun = !(cause instanceof HttpFailure failure) || failure.mayHaveRun();
-        return new Reply.Silent(String.valueOf(cause.getMessage()), mayHaveRun);
+        return new CallResult.Unanswered(String.valueOf(cause.getMessage()), mayHaveRun);
     }
 
     private static final class LineListener implements HttpAnswerListener {
         private final Consumer<String> onLine;
-        private final CompletableFuture<Reply> result;
+        private final CompletableFuture<CallResult> result;
         private final StringBuilder refusal = new StringBuilder();
         private final java.io.ByteArrayOutputStream pending = new java.io.ByteArrayOutputStream();
         private int status;
 
-        LineListener(Consumer<String> onLine, CompletableFuture<Reply> result) {
+        LineListener(Consumer<String> onLine, CompletableFuture<CallResult> result) {
             this.onLine = onLine;
             this.result = result;
         }
@@ -146,7 +146,7 @@
         public void onData(byte[] part) {
             for (byte next : part) {
                 if (next == '\n') {
-                    take();
+                    onLineEnd();
                 } else {
                     pending.write(next);
                 }
@@ -155,22 +155,23 @@
 
         @Override
         public void onEnd() {
-            take();
+            onLineEnd();
             result.complete(
-                    status < FIRST_ERROR
-                            ? new Reply.Answered("")
-                            : new Reply.Refused(status, refusal.toString()));
+                    status < FIRST_ERROR_STATUS
+                            ? new CallResult.Answered("")
+                            : new CallResult.Refused(status, refusal.toString()));
         }
 
         @Override
         public void onFailure(Throwable cause, boolean mayHaveRun) {
-            result.complete(new Reply.Silent(String.valueOf(cause.getMessage()), mayHaveRun));
+            result.complete(
+                    new CallResult.Unanswered(String.valueOf(cause.getMessage()), mayHaveRun));
         }
 
-        private void take() {
+        private void onLineEnd() {
             String line = pending.toString(StandardCharsets.UTF_8);
             pending.reset();
-            if (status < FIRST_ERROR) {
+            if (status < FIRST_ERROR_STATUS) {
                 onLine.accept(line);
             } else {
                 refusal.append(line);
--- a/sardinectl/src/main/java/org/sardinelift/ctl/http/Reply.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/http/CallResult.java
@@ -5,19 +5,19 @@
 import org.sardinelift.ctl.Json;
 import org.sardinelift.ctl.Outcome;
 
-/** What became of a call to an entry. */
-public sealed interface Reply {
+/** Result of a call to an entry. */
+public sealed interface CallResult {
 
     /**
      * The call was answered.
      *
-     * @param text body
+     * @param text answer body
      */
-    record Answered(String text) implements Reply {
+    record Answered(String text) implements CallResult {
         /**
-         * The body as JSON.
+         * Parses the body as JSON.
          *
-         * @return the root, a missing node where it is none
+         * @return the root, or a missing node if the body is not JSON
          */
         public JsonNode json() {
             return Json.parseOrMissing(text);
@@ -28,27 +28,27 @@
      * The call was refused.
      *
      * @param status HTTP status
-     * @param body problem details (RFC 9457), or whatever came
+     * @param body answer body, normally problem details (RFC 9457)
      */
-    record Refused(int status, String body) implements Reply {}
+    record Refused(int status, String body) implements CallResult {}
 
     /**
-     * No answer came.
+     * The call was not answered.
      *
-     * @param reason what was wrong
-     * @param mayHaveRun whether the call may have had its effect
+     * @param reason why there is no answer
+     * @param mayHaveRun whether the call may have taken effect
      */
-    record Silent(String reason, boolean mayHaveRun) implements Reply {}
+    record Unanswered(String reason, boolean mayHaveRun) implements CallResult {}
 
     /**
-     * The outcome of a command that made a call which was not answered.
+     * Returns the outcome of a command whose call was refused or not answered.
      *
-     * @param reply a refusal or a silence
-     * @param address who was called
+     * @param result the result, not {@link Answered}
+     * @param address address of the server
      * @return the outcome
      */
-    static Outcome failure(Reply reply, Address address) {
-        if (reply instanceof Refused refused) {
+    static Outcome failureOutcome(CallResult result, Address address) {
+        if (result instanceof Refused refused) {
             JsonNode problem = Json.parseOrMissing(refused.body());
             String text =
                     problem.has("kind")
@@ -63,17 +63,17 @@
             JsonNode json =
                     problem.isObject()
                             ? problem
-                            : Json.object()
+                            : Json.newObject()
                                     .put("status", refused.status())
                                     .put("body", refused.body());
             return new Outcome(ExitCode.REFUSED, json, address + " refused: " + text);
         }
-        Silent silent = (Silent) reply;
+        Unanswered unanswered = (Unanswered) result;
         return Outcome.failed(
                 ExitCode.UNREACHABLE,
-                "No answer from " + address + ": " + silent.reason(),
-                silent.mayHaveRun()
-                        ? "The call may have had its effect; look before you repeat it."
+                "No answer from " + address + ": " + unanswered.reason(),
+                unanswered.mayHaveRun()
+                        ? "The call may have taken effect; check that before you repeat it."
                         : "The call had no effect; check the address and try again.");
     }
 }
--- a/sardinectl/src/test/java/org/sardinelift/ctl/RolloutCommandsTest.java
+++ b/sardinectl/src/test/java/org/sardinelift/ctl/RolloutCommandsTest.java
@@ -18,7 +18,7 @@
 import org.sardinelift.standins.platform.PlatformOptions;
 import org.sardinelift.standins.platform.PlatformStandin;
 
-/** The commands of roll-outs against the platform's stand-in, without any entry. */
+/** Runs the roll-out commands against the platform stand-in, without an entry. */
 final class RolloutCommandsTest {
     private static final String SERVICES =
             """
@@ -42,26 +42,27 @@
     }
 
     @Test
-    void nothingIsWrittenWhereACheckFails() {
-        assertEquals(ExitCode.INVALID, begin("nowhere", "m").code());
-        assertEquals(ExitCode.INVALID, begin("tags", "m").code());
-        Result model = begin("registry", "other");
+    void nothingIsWrittenIfACheckFails() {
+        assertEquals(ExitCode.INVALID, startRollout("nowhere", "m").code());
+        assertEquals(ExitCode.INVALID, startRollout("tags", "m").code());
+        Result model = startRollout("registry", "other");
         assertEquals(ExitCode.INVALID, model.code());
         assertTrue(model.out().contains("rollout/model"), model.out());
-        assertEquals(ExitCode.INVALID, begin("registry", "m", "--least-serving", "1.5").code());
-        assertEquals(ExitCode.USAGE, begin("registry", "m", "--role", "decode").code());
+        assertEquals(
+                ExitCode.INVALID, startRollout("registry", "m", "--least-serving", "1.5").code());
+        assertEquals(ExitCode.USAGE, startRollout("registry", "m", "--role", "decode").code());
         assertEquals(0, run("", "rollout", "status").json().path("rollouts").size());
     }
 
     @Test
-    void oneRolloutOfANameAtATimeUntilItIsStopped() {
-        assertEquals(ExitCode.OK, begin("registry", "m").code());
-        assertEquals(ExitCode.REFUSED, begin("registry", "m").code());
+    void aSecondRolloutOfTheSameNameIsRefusedUntilTheFirstIsStopped() {
+        assertEquals(ExitCode.OK, startRollout("registry", "m").code());
+        assertEquals(ExitCode.REFUSED, startRollout("registry", "m").code());
         JsonNode waiting = run("", "rollout", "status", "registry/m").json().at("/rollouts/0");
         assertEquals("WAITING", waiting.path("phase").asText());
         assertEquals(ExitCode.OK, run("", "rollout", "stop", "registry/m").code());
         assertEquals(ExitCode.OK, run("", "rollout", "stop", "registry/m").code());
-        assertEquals(ExitCode.OK, begin("registry", "m").code());
+        assertEquals(ExitCode.OK, startRollout("registry", "m").code());
         assertEquals(ExitCode.REFUSED, run("", "rollout", "stop", "registry/x").code());
         assertEquals(
                 ExitCode.OK, run("", "rollout", "start", "registry", "--role", "decode").code());
@@ -69,15 +70,15 @@
     }
 
     @Test
-    void aLostAnswerIsFoundAgainAndAnOutageIsSaid() {
+    void aStartWhoseAnswerIsLostSucceedsAndAnOutageIsReported() {
         platform.faults(Faults.parse("{\"loseAnswers\":1}"));
-        assertEquals(ExitCode.OK, begin("registry", "m").code());
+        assertEquals(ExitCode.OK, startRollout("registry", "m").code());
         platform.close();
-        assertEquals(ExitCode.UNREACHABLE, begin("registry", "m").code());
+        assertEquals(ExitCode.UNREACHABLE, startRollout("registry", "m").code());
         assertEquals(ExitCode.UNREACHABLE, run("", "rollout", "status").code());
     }
 
-    private Result begin(String service, String model, String... more) {
+    private Result startRollout(String service, String model, String... more) {
         String[] args = {"rollout", "start", service, "--model", model, "--model-version", "2"};
         return run("", Stream.concat(Stream.of(args), Stream.of(more)).toArray(String[]::new));
     }
--- a/sardinectl/src/test/java/org/sardinelift/ctl/SardinectlTest.java
+++ b/sardinectl/src/test/java/org/sardinelift/ctl/SardinectlTest.java
@@ -30,7 +30,7 @@
 import org.sardinelift.standins.platform.PlatformOptions;
 import org.sardinelift.standins.platform.PlatformStandin;
 
-/** Whole commands against the platform's stand-in and canned entries. */
+/** Runs whole commands against the platform stand-in and entries with fixed answers. */
 final class SardinectlTest {
     private static final String PEPPER = "pepper-of-the-test";
     private static final String FILE =
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void appliesOnceAndShowsWhatATeamIsDue() {
+    void aRepeatedApplyChangesNothingAndTeamsShowsTheLimits() {
         assertEquals(ExitCode.OK, run(FILE.formatted(20), "apply", "-f", "-").code());
         JsonNode again = run(FILE.formatted(20), "apply", "-f", "-").json();
         assertTrue(again.findValuesAsText("outcome").stream().allMatch("unchanged"::equals));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void anApplyWhoseAnswersAreLostIsDoneOnce() {
+    void anApplyWhoseAnswersAreLostWritesOnce() {
         platform.faults(Faults.parse("{\"loseAnswers\":2}"));
         assertEquals(ExitCode.OK, run(FILE.formatted(20), "apply", "-f", "-").code());
         JsonNode objects = run("", "get").json().path("objects");
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void writesNothingWhereAnyCheckFails() {
+    void writesNothingIfACheckFails() {
         Result bad = run(FILE.formatted(-1), "apply", "-f", "-");
         assertEquals(ExitCode.INVALID, bad.code());
         assertTrue(bad.out().contains("team/patrol/burst"), bad.out());
@@ -86,33 +86,33 @@
     }
 
     @Test
-    void anEditOfAnOlderVersionIsToldWhatChanged() {
+    void anEditOfAnOlderVersionIsRefusedWithTheDifference() {
         run(FILE.formatted(20), "apply", "-f", "-");
         String first = run("", "get", "team/patrol").out();
         run(FILE.formatted(30), "apply", "-f", "-");
-        Result late = run(first.replace("20", "40"), "apply", "-f", "-");
-        assertEquals(ExitCode.CONFLICT, late.code());
-        assertEquals(40, late.json().at("/objects/0/differsFromYours/0/before").asInt());
-        assertEquals(30, late.json().at("/objects/0/differsFromYours/0/after").asInt());
+        Result outdated = run(first.replace("20", "40"), "apply", "-f", "-");
+        assertEquals(ExitCode.CONFLICT, outdated.code());
+        assertEquals(40, outdated.json().at("/objects/0/differsFromYours/0/before").asInt());
+        assertEquals(30, outdated.json().at("/objects/0/differsFromYours/0/after").asInt());
     }
 
     @Test
-    void aKeyIsShownOnceAndHeldAsItsDigest() {
+    void aKeyIsShownOnceAndStoredAsItsDigest() {
         run(FILE.formatted(20), "apply", "-f", "-");
         String key = run("", "keys", "issue", "patrol").json().path("key").asText();
-        JsonNode held = run("", "get", "key").json().at("/objects/0");
-        assertEquals(KeyDigest.of(PEPPER).digest(key), held.at("/value/digest").asText());
-        assertFalse(held.toString().contains(key));
-        assertEquals(KeyDigest.idOf(key).orElseThrow(), held.path("name").asText());
-        assertEquals(ExitCode.OK, run("", "keys", "withdraw", held.path("name").asText()).code());
+        JsonNode stored = run("", "get", "key").json().at("/objects/0");
+        assertEquals(KeyDigest.of(PEPPER).digest(key), stored.at("/value/digest").asText());
+        assertFalse(stored.toString().contains(key));
+        assertEquals(KeyDigest.idOf(key).orElseThrow(), stored.path("name").asText());
+        assertEquals(ExitCode.OK, run("", "keys", "withdraw", stored.path("name").asText()).code());
         assertTrue(run("", "get", "key").json().at("/objects/0/value/withdrawn").asBoolean());
         assertEquals(ExitCode.INVALID, run("", "keys", "issue", "nobody").code());
     }
 
     @Test
     void waitNamesTheInstancesThatHaveNotConfirmed() throws BindException {
-        try (HttpServer fresh = canned(200, "{\"revision\":99}", new ConcurrentHashMap<>());
-                HttpServer stale = canned(200, "{\"revision\":1}", new ConcurrentHashMap<>())) {
+        try (HttpServer fresh = startEntry(200, "{\"revision\":99}", new ConcurrentHashMap<>());
+                HttpServer stale = startEntry(200, "{\"revision\":1}", new ConcurrentHashMap<>())) {
             String both = "127.0.0.1:" + fresh.port() + ",127.0.0.1:" + stale.port();
             Result result =
                     run(
@@ -134,12 +134,12 @@
     }
 
     @Test
-    void aJobIsSentWithItsKeyAndARefusalIsShown() throws BindException {
-        Map<String, String> seen = new ConcurrentHashMap<>();
+    void aJobIsSentWithItsKeyAndARefusalIsPrinted() throws BindException {
+        Map<String, String> received = new ConcurrentHashMap<>();
         String problem =
                 "{\"kind\":\"job_conflict\",\"outcome\":\"not_run\",\"detail\":\"other content\","
                         + "\"remedy\":\"Use another job key.\"}";
-        try (HttpServer entry = canned(409, problem, seen)) {
+        try (HttpServer entry = startEntry(409, problem, received)) {
             Result result =
                     run(
                             "{\"line\":1}\n",
@@ -155,13 +155,13 @@
             assertEquals(ExitCode.REFUSED, result.code());
             assertEquals("job_conflict", result.json().path("kind").asText());
         }
-        assertEquals("night-1", seen.get("Job-Key"));
-        assertEquals("Bearer sl_a_b", seen.get("Authorization"));
-        assertEquals("{\"line\":1}\n", seen.get("body"));
+        assertEquals("night-1", received.get("Job-Key"));
+        assertEquals("Bearer sl_a_b", received.get("Authorization"));
+        assertEquals("{\"line\":1}\n", received.get("body"));
     }
 
     @Test
-    void asksAndGivesTheWholeAnswer() throws BindException {
+    void askReturnsTheCompleteAnswer() throws BindException {
         try (EngineStandin engine = EngineStandin.start(EngineOptions.defaults())) {
             Result result =
                     run(
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void everyCommandHasHelpAndAWrongLineIsUsage() {
+    void commandsHaveHelpAndAWrongCommandLineExitsWithUsage() {
         assertTrue(run("", "--help").out().contains("keys withdraw"));
         assertEquals(ExitCode.OK, run("", "batch", "cancel", "--help").code());
         assertEquals(ExitCode.USAGE, run("", "batch").code());
@@ -191,7 +191,7 @@
         assertEquals(ExitCode.UNREACHABLE, run("", "get").code());
     }
 
-    private HttpServer canned(int status, String body, Map<String, String> seen)
+    private HttpServer startEntry(int status, String body, Map<String, String> received)
             throws BindException {
         return HttpServer.start(
                 group,
@@ -200,16 +200,16 @@
                 HttpLimits.defaults(),
                 null,
                 exchange -> {
-                    note(exchange, seen);
+                    recordRequest(exchange, received);
                     exchange.respondJson(status, body);
                 });
     }
 
-    private static void note(HttpExchange exchange, Map<String, String> seen) {
+    private static void recordRequest(HttpExchange exchange, Map<String, String> received) {
         Stream.of("Job-Key", "Authorization")
                 .filter(name -> exchange.header(name) != null)
-                .forEach(name -> seen.put(name, exchange.header(name)));
-        seen.put("body", exchange.bodyText());
+                .forEach(name -> received.put(name, exchange.header(name)));
+        received.put("body", exchange.bodyText());
     }
 
     private Result run(String input, String... args) {
--- a/sardinectl/src/test/java/org/sardinelift/ctl/config/ConfigWriterTest.java
+++ b/sardinectl/src/test/java/org/sardinelift/ctl/config/ConfigWriterTest.java
@@ -20,6 +20,10 @@
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.testkit.FakeObjectStore;
 
+/**
+ * Writes with concurrent operators, lost answers and lost writes: a change of another operator must
+ * not be overwritten, and the reported outcome must agree with the stored object.
+ */
 final class ConfigWriterTest {
     private static final ConfigRef TEAM = new ConfigRef(ConfigKind.TEAM, "patrol");
     private static final ObjectKey KEY = new ObjectKey("team", "patrol");
@@ -37,19 +41,19 @@
     }
 
     @Test
-    void ofTwoOperatorsOneWinsAndTheOtherIsToldWhatChanged() {
+    void ofTwoConcurrentWritesOneSucceedsAndTheOtherGetsTheDifference() {
         writer.write(entry(10), Optional.empty());
-        Optional<StoredObject> read = held();
+        Optional<StoredObject> read = stored();
         assertInstanceOf(WriteOutcome.Written.class, writer.write(entry(20), read));
-        WriteOutcome.Overtaken late =
-                assertInstanceOf(WriteOutcome.Overtaken.class, writer.write(entry(30), read));
-        assertEquals(List.of(1L, 2L), List.of(late.expected(), late.actual()));
-        assertEquals("burst: 10 -> 20", late.diff().toString());
+        WriteOutcome.Conflict conflict =
+                assertInstanceOf(WriteOutcome.Conflict.class, writer.write(entry(30), read));
+        assertEquals(List.of(1L, 2L), List.of(conflict.expected(), conflict.actual()));
+        assertEquals("burst: 10 -> 20", conflict.diff().toString());
         assertEquals(20, burst());
     }
 
     @Test
-    void aWriteWhoseAnswerWasLostIsFoundByItsMarkAndNotRepeated() {
+    void aWriteWhoseAnswerWasLostIsRecognisedByItsMarkAndNotRepeated() {
         store.loseAnswers(1);
         assertInstanceOf(WriteOutcome.Written.class, writer.write(entry(10), Optional.empty()));
         assertEquals(1, store.revision());
@@ -58,37 +62,42 @@
     @Test
     void aRepeatedApplyChangesNothing() {
         writer.write(entry(10), Optional.empty());
-        assertInstanceOf(WriteOutcome.Unchanged.class, writer.write(entry(10), held()));
+        assertInstanceOf(WriteOutcome.Unchanged.class, writer.write(entry(10), stored()));
         assertEquals(1, store.revision());
     }
 
     @Test
-    void aFileMadeForAnOlderVersionIsNotWritten() {
+    void anEntryWithAnOlderVersionIsNotWritten() {
         writer.write(entry(10), Optional.empty());
-        writer.write(entry(20), held());
+        writer.write(entry(20), stored());
         ConfigEntry old = new ConfigEntry(TEAM, OptionalLong.of(1), false, entry(30).value());
-        WriteOutcome.Overtaken late =
-                assertInstanceOf(WriteOutcome.Overtaken.class, writer.write(old, held()));
-        assertTrue(late.text().contains("yours against theirs burst: 30 -> 20"), late.text());
+        WriteOutcome.Conflict conflict =
+                assertInstanceOf(WriteOutcome.Conflict.class, writer.write(old, stored()));
+        assertTrue(
+                conflict.text().contains("your value against the stored one burst: 30 -> 20"),
+                conflict.text());
         assertEquals(20, burst());
     }
 
     @Property(seed = "9107", tries = 500)
-    void whatIsSaidOfAWriteIsTrue(@ForAll @Size(min = 1, max = 12) List<Fault> faults) {
+    void theReportedOutcomeAgreesWithTheStoredObject(
+            @ForAll @Size(min = 1, max = 12) List<Fault> faults) {
         FakeObjectStore faulty = new FakeObjectStore();
-        ConfigWriter each = ConfigWriter.of(faulty, () -> "m" + marks.incrementAndGet());
+        ConfigWriter faultyWriter = ConfigWriter.of(faulty, () -> "m" + marks.incrementAndGet());
         int wanted = 0;
         for (Fault fault : faults) {
             Optional<StoredObject> before = read(faulty);
-            int held = before.map(ConfigWriterTest::burstOf).orElse(-1);
+            int stored = before.map(ConfigWriterTest::burstOf).orElse(-1);
             wanted++;
             set(faulty, fault);
-            WriteOutcome outcome = each.write(entry(wanted), before);
+            WriteOutcome outcome = faultyWriter.write(entry(wanted), before);
             set(faulty, Fault.NONE);
-            int now = read(faulty).map(ConfigWriterTest::burstOf).orElse(-1);
+            int current = read(faulty).map(ConfigWriterTest::burstOf).orElse(-1);
             boolean written = outcome instanceof WriteOutcome.Written;
-            boolean maybe = outcome instanceof WriteOutcome.Unreachable lost && lost.mayBeWritten();
-            assertTrue(now == (written ? wanted : held) || maybe, outcome::text);
+            boolean isUnclear =
+                    outcome instanceof WriteOutcome.Unreachable unconfirmed
+                            && unconfirmed.mayHaveBeenWritten();
+            assertTrue(current == (written ? wanted : stored) || isUnclear, outcome::text);
             assertEquals(fault != Fault.DOWN, written);
         }
     }
@@ -106,7 +115,7 @@
     }
 
     private static int burstOf(StoredObject object) {
-        return StoredConfig.value(object).path("burst").asInt();
+        return StoredConfig.parseValue(object).path("burst").asInt();
     }
 
     private static ConfigEntry entry(int burst) {
@@ -114,14 +123,14 @@
                 TEAM,
                 OptionalLong.empty(),
                 false,
-                Json.object().put("template", "small").put("burst", burst));
+                Json.newObject().put("template", "small").put("burst", burst));
     }
 
-    private Optional<StoredObject> held() {
+    private Optional<StoredObject> stored() {
         return read(store);
     }
 
     private int burst() {
-        return burstOf(held().orElseThrow());
+        return burstOf(stored().orElseThrow());
     }
 }
