--- a/bench/src/main/java/org/sardinelift/bench/Bench.java
+++ b/bench/src/main/java/org/sardinelift/bench/Bench.java
@@ -11,7 +11,7 @@
 import org.sardinelift.bench.command.SlopesCommand;
 import org.sardinelift.bench.command.ThroughputCommand;
 
-/** Entry point of the program. */
+/** Command-line tool that measures a fleet under load. */
 public final class Bench {
     private static final int USAGE_STATUS = 2;
     private static final List<Command> COMMANDS =
@@ -27,7 +27,7 @@
     /**
      * Runs one command; see {@code --help}.
      *
-     * @param args name of the command and its options
+     * @param args command name and options
      */
     public static void main(String[] args) {
         System.exit(run(args));
@@ -38,7 +38,7 @@
         Optional<Command> command =
                 COMMANDS.stream().filter(each -> each.name().equals(name)).findFirst();
         if (command.isPresent()) {
-            return command.get().start(Stream.of(args).skip(1).toArray(String[]::new));
+            return command.get().execute(Stream.of(args).skip(1).toArray(String[]::new));
         }
         String usage =
                 COMMANDS.stream()
--- a/bench/src/main/java/org/sardinelift/bench/command/Command.java
+++ b/bench/src/main/java/org/sardinelift/bench/command/Command.java
@@ -21,9 +21,9 @@
 import org.sardinelift.bench.report.Output;
 import org.sardinelift.http.HttpClient;
 
-/** One command of the program. */
+/** A command of the measuring tool. */
 public abstract class Command {
-    private static final int FAILED_STATUS = 1;
+    private static final int FAILURE_STATUS = 1;
     private static final int USAGE_STATUS = 2;
     private static final int HELP_WIDTH = 100;
     private static final int EVENT_LOOPS = 2;
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Name on the command line.
+     * Returns the name on the command line.
      *
      * @return the name
      */
@@ -47,7 +47,7 @@
     }
 
     /**
-     * What the command does.
+     * Returns what the command does.
      *
      * @return one line
      */
@@ -59,9 +59,9 @@
      * Parses the options, runs the command, prints its report and writes it as JSON and SVG.
      *
      * @param args options
-     * @return exit status
+     * @return the exit status
      */
-    public final int start(String[] args) {
+    public final int execute(String[] args) {
         Options options = allOptions();
         EventLoopGroup group = null;
         try {
@@ -84,7 +84,7 @@
             return USAGE_STATUS;
         } catch (IOException | IllegalStateException e) {
             System.err.println(e.getMessage());
-            return FAILED_STATUS;
+            return FAILURE_STATUS;
         } finally {
             if (group != null) {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -96,11 +96,11 @@
 
     abstract Output run(CommandLine line, HttpClient client) throws IOException, ParseException;
 
-    static Option valued(String longName, String argName, String description) {
+    static Option longOption(String longName, String argName, String description) {
         return Option.builder().longOpt(longName).hasArg().argName(argName).desc(description).get();
     }
 
-    static String required(CommandLine line, String option) throws ParseException {
+    static String requiredOption(CommandLine line, String option) throws ParseException {
         String value = line.getOptionValue(option);
         if (value == null) {
             throw new ParseException("--" + option + " is missing");
@@ -108,25 +108,30 @@
         return value;
     }
 
-    static int number(CommandLine line, String option, int fallback) {
-        return Integer.parseInt(line.getOptionValue(option, Integer.toString(fallback)));
+    static int intOption(CommandLine line, String option, int defaultValue) {
+        return Integer.parseInt(line.getOptionValue(option, Integer.toString(defaultValue)));
     }
 
-    static Duration seconds(CommandLine line, String option, int fallback) {
-        return Duration.ofSeconds(number(line, option, fallback));
+    static Duration secondsOption(CommandLine line, String option, int defaultValue) {
+        return Duration.ofSeconds(intOption(line, option, defaultValue));
     }
 
-    static List<TeamLoad> teams(CommandLine line) throws ParseException {
-        return TeamLoad.parse(required(line, "teams"));
+    static List<TeamLoad> teamsOption(CommandLine line) throws ParseException {
+        return TeamLoad.parse(requiredOption(line, "teams"));
     }
 
     private Options allOptions() {
         return options()
-                .addOption(valued("model", "MODEL", "model asked for, default registry-llm"))
-                .addOption(valued("max-tokens", "N", "tokens of each answer, default 16"))
-                .addOption(valued("prompt-chars", "N", "characters of each prompt, default 256"))
-                .addOption(valued("seed", "N", "seed of the arrivals, default 1"))
-                .addOption(valued("out", "FOLDER", "folder of JSON and SVG, default run/bench"))
+                .addOption(longOption("model", "MODEL", "model requested, default registry-llm"))
+                .addOption(longOption("max-tokens", "N", "tokens of each answer, default 16"))
+                .addOption(
+                        longOption("prompt-chars", "N", "characters of each prompt, default 256"))
+                .addOption(longOption("seed", "N", "seed of the arrivals, default 1"))
+                .addOption(
+                        longOption(
+                                "out",
+                                "FOLDER",
+                                "folder for JSON and SVG files, default run/bench"))
                 .addOption(null, "help", false, "show this help");
     }
 
@@ -141,7 +146,7 @@
                     .get()
                     .printHelp("bench " + name + " [OPTIONS]", summary, options, "", false);
         } catch (IOException e) {
-            throw new UncheckedIOException("a text can't fail to be written", e);
+            throw new UncheckedIOException("writing help to a string builder failed", e);
         }
         return text.toString().stripTrailing();
     }
--- a/bench/src/main/java/org/sardinelift/bench/command/MeasuresCommand.java
+++ b/bench/src/main/java/org/sardinelift/bench/command/MeasuresCommand.java
@@ -10,30 +10,30 @@
 import org.apache.commons.cli.ParseException;
 import org.sardinelift.bench.load.Arrival;
 import org.sardinelift.bench.load.ArrivalPlan;
-import org.sardinelift.bench.load.BatchLoad;
+import org.sardinelift.bench.load.BatchJob;
 import org.sardinelift.bench.load.Endpoint;
 import org.sardinelift.bench.load.EngineCompletions;
+import org.sardinelift.bench.load.LoadGenerator;
 import org.sardinelift.bench.load.LoadResult;
-import org.sardinelift.bench.load.LoadRun;
-import org.sardinelift.bench.load.RequestForm;
+import org.sardinelift.bench.load.RequestTemplate;
 import org.sardinelift.bench.load.TeamLoad;
 import org.sardinelift.bench.report.Report;
 import org.sardinelift.http.HttpClient;
 
 /**
- * The four measures: batch throughput, online tail latency with batch against without, the
- * worst-served team, and refusals within the rate. The same arrivals go to an engine directly, then
- * through the entries, then through the entries beside a batch job.
+ * Measures batch throughput, online tail latency with and without batch, the worst-served team, and
+ * refusals within the rate. The same arrivals go directly to an engine, then through the entries,
+ * then through the entries while a batch job runs.
  */
 public final class MeasuresCommand extends Command {
     private static final String DIRECT = "direct";
-    private static final String ONLINE = "entry";
+    private static final String ENTRY = "entry";
     private static final String WITH_BATCH = "entry with batch";
     private static final String MS = "ms";
     private static final double MAX_REFILL_SECONDS = 10;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Makes the command. */
+    /** Creates the command. */
     public MeasuresCommand() {
         super("measures", "batch throughput, online tails, worst-served team, wrong refusals");
     }
@@ -41,93 +41,97 @@
     @Override
     Options options() {
         return new Options()
-                .addOption(valued("entries", "HOST:PORT,...", "callers' ports, required"))
-                .addOption(valued("direct", "HOST:PORT,...", "engines, for the baseline"))
-                .addOption(valued("teams", "NAME=KEY:RATE:BURST:OFFERED,...", "teams, required"))
-                .addOption(valued("batch-key", "KEY", "key of the team that submits the job"))
-                .addOption(valued("batch-items", "N", "items of the job, default 5000"))
-                .addOption(valued("seconds", "S", "length of each phase, default 20"))
-                .addOption(valued("warmup-seconds", "S", "length of the warm-up, default 5"));
+                .addOption(longOption("entries", "HOST:PORT,...", "callers' ports, required"))
+                .addOption(longOption("direct", "HOST:PORT,...", "engines, for the baseline"))
+                .addOption(
+                        longOption("teams", "NAME=KEY:RATE:BURST:OFFERED,...", "teams, required"))
+                .addOption(longOption("batch-key", "KEY", "key of the team that submits the job"))
+                .addOption(longOption("batch-items", "N", "items of the job, default 5000"))
+                .addOption(longOption("seconds", "S", "length of each phase, default 20"))
+                .addOption(longOption("warmup-seconds", "S", "length of the warm-up, default 5"));
     }
 
     @Override
     Report run(CommandLine line, HttpClient client) throws ParseException {
-        List<TeamLoad> teams = teams(line);
-        List<Endpoint> entries = endpoints(required(line, "entries"));
-        long seed = number(line, "seed", 1);
-        Phase phase = new Phase(line, client, seed);
-        phase.send(
+        List<TeamLoad> teams = teamsOption(line);
+        List<Endpoint> entries = endpoints(requiredOption(line, "entries"));
+        long seed = intOption(line, "seed", 1);
+        PhaseRunner runner = new PhaseRunner(line, client, seed);
+        runner.send(
                 "warm",
                 entries,
-                ArrivalPlan.poisson(seed, teams, seconds(line, "warmup-seconds", 5)));
-        Duration length = seconds(line, "seconds", 20);
-        List<Arrival> arrivals = ArrivalPlan.poisson(seed + 1, teams, length);
+                ArrivalPlan.poisson(seed, teams, secondsOption(line, "warmup-seconds", 5)));
+        Duration duration = secondsOption(line, "seconds", 20);
+        List<Arrival> arrivals = ArrivalPlan.poisson(seed + 1, teams, duration);
         Report report = Report.of("The four measures, seed " + seed);
         if (line.hasOption(DIRECT)) {
             List<Endpoint> engines = endpoints(line.getOptionValue(DIRECT));
-            tails(report, DIRECT, phase.send(DIRECT, engines, arrivals));
+            addLoadMeasures(report, DIRECT, runner.send(DIRECT, engines, arrivals));
         }
-        LoadResult alone = phase.send("alone", entries, arrivals);
-        tails(report, ONLINE, alone);
-        fairness(report, ONLINE, alone);
+        LoadResult withoutBatch = runner.send("alone", entries, arrivals);
+        addLoadMeasures(report, ENTRY, withoutBatch);
+        addFairness(report, ENTRY, withoutBatch);
         if (line.hasOption("batch-key")) {
-            withBatch(line, client, phase, entries, arrivals, alone, report);
+            measureWithBatch(line, client, runner, entries, arrivals, withoutBatch, report);
         }
         return report;
     }
 
-    private static void withBatch(
+    private static void measureWithBatch(
             CommandLine line,
             HttpClient client,
-            Phase phase,
+            PhaseRunner runner,
             List<Endpoint> entries,
             List<Arrival> arrivals,
-            LoadResult alone,
+            LoadResult withoutBatch,
             Report report)
             throws ParseException {
-        RequestForm items = phase.form("job-" + System.currentTimeMillis());
-        BatchLoad job =
-                BatchLoad.submit(
+        RequestTemplate items = runner.template("job-" + System.currentTimeMillis());
+        BatchJob job =
+                BatchJob.submit(
                         client,
                         entries.get(0),
-                        required(line, "batch-key"),
+                        requiredOption(line, "batch-key"),
                         items,
-                        number(line, "batch-items", 5_000));
+                        intOption(line, "batch-items", 5_000));
         List<Endpoint> engines =
                 line.hasOption(DIRECT) ? endpoints(line.getOptionValue(DIRECT)) : List.of();
         OptionalLong callsBefore = EngineCompletions.read(client, engines);
         long before = job.completed();
-        LoadResult beside = phase.send("beside", entries, arrivals);
-        long done = job.completed() - before;
+        LoadResult withBatch = runner.send("beside", entries, arrivals);
+        long committed = job.completed() - before;
         OptionalLong callsAfter = EngineCompletions.read(client, engines);
         job.cancel();
-        report.add(WITH_BATCH, "batch items committed", done / beside.seconds(), "items/s");
+        report.add(WITH_BATCH, "batch items committed", committed / withBatch.seconds(), "items/s");
         if (callsBefore.isPresent() && callsAfter.isPresent()) {
-            long calls = callsAfter.getAsLong() - callsBefore.getAsLong() - beside.served();
-            report.add(WITH_BATCH, "batch items run", calls / beside.seconds(), "items/s");
+            long calls = callsAfter.getAsLong() - callsBefore.getAsLong() - withBatch.served();
+            report.add(WITH_BATCH, "batch items run", calls / withBatch.seconds(), "items/s");
         }
-        tails(report, WITH_BATCH, beside);
-        fairness(report, WITH_BATCH, beside);
+        addLoadMeasures(report, WITH_BATCH, withBatch);
+        addFairness(report, WITH_BATCH, withBatch);
         List.of(99.0, 99.9)
                 .forEach(
                         percentile ->
                                 report.add(
                                         WITH_BATCH,
                                         "first token p" + percentile + " with batch / without",
-                                        LoadResult.millis(beside.firstToken(), percentile)
-                                                / LoadResult.millis(alone.firstToken(), percentile),
+                                        LoadResult.millis(withBatch.timeToFirstToken(), percentile)
+                                                / LoadResult.millis(
+                                                        withoutBatch.timeToFirstToken(),
+                                                        percentile),
                                         "ratio"));
     }
 
-    static void tails(Report report, String group, LoadResult result) {
-        quantiles(report, group, "first token", result.firstToken());
-        quantiles(report, group, "between tokens", result.betweenTokens());
+    static void addLoadMeasures(Report report, String group, LoadResult result) {
+        addPercentiles(report, group, "first token", result.timeToFirstToken());
+        addPercentiles(report, group, "between tokens", result.interTokenLatency());
         report.add(group, "requests served", result.served() / result.seconds(), "requests/s");
         report.add(group, "tokens", result.tokens() / result.seconds(), "tokens/s");
         report.add(group, "requests failed", result.failed(), "requests");
     }
 
-    private static void quantiles(Report report, String group, String name, Histogram histogram) {
+    private static void addPercentiles(
+            Report report, String group, String name, Histogram histogram) {
         List.of(50.0, 99.0, 99.9)
                 .forEach(
                         percentile ->
@@ -138,14 +142,14 @@
                                         MS));
     }
 
-    private static void fairness(Report report, String group, LoadResult result) {
+    private static void addFairness(Report report, String group, LoadResult result) {
         result.worstServed()
                 .ifPresent(
                         worst ->
                                 report.add(
                                         group,
                                         "worst-served team's share (" + worst.getKey() + ")",
-                                        worst.getValue().share(),
+                                        worst.getValue().servedFraction(),
                                         "of its due"));
         report.add(group, "refused within the rate", result.wronglyRefused(), "requests");
     }
@@ -158,10 +162,12 @@
         return List.copyOf(endpoints);
     }
 
-    /** Sends the same arrivals to several places in turn. */
-    private record Phase(CommandLine line, HttpClient client, long seed) {
+    /** Sends the arrivals of one phase and collects the results. */
+    private record PhaseRunner(CommandLine line, HttpClient client, long seed) {
 
-        /** Sends once every team's burst is there again, as the plan takes it to be. */
+        /**
+         * Waits until every team's burst is refilled, as the plan assumes, and sends the arrivals.
+         */
         LoadResult send(String run, List<Endpoint> endpoints, List<Arrival> arrivals) {
             double refillSeconds =
                     arrivals.stream()
@@ -170,9 +176,10 @@
                             .mapToDouble(team -> team.burst() / team.ratePerSecond())
                             .max()
                             .orElse(0);
-            Pause.nanos((long) (Math.min(MAX_REFILL_SECONDS, refillSeconds) * NANOS_PER_SECOND));
+            Pause.sleepNanos(
+                    (long) (Math.min(MAX_REFILL_SECONDS, refillSeconds) * NANOS_PER_SECOND));
             LoadResult result = new LoadResult();
-            LoadRun.of(client, form(run + "-" + System.currentTimeMillis()))
+            LoadGenerator.of(client, template(run + "-" + System.currentTimeMillis()))
                     .send(
                             arrivals,
                             arrival -> endpoints.get(arrival.number() % endpoints.size()),
@@ -180,12 +187,12 @@
             return result;
         }
 
-        RequestForm form(String run) {
-            return new RequestForm(
+        RequestTemplate template(String run) {
+            return new RequestTemplate(
                     run,
                     line.getOptionValue("model", "registry-llm"),
-                    number(line, "max-tokens", 16),
-                    number(line, "prompt-chars", 256));
+                    intOption(line, "max-tokens", 16),
+                    intOption(line, "prompt-chars", 256));
         }
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/command/ModelCommand.java
+++ b/bench/src/main/java/org/sardinelift/bench/command/ModelCommand.java
@@ -6,10 +6,10 @@
 import org.sardinelift.bench.report.Output;
 import org.sardinelift.http.HttpClient;
 
-/** What callers get from each way of placing calls, in a model in virtual time. */
+/** Simulates each policy of choosing targets in virtual time and compares what callers get. */
 public final class ModelCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public ModelCommand() {
         super("model", "what callers get by each policy, in virtual time");
     }
@@ -21,6 +21,6 @@
 
     @Override
     Output run(CommandLine line, HttpClient client) {
-        return ModelTable.play(number(line, "seed", 1));
+        return ModelTable.simulate(intOption(line, "seed", 1));
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/command/Pause.java
+++ b/bench/src/main/java/org/sardinelift/bench/command/Pause.java
@@ -6,8 +6,8 @@
 final class Pause {
     private Pause() {}
 
-    static void nanos(long length) {
-        long end = System.nanoTime() + length;
+    static void sleepNanos(long duration) {
+        long end = System.nanoTime() + duration;
         while (System.nanoTime() - end < 0) {
             LockSupport.parkNanos(end - System.nanoTime());
         }
--- a/bench/src/main/java/org/sardinelift/bench/command/SlopesCommand.java
+++ b/bench/src/main/java/org/sardinelift/bench/command/SlopesCommand.java
@@ -6,10 +6,10 @@
 import org.sardinelift.bench.slope.Slopes;
 import org.sardinelift.http.HttpClient;
 
-/** State, time and bytes against the size of the fleet, measured within this process. */
+/** Measures how state, time and message sizes grow with the fleet, within this process. */
 public final class SlopesCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public SlopesCommand() {
         super("slopes", "state, time and bytes against the size of the fleet");
     }
--- a/bench/src/main/java/org/sardinelift/bench/command/WatchedProcesses.java
+++ b/bench/src/main/java/org/sardinelift/bench/command/WatchedProcesses.java
@@ -9,14 +9,14 @@
 import org.sardinelift.bench.report.Report;
 
 /**
- * Processes whose use is measured.
+ * Processes whose resource usage is measured.
  *
  * @param processes names and ids
  */
 record WatchedProcesses(List<WatchedProcess> processes) {
     private static final double BYTES_PER_MIB = 1_048_576;
 
-    /** One process to measure. */
+    /** A process to measure. */
     record WatchedProcess(String name, long pid) {}
 
     static WatchedProcesses parse(String text) {
@@ -36,18 +36,18 @@
         return samples;
     }
 
-    /** Waits and adds what the processes use meanwhile. */
-    void measureIdle(Report report, Duration length) throws IOException {
+    /** Waits and adds the usage of the processes during the wait. */
+    void measureIdle(Report report, Duration duration) throws IOException {
         if (processes.isEmpty()) {
             return;
         }
         List<ProcessSample> before = sample();
-        Pause.nanos(length.toNanos());
-        addUse(report, "idle", before);
+        Pause.sleepNanos(duration.toNanos());
+        addUsage(report, "idle", before);
     }
 
-    /** Adds what the processes used since an earlier sample. */
-    void addUse(Report report, String state, List<ProcessSample> before) throws IOException {
+    /** Adds the usage of the processes since an earlier sample. */
+    void addUsage(Report report, String state, List<ProcessSample> before) throws IOException {
         List<ProcessSample> after = sample();
         for (int i = 0; i < processes.size(); i++) {
             String group = processes.get(i).name() + " " + state;
--- a/bench/src/main/java/org/sardinelift/bench/load/Arrival.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/Arrival.java
@@ -1,11 +1,11 @@
 package org.sardinelift.bench.load;
 
 /**
- * One request to send.
+ * A planned request.
  *
- * @param atNanos when, from the start of the run
+ * @param atNanos time to send it, from the start of the run
  * @param team team that sends it
- * @param withinRate whether it is within the team's rate and burst
+ * @param isWithinRate whether it is within the team's rate and burst
  * @param number number of the request in the run
  */
-public record Arrival(long atNanos, TeamLoad team, boolean withinRate, int number) {}
+public record Arrival(long atNanos, TeamLoad team, boolean isWithinRate, int number) {}
--- a/bench/src/main/java/org/sardinelift/bench/load/BatchLoad.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/BatchJob.java
@@ -13,10 +13,10 @@
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 
-/** One batch job under way on an entry. */
-public final class BatchLoad {
-    private static final Duration SILENCE = Duration.ofSeconds(30);
-    private static final int FIRST_ERROR = 400;
+/** A batch job submitted to an entry. */
+public final class BatchJob {
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(30);
+    private static final int FIRST_ERROR_STATUS = 400;
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
     private final HttpClient client;
@@ -24,7 +24,7 @@
     private final String key;
     private final String id;
 
-    private BatchLoad(HttpClient client, Endpoint entry, String key, String id) {
+    private BatchJob(HttpClient client, Endpoint entry, String key, String id) {
         this.client = client;
         this.entry = entry;
         this.key = key;
@@ -37,16 +37,16 @@
      * @param client HTTP client to send with
      * @param entry callers' port of an entry
      * @param key key of the team that submits it
-     * @param form what each item asks for
+     * @param template what each item requests
      * @param items number of items
      * @return the job
-     * @throws IllegalStateException where the entry refuses it; the message shows its answer
+     * @throws IllegalStateException if the entry refuses it; the message has its answer
      */
-    public static BatchLoad submit(
-            HttpClient client, Endpoint entry, String key, RequestForm form, int items) {
+    public static BatchJob submit(
+            HttpClient client, Endpoint entry, String key, RequestTemplate template, int items) {
         String body =
                 IntStream.range(0, items)
-                        .mapToObj(form::batchLine)
+                        .mapToObj(template::batchLine)
                         .collect(Collectors.joining("\n", "", "\n"));
         Map<String, String> headers =
                 Map.of(
@@ -55,26 +55,26 @@
                         "authorization",
                         "Bearer " + key,
                         "Job-Key",
-                        form.run());
+                        template.runName());
         JsonNode answer = json(client, call(entry, "POST", "/v1/batches", headers, body));
-        return new BatchLoad(client, entry, key, answer.path("id").asText());
+        return new BatchJob(client, entry, key, answer.path("id").asText());
     }
 
     /**
-     * Items completed so far.
+     * Returns the number of items completed so far.
      *
-     * @return their number
+     * @return number of items
      */
     public long completed() {
-        return json(client, job("GET", "")).at("/request_counts/completed").asLong();
+        return json(client, jobCall("GET", "")).at("/request_counts/completed").asLong();
     }
 
-    /** Cancels what is left. */
+    /** Cancels the items that are not completed. */
     public void cancel() {
-        json(client, job("POST", "/cancel"));
+        json(client, jobCall("POST", "/cancel"));
     }
 
-    private HttpCall job(String method, String action) {
+    private HttpCall jobCall(String method, String action) {
         return call(
                 entry,
                 method,
@@ -92,20 +92,20 @@
                 uri,
                 headers,
                 body.getBytes(StandardCharsets.UTF_8),
-                SILENCE);
+                READ_TIMEOUT);
     }
 
     private static JsonNode json(HttpClient client, HttpCall call) {
         try {
             HttpAnswer answer = client.call(call).join();
-            if (answer.status() >= FIRST_ERROR) {
+            if (answer.status() >= FIRST_ERROR_STATUS) {
                 throw new IllegalStateException(
                         call.method() + " " + call.uri() + " was refused: " + answer.text());
             }
             return MAPPER.readTree(answer.text());
         } catch (JsonProcessingException | CompletionException e) {
             throw new IllegalStateException(
-                    call.method() + " " + call.uri() + " gave no answer: " + e.getMessage(), e);
+                    call.method() + " " + call.uri() + " failed: " + e.getMessage(), e);
         }
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/load/Endpoint.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/Endpoint.java
@@ -1,7 +1,7 @@
 package org.sardinelift.bench.load;
 
 /**
- * Where requests go.
+ * Address that requests are sent to.
  *
  * @param host IP address
  * @param port port number
--- a/bench/src/main/java/org/sardinelift/bench/load/EngineCompletions.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/EngineCompletions.java
@@ -11,20 +11,20 @@
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 
-/** Calls that engine stand-ins have completed, whoever sent them. */
+/** Reads the number of calls that engine stand-ins have completed, from all callers. */
 public final class EngineCompletions {
-    private static final Duration SILENCE = Duration.ofSeconds(5);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(5);
     private static final int OK = 200;
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
     private EngineCompletions() {}
 
     /**
-     * Reads the counters of all engines.
+     * Adds up the counters of all engines.
      *
      * @param client HTTP client to send with
      * @param engines the engines
-     * @return calls completed so far, or empty where an engine has no counters
+     * @return calls completed so far, or empty if an engine has no counters
      */
     public static OptionalLong read(HttpClient client, List<Endpoint> engines) {
         long total = 0;
@@ -47,7 +47,7 @@
                         "/admin/counters",
                         Map.of(),
                         new byte[0],
-                        SILENCE);
+                        READ_TIMEOUT);
         try {
             HttpAnswer answer = client.call(call).join();
             return answer.status() == OK
--- a/bench/src/main/java/org/sardinelift/bench/load/LoadRun.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/LoadGenerator.java
@@ -14,36 +14,37 @@
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 
-/** Sends planned arrivals on time, whatever becomes of those before (open loop). */
-public final class LoadRun {
-    private static final Duration SILENCE = Duration.ofSeconds(30);
+/** Sends requests at planned times (open loop) or with fixed concurrency (closed loop). */
+public final class LoadGenerator {
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(30);
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final HttpClient client;
-    private final RequestForm form;
+    private final RequestTemplate template;
 
-    private LoadRun(HttpClient client, RequestForm form) {
+    private LoadGenerator(HttpClient client, RequestTemplate template) {
         this.client = client;
-        this.form = form;
+        this.template = template;
     }
 
     /**
-     * Makes a run.
+     * Creates a generator.
      *
      * @param client HTTP client to send with
-     * @param form what each request asks for
-     * @return the run
+     * @param template template of the requests
+     * @return the generator
      */
-    public static LoadRun of(HttpClient client, RequestForm form) {
-        return new LoadRun(client, form);
+    public static LoadGenerator of(HttpClient client, RequestTemplate template) {
+        return new LoadGenerator(client, template);
     }
 
     /**
-     * Sends all arrivals to one place and waits for their answers.
+     * Sends all arrivals to one endpoint on time, without waiting for earlier answers, then waits
+     * for the answers.
      *
      * @param arrivals the arrivals in order of time
-     * @param endpoint where they go
-     * @return what came of them
+     * @param endpoint address they are sent to
+     * @return the results
      */
     public LoadResult send(List<Arrival> arrivals, Endpoint endpoint) {
         LoadResult result = new LoadResult();
@@ -52,17 +53,18 @@
     }
 
     /**
-     * Sends all arrivals, each to its own place, and waits for their answers.
+     * Sends each arrival to its own endpoint on time, without waiting for earlier answers, then
+     * waits for the answers.
      *
      * @param arrivals the arrivals in order of time
-     * @param endpoints where each goes
-     * @param results where what came of each is noted
+     * @param endpoints address that each is sent to
+     * @param results result that each is recorded in
      */
     public void send(
             List<Arrival> arrivals,
             Function<Arrival, Endpoint> endpoints,
             Function<Arrival, LoadResult> results) {
-        CountDownLatch open = new CountDownLatch(arrivals.size());
+        CountDownLatch unanswered = new CountDownLatch(arrivals.size());
         long start = System.nanoTime();
         for (Arrival arrival : arrivals) {
             long planned = start + arrival.atNanos();
@@ -70,60 +72,63 @@
                 LockSupport.parkNanos(planned - System.nanoTime());
             }
             LoadResult result = results.apply(arrival);
-            sendOne(arrival, planned, endpoints.apply(arrival), result).thenRun(open::countDown);
+            sendOne(arrival, planned, endpoints.apply(arrival), result)
+                    .thenRun(unanswered::countDown);
         }
-        await(open);
+        await(unanswered);
         double seconds = (System.nanoTime() - start) / NANOS_PER_SECOND;
-        arrivals.stream().map(results).distinct().forEach(result -> result.lasted(seconds));
+        arrivals.stream().map(results).distinct().forEach(result -> result.onEnd(seconds));
     }
 
     /**
-     * Keeps a number of requests under way, each next one sent when one was answered (closed loop).
+     * Keeps a number of requests in flight: each answer triggers the next request (closed loop).
      *
-     * @param team who sends
-     * @param concurrency requests under way at once
-     * @param duration time after which no more are sent
-     * @param endpoint where they go
-     * @return what came of them
+     * @param team team that sends
+     * @param concurrency requests in flight
+     * @param duration time after which no further requests are sent
+     * @param endpoint address they are sent to
+     * @return the results
      */
     public LoadResult saturate(
             TeamLoad team, int concurrency, Duration duration, Endpoint endpoint) {
         LoadResult result = new LoadResult();
-        CountDownLatch lanes = new CountDownLatch(concurrency);
+        CountDownLatch activeLoops = new CountDownLatch(concurrency);
         AtomicInteger numbers = new AtomicInteger();
         long start = System.nanoTime();
-        Lane lane = new Lane(team, endpoint, start + duration.toNanos(), numbers, lanes, result);
-        IntStream.range(0, concurrency).forEach(each -> sendNext(lane));
-        await(lanes);
-        result.lasted((System.nanoTime() - start) / NANOS_PER_SECOND);
+        ClosedLoop loop =
+                new ClosedLoop(
+                        team, endpoint, start + duration.toNanos(), numbers, activeLoops, result);
+        IntStream.range(0, concurrency).forEach(each -> sendNext(loop));
+        await(activeLoops);
+        result.onEnd((System.nanoTime() - start) / NANOS_PER_SECOND);
         return result;
     }
 
-    private void sendNext(Lane lane) {
+    private void sendNext(ClosedLoop loop) {
         long now = System.nanoTime();
-        if (now - lane.endNanos() >= 0) {
-            lane.open().countDown();
+        if (now - loop.endNanos() >= 0) {
+            loop.activeRequests().countDown();
             return;
         }
-        Arrival arrival = new Arrival(now, lane.team(), true, lane.numbers().getAndIncrement());
-        sendOne(arrival, now, lane.endpoint(), lane.result()).thenRunAsync(() -> sendNext(lane));
+        Arrival arrival = new Arrival(now, loop.team(), true, loop.numbers().getAndIncrement());
+        sendOne(arrival, now, loop.endpoint(), loop.result()).thenRunAsync(() -> sendNext(loop));
     }
 
     private CompletableFuture<Sample> sendOne(
             Arrival arrival, long plannedNanos, Endpoint endpoint, LoadResult result) {
-        StreamProbe probe = new StreamProbe(arrival, plannedNanos, result::onGap);
+        StreamTimer timer = new StreamTimer(arrival, plannedNanos, result::onGap);
         result.onSend();
-        client.send(call(arrival, endpoint), probe);
-        return probe.result().whenComplete((sample, error) -> result.onSample(sample));
+        client.send(call(arrival, endpoint), timer);
+        return timer.result().whenComplete((sample, error) -> result.onSample(sample));
     }
 
-    /** What the requests of one closed loop have in common. */
-    private record Lane(
+    /** State shared by the requests of one closed loop. */
+    private record ClosedLoop(
             TeamLoad team,
             Endpoint endpoint,
             long endNanos,
             AtomicInteger numbers,
-            CountDownLatch open,
+            CountDownLatch activeRequests,
             LoadResult result) {}
 
     private HttpCall call(Arrival arrival, Endpoint endpoint) {
@@ -135,14 +140,14 @@
                 Map.of(
                         "content-type", "application/json",
                         "authorization", "Bearer " + arrival.team().key(),
-                        "x-request-id", form.run() + "-" + arrival.number()),
-                form.body(arrival.number()).getBytes(StandardCharsets.UTF_8),
-                SILENCE);
+                        "x-request-id", template.runName() + "-" + arrival.number()),
+                template.body(arrival.number()).getBytes(StandardCharsets.UTF_8),
+                READ_TIMEOUT);
     }
 
-    private static void await(CountDownLatch open) {
+    private static void await(CountDownLatch latch) {
         try {
-            open.await(2 * SILENCE.toMillis(), TimeUnit.MILLISECONDS);
+            latch.await(2 * READ_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/bench/src/main/java/org/sardinelift/bench/load/LoadResult.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/LoadResult.java
@@ -9,14 +9,14 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.SynchronizedHistogram;
 
-/** What came of one run of load. */
+/** Results of one run of load. */
 public final class LoadResult {
     private static final long NANOS_PER_MICRO = 1_000;
-    private static final long HIGHEST_MICROS = 120_000_000;
-    private static final int DIGITS = 3;
+    private static final long MAX_MICROS = 120_000_000;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    private final Histogram firstMicros = new SynchronizedHistogram(HIGHEST_MICROS, DIGITS);
-    private final Histogram gapMicros = new SynchronizedHistogram(HIGHEST_MICROS, DIGITS);
+    private final Histogram firstMicros = new SynchronizedHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram gapMicros = new SynchronizedHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
     private final ConcurrentLinkedQueue<Sample> samples = new ConcurrentLinkedQueue<>();
     private final LongAdder sent = new LongAdder();
     private volatile double seconds;
@@ -27,8 +27,8 @@
 
     void onSample(Sample sample) {
         samples.add(sample);
-        if (sample.served()) {
-            firstMicros.recordValue(micros(sample.firstNanos()));
+        if (sample.isServed()) {
+            firstMicros.recordValue(micros(sample.firstTokenNanos()));
         }
     }
 
@@ -36,59 +36,59 @@
         gapMicros.recordValue(micros(nanos));
     }
 
-    void lasted(double elapsedSeconds) {
+    void onEnd(double elapsedSeconds) {
         seconds = elapsedSeconds;
     }
 
     /**
-     * Times from the planned arrival to the first token.
+     * Returns the times from the planned arrival to the first token.
      *
      * @return histogram, microseconds
      */
-    public Histogram firstToken() {
+    public Histogram timeToFirstToken() {
         return firstMicros;
     }
 
     /**
-     * Times between two tokens.
+     * Returns the times between two tokens.
      *
      * @return histogram, microseconds
      */
-    public Histogram betweenTokens() {
+    public Histogram interTokenLatency() {
         return gapMicros;
     }
 
     /**
-     * Requests that were answered whole.
+     * Returns the number of requests with a complete answer.
      *
-     * @return their number
+     * @return the number
      */
     public long served() {
-        return samples.stream().filter(Sample::served).count();
+        return samples.stream().filter(Sample::isServed).count();
     }
 
     /**
-     * Requests that were neither answered whole nor refused over the team's rate, those included
-     * that had no answer when the run was given up.
+     * Returns the number of requests that had neither a complete answer nor a refusal over the
+     * team's rate. Requests without an answer when the run timed out are included.
      *
-     * @return their number
+     * @return the number
      */
     public long failed() {
         return sent.sum()
-                - samples.stream().filter(each -> each.served() || each.limited()).count();
+                - samples.stream().filter(each -> each.isServed() || each.isRateLimited()).count();
     }
 
     /**
-     * Tokens received.
+     * Returns the number of tokens received.
      *
-     * @return their number
+     * @return the number
      */
     public long tokens() {
         return samples.stream().mapToLong(Sample::tokens).sum();
     }
 
     /**
-     * Length of the run.
+     * Returns the length of the run.
      *
      * @return seconds from the first arrival to the last answer
      */
@@ -97,7 +97,7 @@
     }
 
     /**
-     * What came of each team's requests.
+     * Returns the results of each team.
      *
      * @return counts by team
      */
@@ -115,27 +115,27 @@
     }
 
     /**
-     * The team that got the smallest part of what it was due.
+     * Returns the team with the smallest served part of its requests within the rate.
      *
-     * @return the team and its share, or empty where nothing was due
+     * @return the team and its counts, or empty if no request was within the rate
      */
     public Optional<Map.Entry<String, TeamCounts>> worstServed() {
         return teams().entrySet().stream()
-                .filter(each -> each.getValue().within() > 0)
-                .min(Comparator.comparingDouble(each -> each.getValue().share()));
+                .filter(each -> each.getValue().withinRate() > 0)
+                .min(Comparator.comparingDouble(each -> each.getValue().servedFraction()));
     }
 
     /**
-     * Requests refused although they were within the team's rate.
+     * Returns the number of requests refused although they were within the team's rate.
      *
-     * @return their number
+     * @return the number
      */
     public long wronglyRefused() {
         return teams().values().stream().mapToLong(TeamCounts::wronglyRefused).sum();
     }
 
     /**
-     * A quantile in milliseconds.
+     * Returns a percentile in milliseconds.
      *
      * @param histogram one of the histograms
      * @param percentile from 0 to 100
@@ -146,6 +146,6 @@
     }
 
     private static long micros(long nanos) {
-        return Math.min(HIGHEST_MICROS, Math.max(0, nanos / NANOS_PER_MICRO));
+        return Math.min(MAX_MICROS, Math.max(0, nanos / NANOS_PER_MICRO));
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/load/ProcessSample.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/ProcessSample.java
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /**
- * Use of one process so far, from {@code /proc}.
+ * Resource usage of one process since its start, from {@code /proc}.
  *
  * @param pid process id
- * @param atNanos when it was read
+ * @param atNanos time of the reading, {@link System#nanoTime()}
  * @param cpuSeconds processor time, all threads
  * @param residentBytes resident memory
  * @param ioBytes bytes passed by read and write calls, sockets included
@@ -23,11 +23,11 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     /**
-     * Reads a process.
+     * Reads the usage of a process.
      *
      * @param pid process id
-     * @return its use
-     * @throws IOException where there is no such process
+     * @return the usage
+     * @throws IOException if there is no such process
      */
     public static ProcessSample read(long pid) throws IOException {
         Path folder = Path.of("/proc", Long.toString(pid));
@@ -46,20 +46,20 @@
     }
 
     /**
-     * Cores used since an earlier sample.
+     * Returns the cores used since an earlier sample.
      *
      * @param earlier the earlier sample of the same process
-     * @return processor seconds a second
+     * @return processor seconds per second
      */
     public double coresSince(ProcessSample earlier) {
         return (cpuSeconds - earlier.cpuSeconds) / secondsSince(earlier);
     }
 
     /**
-     * Bytes passed a second since an earlier sample.
+     * Returns the bytes read and written per second since an earlier sample.
      *
      * @param earlier the earlier sample of the same process
-     * @return bytes a second, received and sent together
+     * @return bytes per second, both directions together
      */
     public double ioBytesPerSecondSince(ProcessSample earlier) {
         return (ioBytes - earlier.ioBytes) / secondsSince(earlier);
--- a/bench/src/main/java/org/sardinelift/bench/load/StreamProbe.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/StreamTimer.java
@@ -6,9 +6,9 @@
 import java.util.function.LongConsumer;
 import org.sardinelift.http.HttpAnswerListener;
 
-/** Times the events of one streamed answer. */
-final class StreamProbe implements HttpAnswerListener {
-    private static final byte[] EVENT = {'d', 'a', 't', 'a', ':', ' ', '{'};
+/** Measures the times of the events of one streamed answer. */
+final class StreamTimer implements HttpAnswerListener {
+    private static final byte[] EVENT_PREFIX = {'d', 'a', 't', 'a', ':', ' ', '{'};
 
     private final Arrival arrival;
     private final long plannedNanos;
@@ -16,14 +16,14 @@
     private final CompletableFuture<Sample> result = new CompletableFuture<>();
     private int status;
     private int column;
-    private boolean matches = true;
-    private int events;
-    private boolean done;
+    private boolean matchesPrefix = true;
+    private int eventCount;
+    private boolean isComplete;
     private long firstNanos;
     private long lastNanos;
     private long pendingGapNanos = -1;
 
-    StreamProbe(Arrival arrival, long plannedNanos, LongConsumer gapNanos) {
+    StreamTimer(Arrival arrival, long plannedNanos, LongConsumer gapNanos) {
         this.arrival = arrival;
         this.plannedNanos = plannedNanos;
         this.gapNanos = gapNanos;
@@ -42,13 +42,13 @@
     public void onData(byte[] part) {
         long now = System.nanoTime();
         for (byte next : part) {
-            take(next, now);
+            onByte(next, now);
         }
     }
 
     @Override
     public void onEnd() {
-        done = true;
+        isComplete = true;
         complete();
     }
 
@@ -58,21 +58,26 @@
     }
 
     private void complete() {
-        // The last event holds no token but the reason why the answer ended.
-        int tokens = Math.max(0, events - 1);
+        // The last event has no token, only the finish reason.
+        int tokens = Math.max(0, eventCount - 1);
         result.complete(
-                new Sample(arrival, done ? status : 0, done, firstNanos - plannedNanos, tokens));
+                new Sample(
+                        arrival,
+                        isComplete ? status : 0,
+                        isComplete,
+                        firstNanos - plannedNanos,
+                        tokens));
     }
 
-    private void take(byte next, long now) {
+    private void onByte(byte next, long now) {
         if (next == '\n') {
             column = 0;
-            matches = true;
+            matchesPrefix = true;
             return;
         }
-        if (column < EVENT.length) {
-            matches &= next == EVENT[column];
-            if (column == EVENT.length - 1 && matches) {
+        if (column < EVENT_PREFIX.length) {
+            matchesPrefix &= next == EVENT_PREFIX[column];
+            if (column == EVENT_PREFIX.length - 1 && matchesPrefix) {
                 onEvent(now);
             }
         }
@@ -83,11 +88,11 @@
         if (pendingGapNanos >= 0) {
             gapNanos.accept(pendingGapNanos);
         }
-        pendingGapNanos = events == 0 ? -1 : now - lastNanos;
-        if (events == 0) {
+        pendingGapNanos = eventCount == 0 ? -1 : now - lastNanos;
+        if (eventCount == 0) {
             firstNanos = now;
         }
         lastNanos = now;
-        events++;
+        eventCount++;
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/load/TeamCounts.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/TeamCounts.java
@@ -1,47 +1,48 @@
 package org.sardinelift.bench.load;
 
 /**
- * What came of one team's requests.
+ * Numbers of requests of one team.
  *
- * @param offered requests sent
- * @param within requests that were within the team's rate and burst
- * @param served requests answered whole
- * @param limited requests refused over the team's rate
+ * @param sent requests sent
+ * @param withinRate requests that were within the team's rate and burst
+ * @param served requests with a complete answer
+ * @param rateLimited requests refused over the team's rate
  */
-public record TeamCounts(long offered, long within, long served, long limited) {
+public record TeamCounts(long sent, long withinRate, long served, long rateLimited) {
 
     static TeamCounts of(Sample sample) {
         return new TeamCounts(
                 1,
-                sample.arrival().withinRate() ? 1 : 0,
-                sample.served() ? 1 : 0,
-                sample.limited() ? 1 : 0);
+                sample.arrival().isWithinRate() ? 1 : 0,
+                sample.isServed() ? 1 : 0,
+                sample.isRateLimited() ? 1 : 0);
     }
 
     TeamCounts plus(TeamCounts other) {
         return new TeamCounts(
-                offered + other.offered,
-                within + other.within,
+                sent + other.sent,
+                withinRate + other.withinRate,
                 served + other.served,
-                limited + other.limited);
+                rateLimited + other.rateLimited);
     }
 
     /**
-     * Requests refused although the team was due as many more. Of a team that sends more than its
-     * rate it does not matter which ones were refused, only how many were served.
+     * Returns the number of requests refused although fewer were served than the team's rate
+     * allows. For a team that sends more than its rate it does not matter which requests were
+     * refused.
      *
      * @return number of requests
      */
     public long wronglyRefused() {
-        return Math.min(limited, Math.max(0, within - served));
+        return Math.min(rateLimited, Math.max(0, withinRate - served));
     }
 
     /**
-     * Requests served, as a part of those that were within the rate.
+     * Returns the requests served as a fraction of those within the rate.
      *
-     * @return 1 for all; above 1 where more than the due was served
+     * @return 1 for all; above 1 if more than the rate was served
      */
-    public double share() {
-        return within == 0 ? 1 : (double) served / within;
+    public double servedFraction() {
+        return withinRate == 0 ? 1 : (double) served / withinRate;
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/load/TeamLoad.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/TeamLoad.java
@@ -4,22 +4,22 @@
 import java.util.List;
 
 /**
- * What one team is due and what it sends.
+ * Limits of one team and the load that it sends.
  *
  * @param name team name
  * @param key caller's key
- * @param ratePerSecond requests a second that the team is due
- * @param burst requests at once that the team is due
- * @param offered what it sends, as a multiple of its rate
+ * @param ratePerSecond configured rate, requests per second
+ * @param burst configured burst, requests
+ * @param offeredLoad rate that it sends at, as a multiple of its configured rate
  */
 public record TeamLoad(
-        String name, String key, double ratePerSecond, double burst, double offered) {
-    private static final int FIELDS = 5;
+        String name, String key, double ratePerSecond, double burst, double offeredLoad) {
+    private static final int FIELD_COUNT = 5;
 
     /**
      * Parses teams.
      *
-     * @param text {@code NAME=KEY:RATE:BURST:OFFERED} with commas between
+     * @param text {@code NAME=KEY:RATE:BURST:OFFERED}, separated by commas
      * @return the teams
      */
     public static List<TeamLoad> parse(String text) {
@@ -28,7 +28,7 @@
 
     private static TeamLoad parseOne(String text) {
         String[] parts = text.strip().split("[=:]");
-        if (parts.length != FIELDS) {
+        if (parts.length != FIELD_COUNT) {
             throw new IllegalArgumentException(
                     "--teams: expected NAME=KEY:RATE:BURST:OFFERED, found " + parts[0]);
         }
--- a/bench/src/main/java/org/sardinelift/bench/load/package-info.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/package-info.java
@@ -1,4 +1,4 @@
-/** Open-loop load with fixed seeds, and what came of it. */
+/** Open-loop and closed-loop load, and its results. */
 @NullMarked
 package org.sardinelift.bench.load;
 
--- a/bench/src/main/java/org/sardinelift/bench/model/LoadModel.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/LoadModel.java
@@ -14,46 +14,48 @@
 import org.sardinelift.core.load.TargetLoad;
 
 /**
- * Gateways and workers that share targets without a common queue, callers that honour Retry-After
- * and come back once, and batch jobs whose items can be cut and resumed. The choices are the
- * product's own code; only engines, network and callers are modelled.
+ * Simulates a fleet under load in virtual time.
+ *
+ * <p>Gateways and workers use the same targets without a common queue, callers honour Retry-After
+ * and retry once, and batch items can be preempted and resumed. The decisions are made by the
+ * product's own code; only engines, network and callers are simulated.
  */
 public final class LoadModel {
-    static final long MILLI = 1_000_000L;
-    private static final long SECOND = 1_000 * MILLI;
+    static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
 
-    /** Time until an instance in the same zone knows of a call. */
-    private static final long NEAR_REPORT = 3 * MILLI;
+    /** Delay until an instance in the same zone knows of a call. */
+    private static final long SAME_ZONE_REPORT_DELAY_NANOS = 3 * NANOS_PER_MILLI;
 
-    /** The same for a slot that has come free. */
-    private static final long NEAR_REPORT_OF_FREED = 13 * MILLI;
+    /** Delay until an instance in the same zone knows of a freed slot. */
+    private static final long SAME_ZONE_FREED_REPORT_DELAY_NANOS = 13 * NANOS_PER_MILLI;
 
-    /** Time until one in another zone does, by way of two relays that gather reports. */
-    private static final long FAR_REPORT = 18 * MILLI;
+    /** Delay until an instance in another zone knows, through two relays that gather reports. */
+    private static final long OTHER_ZONE_REPORT_DELAY_NANOS = 18 * NANOS_PER_MILLI;
 
-    private static final Duration OBJECTIVE = Duration.ofMillis(300);
-    private static final Duration DEADLINE = Duration.ofMillis(5_000);
+    private static final Duration FIRST_EVENT_OBJECTIVE = Duration.ofMillis(300);
+    private static final Duration CALL_DEADLINE = Duration.ofMillis(5_000);
 
-    /** Callers leave a stream that doesn't begin. */
-    private static final Duration PATIENCE = Duration.ofMillis(2_000);
+    /** Callers disconnect if the first event has not arrived within this time. */
+    private static final Duration FIRST_EVENT_TIMEOUT = Duration.ofMillis(2_000);
 
-    private static final Duration KEPT_FOR_RETURNERS = Duration.ofMillis(60);
-    private static final long CALL_NANOS = 750 * MILLI;
-    private static final long FIRST_NANOS = 45 * MILLI;
-    private static final int RETURN_WITHIN_PART = 3;
-    private static final double CALL_EVENTS = 32;
-    private static final double ITEM_EVENTS = 219;
-    private static final double SPREAD = 0.25;
+    private static final Duration OBJECTIVE_RESERVED_FOR_RETRIES = Duration.ofMillis(60);
+    private static final long CALL_NANOS = 750 * NANOS_PER_MILLI;
+    private static final long FIRST_EVENT_NANOS = 45 * NANOS_PER_MILLI;
+    private static final int RETRY_WITHIN_DIVISOR = 3;
+    private static final double MEAN_CALL_EVENTS = 32;
+    private static final double MEAN_ITEM_EVENTS = 219;
+    private static final double SIZE_DEVIATION = 0.25;
 
     private final ModelSettings settings;
     private final ModelPolicy policy;
-    private final ModelClock clock = new ModelClock();
+    private final VirtualClock clock = new VirtualClock();
     private final ModelResult result = new ModelResult();
     private final Random random;
     private final List<ModelTarget> targets = new ArrayList<>();
     private final List<Gateway> gateways = new ArrayList<>();
     private final List<ModelWorker> workers = new ArrayList<>();
-    private long turn;
+    private long choiceCount;
 
     private LoadModel(ModelSettings settings, ModelPolicy policy) {
         this.settings = settings;
@@ -77,13 +79,13 @@
     }
 
     /**
-     * Plays a load.
+     * Simulates a load.
      *
      * @param settings the fleet and its load
-     * @param policy how gateways choose
-     * @return what callers got
+     * @param policy how gateways choose targets
+     * @return the results of the callers
      */
-    public static ModelResult play(ModelSettings settings, ModelPolicy policy) {
+    public static ModelResult simulate(ModelSettings settings, ModelPolicy policy) {
         return new LoadModel(settings, policy).run();
     }
 
@@ -91,32 +93,32 @@
         scheduleCalls();
         scheduleJobs();
         workers.forEach(ModelWorker::start);
-        long end = settings.length().toNanos();
+        long end = settings.duration().toNanos();
         clock.runUntil(end);
         long busy = targets.stream().mapToLong(target -> target.busyNanos(end)).sum();
-        result.onLength((double) busy / end / settings.targets() / settings.slots());
-        clock.runUntil(end + 30 * SECOND);
+        result.onMeasurementEnd((double) busy / end / settings.targets() / settings.slots());
+        clock.runUntil(end + 30 * NANOS_PER_SECOND);
         return result;
     }
 
     private void scheduleCalls() {
-        double peak = settings.callsPerSecond() * settings.high();
+        double peak = settings.callsPerSecond() * settings.highFactor();
         long at = 0;
-        while (at < settings.length().toNanos()) {
-            at += (long) (-Math.log(1 - random.nextDouble()) / peak * SECOND);
-            if (random.nextDouble() * settings.high() < step(at)) {
-                int events = size(CALL_EVENTS);
+        while (at < settings.duration().toNanos()) {
+            at += (long) (-Math.log(1 - random.nextDouble()) / peak * NANOS_PER_SECOND);
+            if (random.nextDouble() * settings.highFactor() < trafficFactor(at)) {
+                int events = randomSize(MEAN_CALL_EVENTS);
                 Gateway gateway = gateways.get(random.nextInt(gateways.size()));
                 long time = at;
-                clock.at(time, () -> gateway.onCall(new Call(events, time, false)));
+                clock.schedule(time, () -> gateway.onCall(new Call(events, time, false)));
             }
         }
     }
 
-    private double step(long at) {
-        long low = settings.lowStep().toNanos();
-        long place = at % (low + settings.highStep().toNanos());
-        return place < low ? settings.low() : settings.high();
+    private double trafficFactor(long at) {
+        long lowNanos = settings.lowDuration().toNanos();
+        long timeInCycle = at % (lowNanos + settings.highDuration().toNanos());
+        return timeInCycle < lowNanos ? settings.lowFactor() : settings.highFactor();
     }
 
     private void scheduleJobs() {
@@ -124,22 +126,26 @@
             return;
         }
         long at = 0;
-        while (at < settings.length().toNanos()) {
-            at += (long) (-Math.log(1 - random.nextDouble()) / settings.jobsPerSecond() * SECOND);
+        while (at < settings.duration().toNanos()) {
+            at +=
+                    (long)
+                            (-Math.log(1 - random.nextDouble())
+                                    / settings.jobsPerSecond()
+                                    * NANOS_PER_SECOND);
             ModelWorker worker = workers.get(random.nextInt(workers.size()));
             List<Integer> sizes =
                     IntStream.range(0, settings.itemsPerJob())
-                            .mapToObj(i -> size(ITEM_EVENTS))
+                            .mapToObj(i -> randomSize(MEAN_ITEM_EVENTS))
                             .toList();
-            clock.at(at, () -> worker.onJob(sizes));
+            clock.schedule(at, () -> worker.onJob(sizes));
         }
     }
 
-    private int size(double mean) {
-        return (int) Math.max(1, mean * (1 + SPREAD * random.nextGaussian()));
+    private int randomSize(double mean) {
+        return (int) Math.max(1, mean * (1 + SIZE_DEVIATION * random.nextGaussian()));
     }
 
-    ModelClock clock() {
+    VirtualClock clock() {
         return clock;
     }
 
@@ -151,9 +157,9 @@
         return targets.stream().filter(it -> it.id().equals(id)).findFirst().orElseThrow();
     }
 
-    List<TargetLoad> loads(LoadTracker board) {
+    List<TargetLoad> loads(LoadTracker loadTracker) {
         return targets.stream()
-                .map(target -> load(target, board.knownCalls(target.id(), clock.now())))
+                .map(target -> load(target, loadTracker.knownCalls(target.id(), clock.now())))
                 .toList();
     }
 
@@ -163,54 +169,57 @@
                         target ->
                                 load(
                                         target,
-                                        new TargetCalls(target.calls(false), target.calls(true))))
+                                        new TargetCalls(
+                                                target.callCount(false), target.callCount(true))))
                 .toList();
     }
 
-    private static TargetLoad load(ModelTarget target, TargetCalls use) {
+    private static TargetLoad load(ModelTarget target, TargetCalls calls) {
         return new TargetLoad(
-                target.id(), target.zone(), target.slots(), use, CALL_NANOS, FIRST_NANOS);
+                target.id(), target.zone(), target.slots(), calls, CALL_NANOS, FIRST_EVENT_NANOS);
     }
 
-    /** Tells the others of a change of an instance's calls, each after the time of a report. */
-    void report(String instance, String zone, LoadTracker own, boolean freed) {
-        Map<String, TargetCalls> uses = new HashMap<>(own.ownCallsByTarget());
+    /** Reports an instance's calls to all other instances, each after the delay of a report. */
+    void report(String instance, String zone, LoadTracker ownTracker, boolean isFreed) {
+        Map<String, TargetCalls> calls = new HashMap<>(ownTracker.ownCallsByTarget());
         gateways.stream()
                 .filter(each -> !each.name.equals(instance))
                 .forEach(
                         each ->
-                                clock.at(
-                                        clock.now() + delay(zone, each.zone, freed),
-                                        () -> each.board.onReport(instance, uses, clock.now())));
+                                clock.schedule(
+                                        clock.now() + delay(zone, each.zone, isFreed),
+                                        () ->
+                                                each.loadTracker.onReport(
+                                                        instance, calls, clock.now())));
         workers.stream()
                 .filter(each -> !each.name().equals(instance))
                 .forEach(
                         each ->
-                                clock.at(
-                                        clock.now() + delay(zone, each.zone(), freed),
-                                        () -> each.onReport(instance, uses)));
+                                clock.schedule(
+                                        clock.now() + delay(zone, each.zone(), isFreed),
+                                        () -> each.onReport(instance, calls)));
     }
 
-    private static long delay(String from, String to, boolean freed) {
-        if (!from.equals(to)) {
-            return FAR_REPORT;
+    private static long delay(String fromZone, String toZone, boolean isFreed) {
+        if (!fromZone.equals(toZone)) {
+            return OTHER_ZONE_REPORT_DELAY_NANOS;
         }
-        return freed ? NEAR_REPORT_OF_FREED : NEAR_REPORT;
+        return isFreed ? SAME_ZONE_FREED_REPORT_DELAY_NANOS : SAME_ZONE_REPORT_DELAY_NANOS;
     }
 
-    static LoadTracker board() {
-        // Reports come with each change here, so that none expires.
+    static LoadTracker newLoadTracker() {
+        // Every change is reported here, so reports need not expire.
         return LoadTracker.create(Duration.ofHours(1), Duration.ofMillis(400));
     }
 
-    /** A call, in its first or second attempt. */
-    private record Call(int events, long firstAttemptAt, boolean returned) {}
+    /** A call in its first or second attempt. */
+    private record Call(int events, long firstAttemptAt, boolean isRetry) {}
 
     private final class Gateway {
         private final String name;
         private final String zone;
-        private final LoadTracker board = board();
-        private final RetryAfterSchedule returns = RetryAfterSchedule.create();
+        private final LoadTracker loadTracker = newLoadTracker();
+        private final RetryAfterSchedule retrySchedule = RetryAfterSchedule.create();
 
         Gateway(String name, String zone) {
             this.name = name;
@@ -218,22 +227,25 @@
         }
 
         void onCall(Call call) {
-            if (!call.returned()) {
+            if (!call.isRetry()) {
                 result.onCall();
-                returns.onNewCall(clock.now());
+                retrySchedule.onNewCall(clock.now());
             }
-            Duration within = call.returned() ? OBJECTIVE : OBJECTIVE.minus(KEPT_FOR_RETURNERS);
-            LoadTracker alone = board();
-            board.ownCallsByTarget().forEach(alone::onOwnCallsChanged);
+            Duration timeLimit =
+                    call.isRetry()
+                            ? FIRST_EVENT_OBJECTIVE
+                            : FIRST_EVENT_OBJECTIVE.minus(OBJECTIVE_RESERVED_FOR_RETRIES);
+            LoadTracker ownCalls = newLoadTracker();
+            loadTracker.ownCallsByTarget().forEach(ownCalls::onOwnCallsChanged);
             Optional<TargetLoad> chosen =
                     policy.choose(
-                            new ModelPolicy.Situation(
-                                    loads(board),
+                            new ModelPolicy.PolicyInput(
+                                    loads(loadTracker),
                                     exactLoads(),
-                                    loads(alone),
+                                    loads(ownCalls),
                                     zone,
-                                    within,
-                                    turn++,
+                                    timeLimit,
+                                    choiceCount++,
                                     random));
             if (chosen.isPresent()) {
                 send(call, target(chosen.get().id()));
@@ -243,29 +255,29 @@
         }
 
         private void refuse(Call call) {
-            if (call.returned()) {
+            if (call.isRetry()) {
                 result.onRefused();
                 return;
             }
-            Duration left = DEADLINE.minusNanos(clock.now() - call.firstAttemptAt());
+            Duration left = CALL_DEADLINE.minusNanos(clock.now() - call.firstAttemptAt());
             double slots = settings.targets() * settings.slots();
-            double perSecond = slots / CALL_NANOS * SECOND / settings.gateways();
-            Duration back =
-                    returns.nextRetryAfter(
+            double perSecond = slots / CALL_NANOS * NANOS_PER_SECOND / settings.gateways();
+            Duration retryAfter =
+                    retrySchedule.nextRetryAfter(
                             Duration.ZERO,
                             perSecond,
-                            left.dividedBy(RETURN_WITHIN_PART),
+                            left.dividedBy(RETRY_WITHIN_DIVISOR),
                             random.nextLong(),
                             clock.now());
             Gateway other = gateways.get(random.nextInt(gateways.size()));
-            Call again = new Call(call.events(), call.firstAttemptAt(), true);
-            clock.at(clock.now() + back.toNanos(), () -> other.onCall(again));
+            Call retry = new Call(call.events(), call.firstAttemptAt(), true);
+            clock.schedule(clock.now() + retryAfter.toNanos(), () -> other.onCall(retry));
         }
 
         private void send(Call call, ModelTarget target) {
             long sentAt = clock.now();
-            use(target, 1);
-            boolean[] begun = {false};
+            changeCalls(target, 1);
+            boolean[] hasBegun = {false};
             ModelRun run =
                     new ModelRun(
                             false,
@@ -273,34 +285,35 @@
                             new ModelRun.Listener() {
                                 @Override
                                 public void onFirstEvent(long now) {
-                                    begun[0] = true;
-                                    long since = now - call.firstAttemptAt();
-                                    boolean served =
-                                            now - (call.returned() ? sentAt : call.firstAttemptAt())
-                                                    <= OBJECTIVE.toNanos();
-                                    result.onFirstEvent(since, served, call.returned());
+                                    hasBegun[0] = true;
+                                    long sinceFirstAttempt = now - call.firstAttemptAt();
+                                    boolean isInTime =
+                                            now - (call.isRetry() ? sentAt : call.firstAttemptAt())
+                                                    <= FIRST_EVENT_OBJECTIVE.toNanos();
+                                    result.onFirstEvent(
+                                            sinceFirstAttempt, isInTime, call.isRetry());
                                 }
 
                                 @Override
                                 public void onEnd(long now) {
-                                    use(target, -1);
+                                    changeCalls(target, -1);
                                 }
                             });
-            target.send(run);
-            clock.at(
-                    sentAt + PATIENCE.toNanos(),
+            target.enqueue(run);
+            clock.schedule(
+                    sentAt + FIRST_EVENT_TIMEOUT.toNanos(),
                     () -> {
-                        if (!begun[0]) {
+                        if (!hasBegun[0]) {
                             result.onRefused();
-                            use(target, -1);
-                            target.drop(run);
+                            changeCalls(target, -1);
+                            target.cancel(run);
                         }
                     });
         }
 
-        private void use(ModelTarget target, int change) {
-            board.onOwnCallsChanged(target.id(), new TargetCalls(change, 0));
-            report(name, zone, board, change < 0);
+        private void changeCalls(ModelTarget target, int change) {
+            loadTracker.onOwnCallsChanged(target.id(), new TargetCalls(change, 0));
+            report(name, zone, loadTracker, change < 0);
         }
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelPolicy.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelPolicy.java
@@ -9,53 +9,53 @@
 import org.sardinelift.core.load.Placement.Choice;
 import org.sardinelift.core.load.TargetLoad;
 
-/** How the gateways of the model choose the target of an online call. */
+/** How the simulated gateways choose the target of an online call. */
 public enum ModelPolicy {
-    /** The product's own choice with what reports tell. */
+    /** The product's own choice, by the loads known from reports. */
     PRODUCT("product") {
         @Override
-        Optional<TargetLoad> choose(Situation situation) {
-            return placed(situation, situation.known());
+        Optional<TargetLoad> choose(PolicyInput input) {
+            return chooseByPlacement(input, input.reportedLoads());
         }
     },
-    /** The product's own choice with knowledge that is never old: one queue for all. */
+    /** The product's own choice, by exact loads, as with one queue common to all gateways. */
     COMMON_QUEUE("common queue") {
         @Override
-        Optional<TargetLoad> choose(Situation situation) {
-            return placed(situation, situation.exact());
+        Optional<TargetLoad> choose(PolicyInput input) {
+            return chooseByPlacement(input, input.exactLoads());
         }
     },
-    /** Any target. */
+    /** A random target. */
     RANDOM("random") {
         @Override
-        Optional<TargetLoad> choose(Situation situation) {
-            List<TargetLoad> targets = situation.known();
-            return Optional.of(targets.get(situation.random().nextInt(targets.size())));
+        Optional<TargetLoad> choose(PolicyInput input) {
+            List<TargetLoad> targets = input.reportedLoads();
+            return Optional.of(targets.get(input.random().nextInt(targets.size())));
         }
     },
     /** Each target in turn. */
     ROUND_ROBIN("round robin") {
         @Override
-        Optional<TargetLoad> choose(Situation situation) {
-            List<TargetLoad> targets = situation.known();
-            return Optional.of(targets.get((int) (situation.turn() % targets.size())));
+        Optional<TargetLoad> choose(PolicyInput input) {
+            List<TargetLoad> targets = input.reportedLoads();
+            return Optional.of(targets.get((int) (input.choiceNumber() % targets.size())));
         }
     },
-    /** The target with the fewest calls of this gateway. */
+    /** The target with the fewest of this gateway's own calls. */
     LEAST_OWN("least own calls") {
         @Override
-        Optional<TargetLoad> choose(Situation situation) {
-            return situation.own().stream()
+        Optional<TargetLoad> choose(PolicyInput input) {
+            return input.ownLoads().stream()
                     .min(Comparator.comparingInt(target -> target.calls().online()));
         }
     },
-    /** The better of two random targets by the calls of this gateway. */
+    /** The one of two random targets with fewer of this gateway's own calls. */
     TWO_CHOICES("two choices") {
         @Override
-        Optional<TargetLoad> choose(Situation situation) {
-            List<TargetLoad> targets = situation.own();
-            TargetLoad first = targets.get(situation.random().nextInt(targets.size()));
-            TargetLoad second = targets.get(situation.random().nextInt(targets.size()));
+        Optional<TargetLoad> choose(PolicyInput input) {
+            List<TargetLoad> targets = input.ownLoads();
+            TargetLoad first = targets.get(input.random().nextInt(targets.size()));
+            TargetLoad second = targets.get(input.random().nextInt(targets.size()));
             return Optional.of(second.calls().online() < first.calls().online() ? second : first);
         }
     };
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Name in tables.
+     * Returns the name in tables.
      *
      * @return the name
      */
@@ -76,35 +76,36 @@
     }
 
     /**
-     * What a gateway chooses by.
+     * Input of a choice.
      *
-     * @param known loads as reports tell
-     * @param exact loads as they are
-     * @param own loads by the calls of this gateway alone
+     * @param reportedLoads loads known from reports
+     * @param exactLoads exact loads
+     * @param ownLoads loads by this gateway's own calls only
      * @param zone zone of the gateway
-     * @param within time for the first event
-     * @param turn count of choices
-     * @param random random numbers
+     * @param timeLimit time within which the first event is wanted
+     * @param choiceNumber number of the choice
+     * @param random random number generator
      */
-    record Situation(
-            List<TargetLoad> known,
-            List<TargetLoad> exact,
-            List<TargetLoad> own,
+    record PolicyInput(
+            List<TargetLoad> reportedLoads,
+            List<TargetLoad> exactLoads,
+            List<TargetLoad> ownLoads,
             String zone,
-            Duration within,
-            long turn,
+            Duration timeLimit,
+            long choiceNumber,
             Random random) {}
 
-    abstract Optional<TargetLoad> choose(Situation situation);
+    abstract Optional<TargetLoad> choose(PolicyInput input);
 
-    private static final Duration MARGIN = Duration.ofMillis(30);
+    private static final Duration PLACEMENT_MARGIN = Duration.ofMillis(30);
 
-    private static Optional<TargetLoad> placed(Situation situation, List<TargetLoad> loads) {
+    private static Optional<TargetLoad> chooseByPlacement(
+            PolicyInput input, List<TargetLoad> loads) {
         Choice choice =
-                Placement.of(situation.zone(), MARGIN)
-                        .choose(loads, situation.within(), situation.random().nextLong());
-        return choice instanceof Choice.Placed place
-                ? Optional.of(place.target())
+                Placement.of(input.zone(), PLACEMENT_MARGIN)
+                        .choose(loads, input.timeLimit(), input.random().nextLong());
+        return choice instanceof Choice.Placed placed
+                ? Optional.of(placed.target())
                 : Optional.empty();
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelResult.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelResult.java
@@ -4,7 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** What callers got in a run of the model. */
+/** Results of a simulated run. */
 public final class ModelResult {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double PERCENT = 100;
@@ -12,25 +12,25 @@
     private final List<Long> firstEventNanos = new ArrayList<>();
     private int calls;
     private int inTime;
-    private int inTimeAfterReturn;
+    private int inTimeAfterRetry;
     private int late;
     private int refused;
     private int items;
     private int itemsInTime;
     private int itemsLate;
-    private int cuts;
-    private double busy;
+    private int preemptions;
+    private double busyFraction;
 
     void onCall() {
         calls++;
     }
 
-    void onFirstEvent(long sinceFirstAttempt, boolean served, boolean returned) {
+    void onFirstEvent(long sinceFirstAttempt, boolean isInTime, boolean isRetry) {
         firstEventNanos.add(sinceFirstAttempt);
-        if (!served) {
+        if (!isInTime) {
             late++;
-        } else if (returned) {
-            inTimeAfterReturn++;
+        } else if (isRetry) {
+            inTimeAfterRetry++;
         } else {
             inTime++;
         }
@@ -40,100 +40,102 @@
         refused++;
     }
 
-    void onItem() {
+    void onItemSubmitted() {
         items++;
     }
 
-    void onItemDone(boolean due) {
-        if (due) {
+    void onItemCompleted(boolean isInTime) {
+        if (isInTime) {
             itemsInTime++;
         } else {
             itemsLate++;
         }
     }
 
-    void onLength(double busyPart) {
-        busy = busyPart;
+    void onMeasurementEnd(double fraction) {
+        busyFraction = fraction;
     }
 
     /**
-     * Slots in use while calls came.
+     * Returns the fraction of slots in use while calls arrived.
      *
-     * @return part of all slots, 0 to 1
+     * @return fraction of all slots, 0 to 1
      */
-    public double busy() {
-        return busy;
+    public double busyFraction() {
+        return busyFraction;
     }
 
-    void onCut() {
-        cuts++;
+    void onPreemption() {
+        preemptions++;
     }
 
     /**
-     * Calls whose first event came within the objective of their first attempt.
+     * Returns the calls whose first event came within the objective on the first attempt.
      *
-     * @return part of all calls, 0 to 1
+     * @return fraction of all calls, 0 to 1
      */
     public double inTime() {
-        return part(inTime, calls);
+        return fraction(inTime, calls);
     }
 
     /**
-     * Calls that were refused once and then served within the objective of the second attempt.
+     * Returns the calls that were refused once and whose first event came within the objective of
+     * the second attempt.
      *
-     * @return part of all calls, 0 to 1
+     * @return fraction of all calls, 0 to 1
      */
-    public double inTimeAfterReturn() {
-        return part(inTimeAfterReturn, calls);
+    public double inTimeAfterRetry() {
+        return fraction(inTimeAfterRetry, calls);
     }
 
     /**
-     * Calls that were served later than that.
+     * Returns the calls whose first event came after the objective.
      *
-     * @return part of all calls, 0 to 1
+     * @return fraction of all calls, 0 to 1
      */
     public double late() {
-        return part(late, calls);
+        return fraction(late, calls);
     }
 
     /**
-     * Calls that were refused for good or left before their first event.
+     * Returns the calls that were refused twice or disconnected before their first event.
      *
-     * @return part of all calls, 0 to 1
+     * @return fraction of all calls, 0 to 1
      */
     public double refused() {
-        return part(refused, calls);
+        return fraction(refused, calls);
     }
 
     /**
-     * Items of jobs that were done when they were due.
+     * Returns the batch items that were completed in time.
      *
-     * @return part of all items, 0 to 1; 1 where there were none
+     * @return fraction of all items, 0 to 1; 1 if there were none
      */
     public double itemsInTime() {
-        return items == 0 ? 1 : part(itemsInTime, items);
+        return items == 0 ? 1 : fraction(itemsInTime, items);
     }
 
     /**
-     * Items of jobs that were done later than they were due.
+     * Returns the batch items that were completed late.
      *
-     * @return part of all items, 0 to 1
+     * @return fraction of all items, 0 to 1
      */
     public double itemsLate() {
-        return part(itemsLate, items);
+        return fraction(itemsLate, items);
     }
 
     /**
-     * Runs of items that were cut.
+     * Returns the preemptions per completed batch item.
      *
-     * @return cuts for each item that was done
+     * @return preemptions per item
      */
-    public double cutsPerItem() {
-        return part(cuts, itemsInTime + itemsLate);
+    public double preemptionsPerItem() {
+        return fraction(preemptions, itemsInTime + itemsLate);
     }
 
     /**
-     * A quantile of the time from the first attempt to the first event of calls that got one.
+     * Returns a quantile of the time from the first attempt to the first event, of the calls that
+     * got one.
      *
      * @param quantile 0 to 1
      * @return milliseconds
@@ -148,8 +150,8 @@
         return sorted.get(index) / NANOS_PER_MILLI;
     }
 
-    private static double part(int some, int all) {
-        return all == 0 ? 0 : (double) some / all;
+    private static double fraction(int count, int total) {
+        return total == 0 ? 0 : (double) count / total;
     }
 
     String row(String name) {
@@ -157,17 +159,17 @@
                 .formatted(
                         name,
                         PERCENT * inTime(),
-                        PERCENT * inTimeAfterReturn(),
+                        PERCENT * inTimeAfterRetry(),
                         PERCENT * late(),
                         PERCENT * refused(),
                         firstEventMs(0.5),
                         firstEventMs(0.99),
                         PERCENT * itemsInTime(),
-                        cutsPerItem(),
-                        PERCENT * busy);
+                        preemptionsPerItem(),
+                        PERCENT * busyFraction);
     }
 
-    static String head() {
+    static String header() {
         return "%-22s %7s %7s %6s %8s %8s %8s %9s %7s %6s"
                 .formatted(
                         "policy",
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelRun.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelRun.java
@@ -1,48 +1,48 @@
 package org.sardinelift.bench.model;
 
-/** One run of a call or an item on a target. */
+/** A run of a call or batch item on a target. */
 final class ModelRun {
-    /** Hears how the run goes. */
+    /** Receives the progress of a run. */
     interface Listener {
         default void onFirstEvent(long now) {}
 
         void onEnd(long now);
     }
 
-    private final boolean batch;
+    private final boolean isBatch;
     private final int eventsLeft;
     private final Listener listener;
     private long startedAt = -1;
     private long firstNanos;
     private long eventNanos;
-    private boolean ended;
+    private boolean hasEnded;
 
-    ModelRun(boolean batch, int eventsLeft, Listener listener) {
-        this.batch = batch;
+    ModelRun(boolean isBatch, int eventsLeft, Listener listener) {
+        this.isBatch = isBatch;
         this.eventsLeft = eventsLeft;
         this.listener = listener;
     }
 
     boolean isBatch() {
-        return batch;
+        return isBatch;
     }
 
     int eventsLeft() {
         return eventsLeft;
     }
 
-    void start(long now, long first, long event) {
+    void start(long now, long firstEventNanos, long nanosPerEvent) {
         startedAt = now;
-        firstNanos = first;
-        eventNanos = event;
+        firstNanos = firstEventNanos;
+        eventNanos = nanosPerEvent;
     }
 
     boolean hasStarted() {
         return startedAt >= 0;
     }
 
-    /** Events sent up to now. */
-    int events(long now) {
+    /** Returns the number of events sent by the given time. */
+    int eventsSent(long now) {
         if (!hasStarted() || now < startedAt + firstNanos) {
             return 0;
         }
@@ -50,18 +50,18 @@
     }
 
     void end() {
-        ended = true;
+        hasEnded = true;
     }
 
     void onFirstEvent(long now) {
-        if (!ended) {
+        if (!hasEnded) {
             listener.onFirstEvent(now);
         }
     }
 
     void onEnd(long now) {
-        if (!ended) {
-            ended = true;
+        if (!hasEnded) {
+            hasEnded = true;
             listener.onEnd(now);
         }
     }
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelSettings.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelSettings.java
@@ -3,20 +3,20 @@
 import java.time.Duration;
 
 /**
- * A fleet and its load.
+ * Settings of a simulated fleet and its load.
  *
  * @param zones availability zones
- * @param gatewaysPerZone gateways in each
- * @param targetsPerZone targets in each
+ * @param gatewaysPerZone gateways in each zone
+ * @param targetsPerZone targets in each zone
  * @param slots calls that a target runs at once
  * @param callsPerSecond online calls on average
  * @param jobsPerSecond batch jobs on average
  * @param itemsPerJob items of a job
- * @param low traffic in a low step, as a multiple of the average
- * @param high traffic in a high step, as a multiple of the average
- * @param lowStep length of a low step
- * @param highStep length of a high step
- * @param length length of the run
+ * @param lowFactor traffic in a low step, as a multiple of the average
+ * @param highFactor traffic in a high step, as a multiple of the average
+ * @param lowDuration length of a low step
+ * @param highDuration length of a high step
+ * @param duration length of the run
  * @param seed seed of arrivals and sizes
  */
 public record ModelSettings(
@@ -27,17 +27,18 @@
         double callsPerSecond,
         double jobsPerSecond,
         int itemsPerJob,
-        double low,
-        double high,
-        Duration lowStep,
-        Duration highStep,
-        Duration length,
+        double lowFactor,
+        double highFactor,
+        Duration lowDuration,
+        Duration highDuration,
+        Duration duration,
         long seed) {
 
     /**
-     * Three zones with two gateways and two targets each, and the steps of the users' traffic.
+     * Returns a fleet of three zones with two gateways and two targets each, and the steps of the
+     * users' traffic.
      *
-     * @param load online and batch load, 1 for what fills 84 in 100 slots on average
+     * @param load online and batch load; at 1 it fills 84 % of the slots on average
      * @param seed seed of arrivals and sizes
      * @return the settings
      */
@@ -59,12 +60,12 @@
     }
 
     /**
-     * The same with fewer targets, as after a loss.
+     * Returns these settings with another number of targets, as after a loss.
      *
      * @param perZone targets in each zone
      * @return the settings
      */
-    public ModelSettings withTargets(int perZone) {
+    public ModelSettings withTargetsPerZone(int perZone) {
         return new ModelSettings(
                 zones,
                 gatewaysPerZone,
@@ -73,16 +74,16 @@
                 callsPerSecond,
                 jobsPerSecond,
                 itemsPerJob,
-                low,
-                high,
-                lowStep,
-                highStep,
-                length,
+                lowFactor,
+                highFactor,
+                lowDuration,
+                highDuration,
+                duration,
                 seed);
     }
 
     /**
-     * The same without batch jobs.
+     * Returns these settings without batch jobs.
      *
      * @return the settings
      */
@@ -95,11 +96,11 @@
                 callsPerSecond,
                 0,
                 itemsPerJob,
-                low,
-                high,
-                lowStep,
-                highStep,
-                length,
+                lowFactor,
+                highFactor,
+                lowDuration,
+                highDuration,
+                duration,
                 seed);
     }
 
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelTable.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelTable.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 import org.sardinelift.bench.report.Output;
 
-/** All policies on the same loads. */
+/** Table of the results of all policies on the same loads. */
 public final class ModelTable implements Output {
     private final String text;
 
@@ -18,17 +18,17 @@
     }
 
     /**
-     * Plays each policy on each load.
+     * Simulates each policy on each load.
      *
      * @param seed seed of arrivals and sizes
      * @return the table
      */
-    public static ModelTable play(long seed) {
+    public static ModelTable simulate(long seed) {
         Map<String, ModelSettings> loads = new LinkedHashMap<>();
         loads.put("usual load", ModelSettings.small(1, seed));
         loads.put("usual load without batch", ModelSettings.small(1, seed).withoutBatch());
         loads.put("a third more", ModelSettings.small(1.33, seed));
-        loads.put("half of the targets lost", ModelSettings.small(1, seed).withTargets(1));
+        loads.put("half of the targets lost", ModelSettings.small(1, seed).withTargetsPerZone(1));
         return new ModelTable(
                 loads.entrySet().stream()
                         .map(load -> table(load.getKey(), load.getValue()))
@@ -38,10 +38,13 @@
     private static String table(String name, ModelSettings settings) {
         return name
                 + ", parts in 100\n"
-                + ModelResult.head()
+                + ModelResult.header()
                 + "\n"
                 + Stream.of(ModelPolicy.values())
-                        .map(policy -> LoadModel.play(settings, policy).row(policy.label()) + "\n")
+                        .map(
+                                policy ->
+                                        LoadModel.simulate(settings, policy).row(policy.label())
+                                                + "\n")
                         .collect(Collectors.joining());
     }
 
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelTarget.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelTarget.java
@@ -5,28 +5,27 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A target: runs some calls at once and queues the others in the order in which they came. */
+/** A simulated target: runs as many calls as it has slots and queues the others in FIFO order. */
 final class ModelTarget {
-    /** Set-up, prefill of a usual prompt and the steps of the first event. */
-    private static final long FIRST_NANOS = 45_000_000L;
+    /** Time to the first event: set-up, prefill of a typical prompt and the steps of the event. */
+    private static final long FIRST_EVENT_NANOS = 45_000_000L;
 
-    /**
-     * Tokens of one event times the time of a step with one call, and what each further one adds.
-     */
-    private static final long EVENT_NANOS = 6 * 3_192_000L;
+    /** Time of one event with one call running: its tokens times the time of a step. */
+    private static final long NANOS_PER_EVENT = 6 * 3_192_000L;
 
-    private static final long EVENT_NANOS_PER_CALL = 6 * 102_000L;
+    /** Time that each further call adds to an event. */
+    private static final long ADDED_NANOS_PER_CALL = 6 * 102_000L;
 
     private final String id;
     private final String zone;
     private final int slots;
-    private final ModelClock clock;
+    private final VirtualClock clock;
     private final Set<ModelRun> running = new HashSet<>();
     private final Deque<ModelRun> queue = new ArrayDeque<>();
     private long busyNanos;
     private long countedAt;
 
-    ModelTarget(String id, String zone, int slots, ModelClock clock) {
+    ModelTarget(String id, String zone, int slots, VirtualClock clock) {
         this.id = id;
         this.zone = zone;
         this.slots = slots;
@@ -45,31 +44,31 @@
         return slots;
     }
 
-    int calls(boolean batch) {
+    int callCount(boolean batch) {
         return (int)
                 (running.stream().filter(run -> run.isBatch() == batch).count()
                         + queue.stream().filter(run -> run.isBatch() == batch).count());
     }
 
-    /** Time of slots in use up to a time. */
+    /** Returns the sum over all slots of the time in use until the given time. */
     long busyNanos(long until) {
-        count(until);
+        addBusyTime(until);
         return busyNanos;
     }
 
-    private void count(long until) {
+    private void addBusyTime(long until) {
         busyNanos += running.size() * (until - countedAt);
         countedAt = until;
     }
 
-    void send(ModelRun run) {
+    void enqueue(ModelRun run) {
         queue.add(run);
         startNext();
     }
 
-    /** The caller closed the connection. */
-    void drop(ModelRun run) {
-        count(clock.now());
+    /** Cancels a run whose caller has closed the connection. */
+    void cancel(ModelRun run) {
+        addBusyTime(clock.now());
         run.end();
         running.remove(run);
         queue.remove(run);
@@ -78,16 +77,16 @@
 
     private void startNext() {
         while (running.size() < slots && !queue.isEmpty()) {
-            count(clock.now());
+            addBusyTime(clock.now());
             ModelRun run = queue.poll();
             running.add(run);
-            long event = EVENT_NANOS + EVENT_NANOS_PER_CALL * (running.size() - 1);
-            run.start(clock.now(), FIRST_NANOS, event);
-            clock.at(clock.now() + FIRST_NANOS, () -> run.onFirstEvent(clock.now()));
-            clock.at(
-                    clock.now() + FIRST_NANOS + event * run.eventsLeft(),
+            long nanosPerEvent = NANOS_PER_EVENT + ADDED_NANOS_PER_CALL * (running.size() - 1);
+            run.start(clock.now(), FIRST_EVENT_NANOS, nanosPerEvent);
+            clock.schedule(clock.now() + FIRST_EVENT_NANOS, () -> run.onFirstEvent(clock.now()));
+            clock.schedule(
+                    clock.now() + FIRST_EVENT_NANOS + nanosPerEvent * run.eventsLeft(),
                     () -> {
-                        count(clock.now());
+                        addBusyTime(clock.now());
                         if (running.remove(run)) {
                             run.onEnd(clock.now());
                             startNext();
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelWorker.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelWorker.java
@@ -20,25 +20,25 @@
 import org.sardinelift.core.load.TargetCalls;
 import org.sardinelift.core.load.TargetLoad;
 
-/** A worker of the model: runs the items of its jobs with the product's decisions. */
+/** A simulated worker: runs the items of its jobs with the product's own decisions. */
 final class ModelWorker {
-    private static final long DUE_MS = 18_000;
-    private static final long LOOK = 6 * LoadModel.MILLI;
-    private static final int USUAL_EVENTS = 200;
+    private static final long JOB_TIME_LIMIT_MS = 18_000;
+    private static final long POLL_INTERVAL_NANOS = 6 * LoadModel.NANOS_PER_MILLI;
+    private static final int TYPICAL_EVENTS = 200;
 
     private final String name;
     private final String zone;
     private final LoadModel model;
-    private final LoadTracker board = LoadModel.board();
+    private final LoadTracker loadTracker = LoadModel.newLoadTracker();
     private final BatchSlotSelector slots;
     private final ItemSchedule schedule =
-            ItemSchedule.of(USUAL_EVENTS, Duration.ofMillis(27), Duration.ofMillis(400));
+            ItemSchedule.of(TYPICAL_EVENTS, Duration.ofMillis(27), Duration.ofMillis(400));
     private final List<JobProgress> jobs = new ArrayList<>();
     private final Map<String, Integer> sizes = new HashMap<>();
-    private final Map<String, List<Running>> running = new HashMap<>();
+    private final Map<String, List<RunningItem>> runningByTarget = new HashMap<>();
     private int submitted;
 
-    private record Running(ItemSchedule.ScheduledItem due, ModelRun run) {}
+    private record RunningItem(ItemSchedule.ScheduledItem scheduled, ModelRun run) {}
 
     ModelWorker(String name, String zone, LoadModel model) {
         this.name = name;
@@ -58,12 +58,12 @@
     }
 
     void start() {
-        look();
+        poll();
     }
 
-    private void look() {
-        pump();
-        model.clock().at(model.clock().now() + LOOK, this::look);
+    private void poll() {
+        startItems();
+        model.clock().schedule(model.clock().now() + POLL_INTERVAL_NANOS, this::poll);
     }
 
     void onJob(List<Integer> itemSizes) {
@@ -74,31 +74,31 @@
                         .toList();
         IntStream.range(0, itemSizes.size())
                 .forEach(i -> sizes.put(items.get(i).id(), itemSizes.get(i)));
-        items.forEach(item -> model.result().onItem());
+        items.forEach(item -> model.result().onItemSubmitted());
         jobs.add(JobProgress.of(new JobSpec(id, "team", "route", "host", nowMs(), items)));
     }
 
-    void onReport(String instance, Map<String, TargetCalls> uses) {
-        board.onReport(instance, uses, model.clock().now());
+    void onReport(String instance, Map<String, TargetCalls> calls) {
+        loadTracker.onReport(instance, calls, model.clock().now());
         observe();
-        yieldSlots();
+        preemptExcess();
     }
 
     private void observe() {
-        slots.observe(model.loads(board), model.clock().now());
+        slots.observe(model.loads(loadTracker), model.clock().now());
     }
 
-    private void pump() {
+    private void startItems() {
         observe();
-        yieldSlots();
+        preemptExcess();
         long now = model.clock().now();
-        boolean more = true;
-        while (more) {
-            Optional<TargetLoad> slot = slots.select(model.loads(board), now);
+        boolean hasMore = true;
+        while (hasMore) {
+            Optional<TargetLoad> slot = slots.select(model.loads(loadTracker), now);
             Optional<ItemSchedule.ScheduledItem> next =
                     slot.isEmpty() ? Optional.empty() : schedule.selectNext(items(), now, nowMs());
-            more = next.isPresent();
-            next.ifPresent(due -> startItem(due, model.target(slot.get().id())));
+            hasMore = next.isPresent();
+            next.ifPresent(scheduled -> startItem(scheduled, model.target(slot.get().id())));
         }
     }
 
@@ -113,75 +113,79 @@
                                                                 job,
                                                                 item,
                                                                 job.spec().submittedMs()
-                                                                        + DUE_MS)));
+                                                                        + JOB_TIME_LIMIT_MS)));
     }
 
-    private void startItem(ItemSchedule.ScheduledItem due, ModelTarget target) {
+    private void startItem(ItemSchedule.ScheduledItem scheduled, ModelTarget target) {
         long startedAt = model.clock().now();
         slots.onItemStarted(target.id(), startedAt);
-        due.item().setRunning(true);
-        use(target, 1);
-        ItemProgress item = due.item();
-        int left = Math.max(1, sizes.get(item.item().id()) - item.eventCount());
+        scheduled.item().setRunning(true);
+        changeCalls(target, 1);
+        ItemProgress item = scheduled.item();
+        int eventsLeft = Math.max(1, sizes.get(item.item().id()) - item.eventCount());
         ModelRun[] run = new ModelRun[1];
         run[0] =
                 new ModelRun(
                         true,
-                        left,
+                        eventsLeft,
                         now -> {
-                            running.get(target.id()).removeIf(each -> each.run() == run[0]);
-                            onDone(due, target, left, now - startedAt);
+                            runningByTarget.get(target.id()).removeIf(each -> each.run() == run[0]);
+                            onDone(scheduled, target, eventsLeft, now - startedAt);
                         });
-        running.computeIfAbsent(target.id(), key -> new ArrayList<>())
-                .add(new Running(due, run[0]));
-        target.send(run[0]);
+        runningByTarget
+                .computeIfAbsent(target.id(), key -> new ArrayList<>())
+                .add(new RunningItem(scheduled, run[0]));
+        target.enqueue(run[0]);
     }
 
     private void onDone(
-            ItemSchedule.ScheduledItem due, ModelTarget target, int events, long nanos) {
-        use(target, -1);
-        due.item().setRunning(false);
+            ItemSchedule.ScheduledItem scheduled, ModelTarget target, int events, long nanos) {
+        changeCalls(target, -1);
+        scheduled.item().setRunning(false);
         schedule.onItemCompleted(
-                sizes.get(due.item().item().id()), events, Duration.ofNanos(nanos));
-        due.job().onResult(ItemResult.completed(due.item().item().id(), ""));
-        model.result().onItemDone(nowMs() <= due.dueMs());
+                sizes.get(scheduled.item().item().id()), events, Duration.ofNanos(nanos));
+        scheduled.job().onResult(ItemResult.completed(scheduled.item().item().id(), ""));
+        model.result().onItemCompleted(nowMs() <= scheduled.dueMs());
     }
 
-    private void yieldSlots() {
-        for (Map.Entry<String, List<Running>> each : running.entrySet()) {
+    private void preemptExcess() {
+        for (Map.Entry<String, List<RunningItem>> each : runningByTarget.entrySet()) {
             ModelTarget target = model.target(each.getKey());
             int excess =
-                    board.knownCalls(target.id(), model.clock().now()).total() - target.slots();
-            int share =
+                    loadTracker.knownCalls(target.id(), model.clock().now()).total()
+                            - target.slots();
+            int count =
                     PreemptionShare.itemsToPreempt(
                             name,
                             each.getValue().size(),
-                            board.batchItemsByInstance(target.id()),
+                            loadTracker.batchItemsByInstance(target.id()),
                             excess);
-            IntStream.range(0, share).forEach(i -> yieldOne(target, each.getValue()));
+            IntStream.range(0, count).forEach(i -> preemptOne(target, each.getValue()));
         }
     }
 
-    private void yieldOne(ModelTarget target, List<Running> runs) {
-        ItemSchedule.ScheduledItem chosen =
-                schedule.selectForPreemption(runs.stream().map(Running::due).toList(), nowMs())
+    private void preemptOne(ModelTarget target, List<RunningItem> runs) {
+        ItemSchedule.ScheduledItem selected =
+                schedule.selectForPreemption(
+                                runs.stream().map(RunningItem::scheduled).toList(), nowMs())
                         .orElseThrow();
-        Running cut = runs.stream().filter(run -> run.due() == chosen).findFirst().orElseThrow();
-        runs.remove(cut);
-        int events = cut.run().events(model.clock().now());
-        IntStream.range(0, events).forEach(i -> chosen.item().onEvent(i, ""));
-        chosen.item().setRunning(false);
-        target.drop(cut.run());
-        use(target, -1);
-        model.result().onCut();
+        RunningItem preempted =
+                runs.stream().filter(run -> run.scheduled() == selected).findFirst().orElseThrow();
+        runs.remove(preempted);
+        int events = preempted.run().eventsSent(model.clock().now());
+        IntStream.range(0, events).forEach(i -> selected.item().onEvent(i, ""));
+        selected.item().setRunning(false);
+        target.cancel(preempted.run());
+        changeCalls(target, -1);
+        model.result().onPreemption();
     }
 
-    private void use(ModelTarget target, int change) {
-        board.onOwnCallsChanged(target.id(), new TargetCalls(0, change));
-        model.report(name, zone, board, change < 0);
+    private void changeCalls(ModelTarget target, int change) {
+        loadTracker.onOwnCallsChanged(target.id(), new TargetCalls(0, change));
+        model.report(name, zone, loadTracker, change < 0);
     }
 
     private long nowMs() {
-        return model.clock().now() / LoadModel.MILLI;
+        return model.clock().now() / LoadModel.NANOS_PER_MILLI;
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/model/ModelClock.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/VirtualClock.java
@@ -3,8 +3,8 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Virtual time: runs tasks in the order of their times. */
-final class ModelClock {
+/** Virtual clock that runs scheduled tasks in the order of their times. */
+final class VirtualClock {
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(
                     Comparator.comparingLong(Task::at).thenComparingLong(Task::sequence));
@@ -17,7 +17,7 @@
         return now;
     }
 
-    void at(long time, Runnable action) {
+    void schedule(long time, Runnable action) {
         tasks.add(new Task(time, sequence++, action));
     }
 
--- a/bench/src/main/java/org/sardinelift/bench/model/package-info.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/package-info.java
@@ -1,4 +1,4 @@
-/** A model of the load on a fleet, in virtual time, that plays the product's own decisions. */
+/** Simulation of a fleet under load, in virtual time, with the product's own decisions. */
 @NullMarked
 package org.sardinelift.bench.model;
 
--- a/bench/src/main/java/org/sardinelift/bench/package-info.java
+++ b/bench/src/main/java/org/sardinelift/bench/package-info.java
@@ -1,4 +1,4 @@
-/** Load and measuring tool. */
+/** Load generator and measuring tool. */
 @NullMarked
 package org.sardinelift.bench;
 
--- a/bench/src/main/java/org/sardinelift/bench/report/BarChart.java
+++ b/bench/src/main/java/org/sardinelift/bench/report/BarChart.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Draws figures as horizontal bars in SVG; figures of one unit share a panel and its scale. */
+/** Draws measures as horizontal bars in SVG; measures of one unit have a common panel and scale. */
 final class BarChart {
     private static final int WIDTH = 900;
     private static final int BAR_LEFT = 430;
     private static final int BAR_WIDTH = 340;
-    private static final int ROW = 22;
+    private static final int ROW_HEIGHT = 22;
     private static final int MARGIN = 16;
     private static final int PANEL_GAP = 34;
 
@@ -23,7 +23,7 @@
 
     static String draw(String title, List<Measure> measures) {
         BarChart chart = new BarChart();
-        chart.text(MARGIN, chart.advance(ROW), title, "bold");
+        chart.drawText(MARGIN, chart.advance(ROW_HEIGHT), title, "bold");
         Map<String, List<Measure>> panels =
                 measures.stream()
                         .collect(
@@ -31,7 +31,7 @@
                                         Measure::unit,
                                         LinkedHashMap::new,
                                         Collectors.toCollection(ArrayList::new)));
-        panels.forEach(chart::panel);
+        panels.forEach(chart::drawPanel);
         return "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\""
                         .formatted(WIDTH, chart.top + MARGIN)
                 + " font-family=\"sans-serif\" font-size=\"12\">\n"
@@ -40,25 +40,25 @@
                 + "</svg>\n";
     }
 
-    private void panel(String unit, List<Measure> measures) {
-        double highest = measures.stream().mapToDouble(Measure::value).max().orElse(0);
-        text(MARGIN, advance(PANEL_GAP), unit, "bold");
-        measures.forEach(measure -> bar(measure, highest));
+    private void drawPanel(String unit, List<Measure> measures) {
+        double maxValue = measures.stream().mapToDouble(Measure::value).max().orElse(0);
+        drawText(MARGIN, advance(PANEL_GAP), unit, "bold");
+        measures.forEach(measure -> drawBar(measure, maxValue));
     }
 
-    private void bar(Measure measure, double highest) {
-        int base = advance(ROW);
-        double part = highest <= 0 ? 0 : Math.max(0, measure.value()) / highest;
-        text(MARGIN, base, measure.group() + ": " + measure.name(), "normal");
+    private void drawBar(Measure measure, double maxValue) {
+        int base = advance(ROW_HEIGHT);
+        double fraction = maxValue <= 0 ? 0 : Math.max(0, measure.value()) / maxValue;
+        drawText(MARGIN, base, measure.group() + ": " + measure.name(), "normal");
         body.append(
                 String.format(
                         Locale.ROOT,
                         "<rect x=\"%d\" y=\"%d\" width=\"%.1f\" height=\"14\" fill=\"#4477aa\"/>%n",
                         BAR_LEFT,
                         base - 11,
-                        part * BAR_WIDTH));
+                        fraction * BAR_WIDTH));
         String figure = String.format(Locale.ROOT, "%.3f", measure.value());
-        text(BAR_LEFT + (int) (part * BAR_WIDTH) + 6, base, figure, "normal");
+        drawText(BAR_LEFT + (int) (fraction * BAR_WIDTH) + 6, base, figure, "normal");
     }
 
     private int advance(int height) {
@@ -66,7 +66,7 @@
         return top;
     }
 
-    private void text(int left, int base, String text, String weight) {
+    private void drawText(int left, int base, String text, String weight) {
         String escaped = text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
         body.append(
                 "<text x=\"%d\" y=\"%d\" font-weight=\"%s\">%s</text>\n"
--- a/bench/src/main/java/org/sardinelift/bench/report/Output.java
+++ b/bench/src/main/java/org/sardinelift/bench/report/Output.java
@@ -3,22 +3,22 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Figures of one run, which can be shown and kept. */
+/** Results of one command that can be printed and written to files. */
 public interface Output {
 
     /**
-     * The figures as a table.
+     * Formats the results as a table.
      *
      * @return lines of aligned text
      */
     String table();
 
     /**
-     * Writes the figures as {@code NAME.json} and {@code NAME.svg}.
+     * Writes the results to files, such as {@code NAME.json} and {@code NAME.svg}.
      *
-     * @param folder where to write; it is made where it is absent
-     * @param name name without an ending
-     * @throws IOException where the folder can't be written to
+     * @param folder folder of the files; it is created if absent
+     * @param name file name without extension
+     * @throws IOException if the files can't be written
      */
     void write(Path folder, String name) throws IOException;
 }
--- a/bench/src/main/java/org/sardinelift/bench/report/Report.java
+++ b/bench/src/main/java/org/sardinelift/bench/report/Report.java
@@ -11,7 +11,7 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Figures of one run: as a table, as JSON and as a plot. */
+/** Measures of one run, written as a table, JSON and a bar chart. */
 public final class Report implements Output {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Makes an empty report.
+     * Creates an empty report.
      *
      * @param title what was measured
      * @return the report
@@ -33,11 +33,11 @@
     }
 
     /**
-     * Adds a figure.
+     * Adds a measure.
      *
-     * @param group what it belongs to
+     * @param group group of measures
      * @param name what was measured
-     * @param value the figure
+     * @param value the value
      * @param unit its unit
      * @return this report
      */
@@ -47,9 +47,9 @@
     }
 
     /**
-     * All figures.
+     * Returns all measures.
      *
-     * @return the figures in the order in which they were added
+     * @return the measures in the order in which they were added
      */
     public List<Measure> measures() {
         return List.copyOf(measures);
@@ -75,11 +75,11 @@
     @Override
     public void write(Path folder, String name) throws IOException {
         Files.createDirectories(folder);
-        Files.writeString(folder.resolve(name + ".json"), json().toPrettyString() + "\n");
+        Files.writeString(folder.resolve(name + ".json"), toJson().toPrettyString() + "\n");
         Files.writeString(folder.resolve(name + ".svg"), BarChart.draw(title, measures));
     }
 
-    private ObjectNode json() {
+    private ObjectNode toJson() {
         ObjectNode root = MAPPER.createObjectNode().put("title", title);
         ArrayNode list = root.putArray("measures");
         measures.forEach(
--- a/bench/src/main/java/org/sardinelift/bench/report/package-info.java
+++ b/bench/src/main/java/org/sardinelift/bench/report/package-info.java
@@ -1,4 +1,4 @@
-/** Tables, JSON and plots. */
+/** Reports as tables, JSON and plots. */
 @NullMarked
 package org.sardinelift.bench.report;
 
--- a/bench/src/main/java/org/sardinelift/bench/slope/BatchSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/BatchSlopes.java
@@ -10,12 +10,12 @@
 import org.sardinelift.core.batch.JobState;
 import org.sardinelift.entry.batch.BatchJson;
 
-/** Batch jobs against their chunks and against the jobs held. */
+/** Growth of batch state with the chunks of a job and with the number of jobs. */
 final class BatchSlopes {
     private static final int[] CHUNKS = {4, 44, 89, 178};
     private static final int[] JOBS = {64, 256, 1000, 2000};
     private static final int ITEMS_PER_CHUNK = 500;
-    private static final int USUAL_CHUNKS = 44;
+    private static final int TYPICAL_CHUNKS = 44;
     private static final String INCARNATION = "0b54cf3d-9f0a-4a53-8f0c-1c0a5a1f7a11";
 
     private BatchSlopes() {}
@@ -42,18 +42,18 @@
                         "jobs",
                         "bytes",
                         JOBS,
-                        jobs -> Gauge.heapBytes(() -> held(jobs))));
+                        jobs -> Measurements.medianHeapBytes(() -> jobStates(jobs))));
     }
 
     private static double commitTime(int chunks) {
         JobState state = committed(chunks, chunks - 1);
         Map<Integer, ChunkResult> last = Map.of(chunks - 1, result(chunks - 1));
-        return Gauge.nanos(() -> json(state.commit(state.fence(), last)));
+        return Measurements.medianNanos(() -> json(state.commit(state.fence(), last)));
     }
 
-    private static List<JobState> held(int jobs) {
+    private static List<JobState> jobStates(int jobs) {
         return IntStream.range(0, jobs)
-                .mapToObj(job -> committed(USUAL_CHUNKS, USUAL_CHUNKS / 2))
+                .mapToObj(job -> committed(TYPICAL_CHUNKS, TYPICAL_CHUNKS / 2))
                 .toList();
     }
 
--- a/bench/src/main/java/org/sardinelift/bench/slope/CatalogSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/CatalogSlopes.java
@@ -13,11 +13,11 @@
 import org.sardinelift.core.catalog.TeamSpec;
 import org.sardinelift.core.catalog.TeamTemplate;
 
-/** The configuration held against teams. */
+/** Growth of the configuration catalog with teams. */
 final class CatalogSlopes {
     private static final int[] TEAMS = {64, 512, 2048, 4100};
     private static final int KEYS_PER_TEAM = 2;
-    private static final int DIGEST_DIGITS = 64;
+    private static final int DIGEST_HEX_DIGITS = 64;
 
     private CatalogSlopes() {}
 
@@ -29,7 +29,9 @@
                         "teams",
                         "bytes",
                         TEAMS,
-                        teams -> Gauge.heapBytes(() -> Held.of(filled(teams)))),
+                        teams ->
+                                Measurements.medianHeapBytes(
+                                        () -> RetainedCatalog.of(filledMerger(teams)))),
                 Slope.measure(
                         "entry",
                         "configuration change applied",
@@ -39,37 +41,37 @@
                         CatalogSlopes::changeTime));
     }
 
-    private record Held(CatalogMerger log, Catalog catalog) {
-        static Held of(CatalogMerger log) {
-            return new Held(log, log.catalog());
+    private record RetainedCatalog(CatalogMerger merger, Catalog catalog) {
+        static RetainedCatalog of(CatalogMerger merger) {
+            return new RetainedCatalog(merger, merger.catalog());
         }
     }
 
     private static double changeTime(int teams) {
-        CatalogMerger log = filled(teams);
+        CatalogMerger merger = filledMerger(teams);
         AtomicLong revision = new AtomicLong(1L << 32);
-        return Gauge.nanos(
+        return Measurements.medianNanos(
                 () -> {
                     long next = revision.incrementAndGet();
-                    log.apply(team((int) (next % teams), next));
-                    log.catalog();
+                    merger.apply(team((int) (next % teams), next));
+                    merger.catalog();
                 });
     }
 
-    private static CatalogMerger filled(int teams) {
-        CatalogMerger log = CatalogMerger.create();
-        log.apply(
+    private static CatalogMerger filledMerger(int teams) {
+        CatalogMerger merger = CatalogMerger.create();
+        merger.apply(
                 new ConfigState(
                         new ConfigRef(ConfigKind.TEMPLATE, "standard"),
                         1,
                         new TeamTemplate("standard", 10, 20, Set.of("m1"), Set.of(), 1, 1)));
         for (int index = 0; index < teams; index++) {
-            log.apply(team(index, index + 2));
+            merger.apply(team(index, index + 2));
             for (int key = 0; key < KEYS_PER_TEAM; key++) {
-                log.apply(key(index, key));
+                merger.apply(key(index, key));
             }
         }
-        return log;
+        return merger;
     }
 
     private static ConfigState team(int index, long revision) {
@@ -89,7 +91,8 @@
 
     private static ConfigState key(int team, int number) {
         String id = "k%08x%02x".formatted(team, number);
-        String digest = id.repeat(DIGEST_DIGITS / id.length() + 1).substring(0, DIGEST_DIGITS);
+        String digest =
+                id.repeat(DIGEST_HEX_DIGITS / id.length() + 1).substring(0, DIGEST_HEX_DIGITS);
         KeyEntry key = new KeyEntry(id, "team-" + team, digest, false);
         return new ConfigState(new ConfigRef(ConfigKind.KEY, id), team + 2, key);
     }
--- a/bench/src/main/java/org/sardinelift/bench/slope/CompanionFleet.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/CompanionFleet.java
@@ -32,7 +32,7 @@
 import org.sardinelift.settings.SettingsFile;
 import org.sardinelift.settings.SettingsResult;
 
-/** An entry's dispatcher with companions that have reported once, without a network. */
+/** An entry's dispatcher with companions that have reported once, without network connections. */
 final class CompanionFleet implements AutoCloseable {
     static final String SERVICE = "llm";
     static final String ZONE = "zone-0";
@@ -41,7 +41,7 @@
     private static final int SLOTS = 64;
     private static final String LOOPBACK = "127.0.0.1";
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
-    private static final CompanionListener IGNORED =
+    private static final CompanionListener NO_OP_LISTENER =
             new CompanionListener() {
                 @Override
                 public void onConnection(String instance, boolean up) {}
@@ -66,7 +66,7 @@
                         ZONE,
                         bounds(),
                         CompanionFleet::open,
-                        IGNORED,
+                        NO_OP_LISTENER,
                         group,
                         () -> 0,
                         guard(group),
@@ -112,8 +112,8 @@
     }
 
     private static <T> T defaults(SettingsResult<T> result) {
-        if (result instanceof SettingsResult.Valid<T> sound) {
-            return sound.settings();
+        if (result instanceof SettingsResult.Valid<T> valid) {
+            return valid.settings();
         }
         throw new IllegalStateException("empty settings must give the defaults");
     }
@@ -130,7 +130,7 @@
     }
 
     private static LinkOpener.Link open(InstanceInfo companion, Lane lane, FrameListener listener) {
-        FrameConnection connection = new SilentConnection(companion.name());
+        FrameConnection connection = new DiscardingConnection(companion.name());
         listener.onUp(connection);
         if (lane == Lane.CONTROL) {
             listener.onFrame(connection, Frame.loadReport(report(companion)));
@@ -152,8 +152,8 @@
                 .setHealthy(true);
     }
 
-    /** Sends nothing. */
-    private record SilentConnection(String instance) implements FrameConnection {
+    /** A connection that discards all frames. */
+    private record DiscardingConnection(String instance) implements FrameConnection {
         @Override
         public boolean send(Frame frame) {
             return true;
--- a/bench/src/main/java/org/sardinelift/bench/slope/ConnectionSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/ConnectionSlopes.java
@@ -28,23 +28,24 @@
 import org.sardinelift.protocol.generated.Hello;
 import org.sardinelift.protocol.generated.Lane;
 
-/** Idle connections between processes, both ends of each in this process. */
+/** Cost of idle connections, with both ends of each in this process. */
 final class ConnectionSlopes {
     private static final int[] CONNECTIONS = {8, 32, 128, 256};
     private static final int EVENT_LOOPS = 2;
     private static final int WARM_UP_CONNECTIONS = 64;
     private static final long SETTLE_MS = 1_500;
-    private static final long WATCH_MS = 2_000;
-    private static final int WATCHES = 3;
-    private static final String THREADS = "slopes-links";
+    private static final long WINDOW_MS = 2_000;
+    private static final int WINDOWS = 3;
+    private static final String THREAD_PREFIX = "slopes-links";
     private static final int ENDS = 2;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private ConnectionSlopes() {}
 
     static List<Slope> measure() {
-        watch(WARM_UP_CONNECTIONS);
-        List<Idle> idle = IntStream.of(CONNECTIONS).mapToObj(ConnectionSlopes::watch).toList();
+        measureIdle(WARM_UP_CONNECTIONS);
+        List<Idle> idle =
+                IntStream.of(CONNECTIONS).mapToObj(ConnectionSlopes::measureIdle).toList();
         return List.of(
                 slope("heap, both ends", "bytes", idle, Idle::heapBytes),
                 slope("idle traffic, both ways", "bytes/s", idle, Idle::bytesPerSecond),
@@ -55,34 +56,37 @@
             int connections, double heapBytes, double bytesPerSecond, double microsPerSecond) {}
 
     private static Slope slope(
-            String name, String unit, List<Idle> idle, ToDoubleFunction<Idle> figure) {
+            String name, String unit, List<Idle> idle, ToDoubleFunction<Idle> value) {
         List<Point> points =
                 idle.stream()
-                        .map(each -> new Point(each.connections(), figure.applyAsDouble(each)))
+                        .map(each -> new Point(each.connections(), value.applyAsDouble(each)))
                         .toList();
         return new Slope("any", "connections: " + name, "connections", unit, points);
     }
 
-    private static Idle watch(int connections) {
+    private static Idle measureIdle(int connections) {
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(
                         EVENT_LOOPS,
-                        new DefaultThreadFactory(THREADS, true),
+                        new DefaultThreadFactory(THREAD_PREFIX, true),
                         NioIoHandler.newFactory());
-        long heapBefore = Gauge.usedHeapBytes();
+        long heapBefore = Measurements.usedHeapBytes();
         List<FrameLink> links = new ArrayList<>();
         try (FrameServer server = serve(group)) {
             AtomicInteger up = new AtomicInteger();
             for (int index = 0; index < connections; index++) {
                 links.add(open(group, server.port(), up));
             }
-            pause(SETTLE_MS);
+            sleep(SETTLE_MS);
             if (up.get() != connections) {
                 throw new IllegalStateException(
-                        up + " of " + connections + " connections are up; run fewer things beside");
+                        up
+                                + " of "
+                                + connections
+                                + " connections are up; run fewer other processes");
             }
-            double heap = Gauge.usedHeapBytes() - heapBefore;
-            return traffic(connections, heap);
+            double heap = Measurements.usedHeapBytes() - heapBefore;
+            return measureTraffic(connections, heap);
         } catch (BindException e) {
             throw new UncheckedIOException("a loopback port can't be bound", e);
         } finally {
@@ -91,21 +95,22 @@
         }
     }
 
-    private static Idle traffic(int connections, double heapBytes) {
-        List<Window> windows = IntStream.range(0, WATCHES).mapToObj(i -> window()).toList();
+    private static Idle measureTraffic(int connections, double heapBytes) {
+        List<Window> windows = IntStream.range(0, WINDOWS).mapToObj(i -> measureWindow()).toList();
         return new Idle(
                 connections,
                 heapBytes,
-                Gauge.median(windows.stream().mapToDouble(Window::bytesPerSecond).toArray()),
-                Gauge.median(windows.stream().mapToDouble(Window::microsPerSecond).toArray()));
+                Measurements.median(windows.stream().mapToDouble(Window::bytesPerSecond).toArray()),
+                Measurements.median(
+                        windows.stream().mapToDouble(Window::microsPerSecond).toArray()));
     }
 
     private record Window(double bytesPerSecond, double microsPerSecond) {}
 
-    private static Window window() {
+    private static Window measureWindow() {
         ProcessSample before = sample();
         long cpuBefore = loopNanos();
-        pause(WATCH_MS);
+        sleep(WINDOW_MS);
         long cpu = loopNanos() - cpuBefore;
         ProcessSample after = sample();
         double seconds = (after.atNanos() - before.atNanos()) / NANOS_PER_SECOND;
@@ -122,7 +127,10 @@
         }
     }
 
-    /** Processor time of the event loops so far, without compiler and collector. */
+    /**
+     * Returns the processor time of the event loops so far, without JIT compiler and garbage
+     * collector.
+     */
     private static long loopNanos() {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         return LongStream.of(threads.getAllThreadIds())
@@ -132,7 +140,7 @@
     }
 
     private static boolean isLoop(@Nullable ThreadInfo thread) {
-        return thread != null && thread.getThreadName().startsWith(THREADS);
+        return thread != null && thread.getThreadName().startsWith(THREAD_PREFIX);
     }
 
     private static FrameServer serve(EventLoopGroup group) throws BindException {
@@ -143,7 +151,7 @@
                 null,
                 () -> hello("companion-1"),
                 LinkTimings.defaults(),
-                new Counter(new AtomicInteger()));
+                new ConnectionCounter(new AtomicInteger()));
     }
 
     private static FrameLink open(EventLoopGroup group, int port, AtomicInteger up) {
@@ -154,7 +162,7 @@
                 null,
                 () -> hello("entry-1"),
                 LinkTimings.defaults(),
-                new Counter(up));
+                new ConnectionCounter(up));
     }
 
     private static Hello hello(String instance) {
@@ -168,7 +176,7 @@
                 0);
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException e) {
@@ -177,7 +185,7 @@
         }
     }
 
-    private record Counter(AtomicInteger up) implements FrameListener {
+    private record ConnectionCounter(AtomicInteger up) implements FrameListener {
         @Override
         public void onUp(FrameConnection connection) {
             up.incrementAndGet();
--- a/bench/src/main/java/org/sardinelift/bench/slope/GateSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/GateSlopes.java
@@ -9,12 +9,12 @@
 import org.sardinelift.core.gate.GateSettings;
 import org.sardinelift.core.gate.SlotGate;
 
-/** The companion's gate against online calls that wait. */
+/** Time of the companion's slot gate with queued online calls and with teams. */
 final class GateSlopes {
     private static final int[] QUEUED = {8, 64, 256, 1024, 2048};
     private static final int SLOTS = 64;
     private static final int[] TEAMS = {8, 64, 512, 2048};
-    private static final int USUAL_TEAMS = 64;
+    private static final int TYPICAL_TEAMS = 64;
     private static final int LONG_QUEUE = 2048;
     private static final int QUEUE_BOUND = 4096;
     private static final long DEADLINE_MS = Long.MAX_VALUE / 2;
@@ -29,7 +29,7 @@
                         "online calls queued",
                         "ns",
                         QUEUED,
-                        queued -> turnoverTime(queued, USUAL_TEAMS)),
+                        queued -> turnoverTime(queued, TYPICAL_TEAMS)),
                 Slope.measure(
                         "companion",
                         "gate: the same, 2048 calls queued",
@@ -48,23 +48,23 @@
 
     private static double turnoverTime(int queued, int teams) {
         Deque<String> running = new ArrayDeque<>();
-        SlotGate gate = filled(queued, teams, running);
+        SlotGate gate = filledGate(queued, teams, running);
         AtomicLong number = new AtomicLong(queued + SLOTS);
-        return Gauge.nanos(
+        return Measurements.medianNanos(
                 () -> {
                     long next = number.incrementAndGet();
-                    note(gate.release(next, running.remove()), running);
-                    note(gate.submit(next, call(next, teams)), running);
+                    addStarted(gate.release(next, running.remove()), running);
+                    addStarted(gate.submit(next, call(next, teams)), running);
                 });
     }
 
     private static double tickTime(int queued) {
-        SlotGate gate = filled(queued, USUAL_TEAMS, new ArrayDeque<>());
+        SlotGate gate = filledGate(queued, TYPICAL_TEAMS, new ArrayDeque<>());
         AtomicLong now = new AtomicLong();
-        return Gauge.nanos(() -> gate.tick(now.incrementAndGet()));
+        return Measurements.medianNanos(() -> gate.tick(now.incrementAndGet()));
     }
 
-    private static SlotGate filled(int queued, int teams, Deque<String> running) {
+    private static SlotGate filledGate(int queued, int teams, Deque<String> running) {
         GateSettings base = GateSettings.defaults(SLOTS);
         GateSettings settings =
                 new GateSettings(
@@ -81,12 +81,12 @@
                         base.reportTtlMs());
         SlotGate gate = SlotGate.create(settings);
         for (int number = 0; number < queued + SLOTS; number++) {
-            note(gate.submit(0, call(number, teams)), running);
+            addStarted(gate.submit(0, call(number, teams)), running);
         }
         return gate;
     }
 
-    private static void note(List<GateAction> actions, Deque<String> running) {
+    private static void addStarted(List<GateAction> actions, Deque<String> running) {
         actions.stream()
                 .filter(GateAction.Run.class::isInstance)
                 .map(GateAction::id)
--- a/bench/src/main/java/org/sardinelift/bench/slope/LimitFleet.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/LimitSimulation.java
@@ -18,15 +18,18 @@
 import org.sardinelift.core.limit.ShareCall;
 import org.sardinelift.core.limit.Shares;
 
-/** Limits of several entries over a shared object, in virtual time; a message takes one step. */
-final class LimitFleet {
+/**
+ * Simulates the rate limiters of several entries with a shared object in virtual time. A message
+ * arrives after one step.
+ */
+final class LimitSimulation {
     static final long STEP_NANOS = 1_000_000;
     private static final int SETTLE_STEPS = 60_000;
     private static final int TICK_STEPS = 10;
 
     private final List<FleetLimit> entries = new ArrayList<>();
-    private final TeamPlan borrowedPlan;
-    private Queue<Runnable> mail = new ArrayDeque<>();
+    private final TeamPlan plan;
+    private Queue<Runnable> pendingMessages = new ArrayDeque<>();
     private Shares shares = Shares.initial();
     private long version;
     private long now = 1;
@@ -35,44 +38,46 @@
     private int admitted;
     private int refused;
 
-    private LimitFleet(int size, TeamPlan borrowedPlan) {
-        this.borrowedPlan = borrowedPlan;
+    private LimitSimulation(int size, TeamPlan plan) {
+        this.plan = plan;
         for (int index = 0; index < size; index++) {
-            MemberId self = new MemberId(name(index), "life-" + index);
+            MemberId self = new MemberId(entryName(index), "life-" + index);
             entries.add(FleetLimit.create(self, LimitBounds.defaults(), new Random(index)));
         }
     }
 
-    /** Starts entries and lets them divide the shares. */
-    static LimitFleet settled(int size, TeamPlan plan) {
-        LimitFleet fleet = new LimitFleet(size, plan);
+    /** Starts entries and runs until they have divided the shares. */
+    static LimitSimulation startSettled(int size, TeamPlan plan) {
+        LimitSimulation simulation = new LimitSimulation(size, plan);
         Set<String> names =
-                IntStream.range(0, size).mapToObj(LimitFleet::name).collect(Collectors.toSet());
-        for (FleetLimit entry : fleet.entries) {
+                IntStream.range(0, size)
+                        .mapToObj(LimitSimulation::entryName)
+                        .collect(Collectors.toSet());
+        for (FleetLimit entry : simulation.entries) {
             Set<String> peers = new HashSet<>(names);
             peers.remove(entry.self().instance());
             entry.onConnected(peers);
-            entry.ledger().onListed(names, fleet.now);
+            entry.ledger().onListed(names, simulation.now);
         }
-        fleet.run(SETTLE_STEPS);
-        fleet.messages = 0;
-        return fleet;
+        simulation.runSteps(SETTLE_STEPS);
+        simulation.messages = 0;
+        return simulation;
     }
 
-    /** Lets time pass. */
-    void run(int count) {
+    /** Advances virtual time by a number of steps. */
+    void runSteps(int count) {
         for (int step = 0; step < count; step++) {
-            step();
+            advance();
         }
     }
 
-    /** One request comes to one entry. */
-    void request(int index) {
+    /** Sends one request to an entry. */
+    void sendRequest(int index) {
         FleetLimit entry = entries.get(index);
-        if (entry.tryAdmit(borrowedPlan, now)) {
+        if (entry.tryAdmit(plan, now)) {
             admitted++;
         } else {
-            entry.admit(borrowedPlan, steps, now, new Actions(index));
+            entry.admit(plan, steps, now, new Actions(index));
         }
     }
 
@@ -100,31 +105,31 @@
         return refused;
     }
 
-    private void step() {
+    private void advance() {
         now += STEP_NANOS;
         steps++;
-        Queue<Runnable> due = mail;
-        mail = new ArrayDeque<>();
+        Queue<Runnable> due = pendingMessages;
+        pendingMessages = new ArrayDeque<>();
         due.forEach(Runnable::run);
         if (steps % TICK_STEPS == 0) {
             for (int index = 0; index < entries.size(); index++) {
                 entries.get(index).tick(now, new Actions(index));
-                reach(index);
+                reportPeers(index);
             }
         }
     }
 
-    /** Tells an entry that its peers and the list are there. */
-    private void reach(int index) {
+    /** Reports to an entry that its peers and the list of instances are available. */
+    private void reportPeers(int index) {
         entries.forEach(
                 peer -> entries.get(index).ledger().onPeerReport(peer.self().instance(), 0, now));
     }
 
-    private static String name(int index) {
+    private static String entryName(int index) {
         return "entry-" + index;
     }
 
-    private static int index(String name) {
+    private static int entryIndex(String name) {
         return Integer.parseInt(name.substring(name.indexOf('-') + 1));
     }
 
@@ -147,14 +152,14 @@
         @Override
         public void borrow(String peer, long exchange, String team, double tokens) {
             messages++;
-            int to = index(peer);
-            mail.add(
+            int to = entryIndex(peer);
+            pendingMessages.add(
                     () ->
                             entries.get(to)
                                     .onBorrow(
-                                            name(index),
+                                            entryName(index),
                                             exchange,
-                                            borrowedPlan,
+                                            plan,
                                             tokens,
                                             now,
                                             new Actions(to)));
@@ -163,12 +168,12 @@
         @Override
         public void lend(String peer, long exchange, String team, double tokens, long ttlMs) {
             messages++;
-            int to = index(peer);
-            mail.add(
+            int to = entryIndex(peer);
+            pendingMessages.add(
                     () ->
                             entries.get(to)
                                     .onLend(
-                                            name(index),
+                                            entryName(index),
                                             exchange,
                                             team,
                                             tokens,
@@ -181,9 +186,10 @@
         public void callPlatform(ShareCall call) {
             FleetLimit caller = entries.get(index);
             if (call instanceof ShareCall.Write write) {
-                mail.add(() -> write(caller, write));
+                pendingMessages.add(() -> write(caller, write));
             } else {
-                mail.add(() -> caller.ledger().onRead(call.number(), version, shares, now));
+                pendingMessages.add(
+                        () -> caller.ledger().onRead(call.number(), version, shares, now));
             }
         }
 
--- a/bench/src/main/java/org/sardinelift/bench/slope/LineChart.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/LineChart.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Draws each slope in a panel of its own in SVG: points measured and the line through them. */
+/** Draws each slope in its own SVG panel: the measured points and the least-squares line. */
 final class LineChart {
     private static final int COLUMNS = 3;
     private static final int PANEL_WIDTH = 330;
@@ -12,8 +12,8 @@
     private static final int PLOT_TOP = 50;
     private static final int PLOT_WIDTH = 280;
     private static final int PLOT_HEIGHT = 120;
-    private static final int RADIUS = 4;
-    private static final String FORM =
+    private static final int DOT_RADIUS = 4;
+    private static final String SVG_TEMPLATE =
             "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\""
                     + " font-family=\"sans-serif\" font-size=\"11\">\n"
                     + "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>\n%s</svg>\n";
@@ -27,28 +27,28 @@
         for (int index = 0; index < slopes.size(); index++) {
             int left = index % COLUMNS * PANEL_WIDTH;
             int top = index / COLUMNS * PANEL_HEIGHT;
-            chart.panel(slopes.get(index), left, top);
+            chart.drawPanel(slopes.get(index), left, top);
         }
         int rows = (slopes.size() + COLUMNS - 1) / COLUMNS;
-        return FORM.formatted(COLUMNS * PANEL_WIDTH, rows * PANEL_HEIGHT, chart.body);
+        return SVG_TEMPLATE.formatted(COLUMNS * PANEL_WIDTH, rows * PANEL_HEIGHT, chart.body);
     }
 
-    private void panel(Slope slope, int left, int top) {
+    private void drawPanel(Slope slope, int left, int top) {
         double size = slope.points().stream().mapToDouble(Point::size).max().orElse(1);
         double value = slope.points().stream().mapToDouble(Point::value).max().orElse(1);
         Scale scale = new Scale(left + PLOT_LEFT, top + PLOT_TOP, size, Math.max(value, 1e-9));
-        text(left + PLOT_LEFT, top + 18, slope.group() + ": " + slope.name(), "bold");
-        text(left + PLOT_LEFT, top + 34, equation(slope), "normal");
-        axes(scale);
-        line(
+        drawText(left + PLOT_LEFT, top + 18, slope.group() + ": " + slope.name(), "bold");
+        drawText(left + PLOT_LEFT, top + 34, equation(slope), "normal");
+        drawAxes(scale);
+        drawLine(
                 scale.x(0),
                 scale.y(slope.intercept()),
                 scale.x(size),
-                scale.y(at(slope, size)),
+                scale.y(valueAt(slope, size)),
                 "#4477aa");
-        slope.points().forEach(point -> dot(scale.x(point.size()), scale.y(point.value())));
+        slope.points().forEach(point -> drawDot(scale.x(point.size()), scale.y(point.value())));
         String label = SlopeReport.figure(size) + " " + slope.sizeUnit();
-        text(left + PLOT_LEFT, top + PLOT_TOP + PLOT_HEIGHT + 16, "0 to " + label, "normal");
+        drawText(left + PLOT_LEFT, top + PLOT_TOP + PLOT_HEIGHT + 16, "0 to " + label, "normal");
     }
 
     private record Scale(int left, int top, double largestSize, double largestValue) {
@@ -57,8 +57,8 @@
         }
 
         double y(double value) {
-            double part = Math.max(0, Math.min(1, value / largestValue));
-            return top + PLOT_HEIGHT * (1 - part);
+            double fraction = Math.max(0, Math.min(1, value / largestValue));
+            return top + PLOT_HEIGHT * (1 - fraction);
         }
     }
 
@@ -71,17 +71,17 @@
                         slope.unit());
     }
 
-    private static double at(Slope slope, double size) {
+    private static double valueAt(Slope slope, double size) {
         return slope.intercept() + slope.perUnit() * size;
     }
 
-    private void axes(Scale scale) {
+    private void drawAxes(Scale scale) {
         double bottom = scale.y(0);
-        line(scale.left(), scale.top(), scale.left(), bottom, "#999999");
-        line(scale.left(), bottom, scale.left() + PLOT_WIDTH, bottom, "#999999");
+        drawLine(scale.left(), scale.top(), scale.left(), bottom, "#999999");
+        drawLine(scale.left(), bottom, scale.left() + PLOT_WIDTH, bottom, "#999999");
     }
 
-    private void line(double x1, double y1, double x2, double y2, String colour) {
+    private void drawLine(double x1, double y1, double x2, double y2, String colour) {
         body.append(
                 String.format(
                         Locale.ROOT,
@@ -93,17 +93,17 @@
                         colour));
     }
 
-    private void dot(double x, double y) {
+    private void drawDot(double x, double y) {
         body.append(
                 String.format(
                         Locale.ROOT,
                         "<circle cx=\"%.1f\" cy=\"%.1f\" r=\"%d\" fill=\"#cc6677\"/>%n",
                         x,
                         y,
-                        RADIUS));
+                        DOT_RADIUS));
     }
 
-    private void text(int left, int base, String text, String weight) {
+    private void drawText(int left, int base, String text, String weight) {
         String escaped = text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
         body.append(
                 "<text x=\"%d\" y=\"%d\" font-weight=\"%s\">%s</text>\n"
--- a/bench/src/main/java/org/sardinelift/bench/slope/LoanSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/LoanSlopes.java
@@ -8,13 +8,13 @@
 import org.sardinelift.core.catalog.TeamPlan;
 
 /**
- * What a team with the mean rate costs and gets, against entries and against its burst. Its
- * requests come at random times to random entries, the same times in each run.
+ * Cost and refusals of token loans for a team with the mean rate, with the number of entries and
+ * with its burst. Requests arrive at random times at random entries, at the same times in each run.
  */
 final class LoanSlopes {
     private static final int[] ENTRIES = {1, 2, 6, 12, 24};
     private static final int[] BURSTS = {16, 64, 256, 1024};
-    private static final int MOST_ENTRIES = 24;
+    private static final int MAX_ENTRIES = 24;
     private static final int RATE = 16;
     private static final double OFFERED_OVER_RATE = 0.8;
     private static final int SECONDS = 60;
@@ -31,7 +31,7 @@
             byEntries.add(run(entries, entries, RATE));
         }
         for (int burst : BURSTS) {
-            byBurst.add(run(burst, MOST_ENTRIES, burst));
+            byBurst.add(run(burst, MAX_ENTRIES, burst));
         }
         return List.of(
                 slope(
@@ -53,9 +53,9 @@
     /**
      * Cost and result of one run.
      *
-     * @param size size that was varied
-     * @param messages messages between entries for each request
-     * @param refused part of the requests that was refused, percent
+     * @param size size that is varied
+     * @param messages messages between entries per request
+     * @param refused requests refused, percent
      */
     private record Outcome(int size, double messages, double refused) {}
 
@@ -64,28 +64,29 @@
             String sizeUnit,
             String unit,
             List<Outcome> outcomes,
-            ToDoubleFunction<Outcome> figure) {
+            ToDoubleFunction<Outcome> value) {
         List<Point> points =
                 outcomes.stream()
-                        .map(each -> new Point(each.size(), figure.applyAsDouble(each)))
+                        .map(each -> new Point(each.size(), value.applyAsDouble(each)))
                         .toList();
         return new Slope("entry", name, sizeUnit, unit, points);
     }
 
     private static Outcome run(int size, int entries, int burst) {
         TeamPlan plan = new TeamPlan("mean", RATE, burst, Set.of(), Set.of(), 1, 1);
-        LimitFleet fleet = LimitFleet.settled(entries, plan);
+        LimitSimulation simulation = LimitSimulation.startSettled(entries, plan);
         Random arrivals = new Random(ARRIVALS_SEED);
         Random choice = new Random(CHOICE_SEED);
         double chance = RATE * OFFERED_OVER_RATE / STEPS_PER_SECOND;
         for (int step = 0; step < SECONDS * STEPS_PER_SECOND; step++) {
             if (arrivals.nextDouble() < chance) {
-                fleet.request(choice.nextInt(entries));
+                simulation.sendRequest(choice.nextInt(entries));
             }
-            fleet.run(1);
+            simulation.runSteps(1);
         }
-        fleet.run(STEPS_PER_SECOND);
-        double requests = fleet.admitted() + fleet.refused();
-        return new Outcome(size, fleet.messages() / requests, 100 * fleet.refused() / requests);
+        simulation.runSteps(STEPS_PER_SECOND);
+        double requests = simulation.admitted() + simulation.refused();
+        return new Outcome(
+                size, simulation.messages() / requests, 100 * simulation.refused() / requests);
     }
 }
--- a/bench/src/main/java/org/sardinelift/bench/slope/Gauge.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/Measurements.java
@@ -8,30 +8,30 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 
-/** Medians of processor time and of retained heap. */
-final class Gauge {
+/** Measures medians of processor time and retained heap. */
+final class Measurements {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int RUNS = 5;
-    private static final long LARGEST_BATCH = 256;
+    private static final long MAX_BATCH = 256;
     private static final int HEAP_RUNS = 3;
     private static final long RUN_NANOS = 60_000_000;
     private static final long WARM_UP_NANOS = 150_000_000;
 
-    private Gauge() {}
+    private Measurements() {}
 
-    /** Median processor time of one operation on this thread, nanoseconds. */
-    static double nanos(Runnable operation) {
+    /** Returns the median processor time of one operation on this thread, nanoseconds. */
+    static double medianNanos(Runnable operation) {
         meanNanos(operation, WARM_UP_NANOS);
         return median(RUNS, () -> meanNanos(operation, RUN_NANOS));
     }
 
-    /** Median heap that a structure keeps, bytes. */
-    static double heapBytes(Supplier<?> structure) {
+    /** Returns the median heap retained by a structure, bytes. */
+    static double medianHeapBytes(Supplier<?> structure) {
         structure.get();
         return median(HEAP_RUNS, () -> retainedBytes(structure));
     }
 
-    /** Heap in use after a collection, bytes. */
+    /** Returns the heap in use after a garbage collection, bytes. */
     static long usedHeapBytes() {
         System.gc();
         System.gc();
@@ -40,31 +40,31 @@
 
     private static double retainedBytes(Supplier<?> structure) {
         long before = usedHeapBytes();
-        Object held = structure.get();
+        Object retained = structure.get();
         long after = usedHeapBytes();
-        Reference.reachabilityFence(held);
+        Reference.reachabilityFence(retained);
         return after - before;
     }
 
-    private static double meanNanos(Runnable operation, long length) {
+    private static double meanNanos(Runnable operation, long minNanos) {
         long start = THREADS.getCurrentThreadCpuTime();
         long elapsed = 0;
-        long done = 0;
+        long operations = 0;
         long batch = 1;
-        while (elapsed < length) {
+        while (elapsed < minNanos) {
             for (long i = 0; i < batch; i++) {
                 operation.run();
             }
-            done += batch;
-            batch = Math.min(2 * batch, LARGEST_BATCH);
+            operations += batch;
+            batch = Math.min(2 * batch, MAX_BATCH);
             elapsed = THREADS.getCurrentThreadCpuTime() - start;
         }
-        return (double) elapsed / done;
+        return (double) elapsed / operations;
     }
 
-    /** Median of figures. */
-    static double median(double[] figures) {
-        double[] sorted = figures.clone();
+    /** Returns the median of values. */
+    static double median(double[] values) {
+        double[] sorted = values.clone();
         Arrays.sort(sorted);
         return sorted[sorted.length / 2];
     }
--- a/bench/src/main/java/org/sardinelift/bench/slope/MessageSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/MessageSlopes.java
@@ -17,14 +17,14 @@
 import org.sardinelift.protocol.generated.LoadReport;
 import org.sardinelift.protocol.generated.Revision;
 
-/** Bytes of messages and the time to encode and decode them. */
+/** Size of messages and the time to encode and decode them. */
 final class MessageSlopes {
     private static final int[] MODELS = {1, 2, 4, 11};
     private static final int[] INSTANCES = {64, 256, 734, 1024};
     private static final int[] EXPONENTS = {8, 16, 24, 32};
     private static final int[] TOKEN_BYTES = {16, 64, 256, 1024};
     private static final int[] LEASES = {1, 4, 8, 16};
-    private static final int LENGTH_BYTES = 4;
+    private static final int LENGTH_FIELD_BYTES = 4;
     private static final String ID = "0b54cf3d-9f0a-4a53-8f0c-1c0a5a1f7a11";
 
     private MessageSlopes() {}
@@ -90,7 +90,7 @@
     }
 
     private static double bytes(Frame frame) {
-        return LENGTH_BYTES + encode(frame).length;
+        return LENGTH_FIELD_BYTES + encode(frame).length;
     }
 
     private static double heartbeatBytes(long sequence) {
@@ -99,19 +99,19 @@
     }
 
     private static double encodeTime(Frame frame) {
-        return Gauge.nanos(() -> encode(frame));
+        return Measurements.medianNanos(() -> encode(frame));
     }
 
     private static double decodeTime(Frame frame) {
         byte[] encoded = encode(frame);
-        return Gauge.nanos(() -> decode(encoded));
+        return Measurements.medianNanos(() -> decode(encoded));
     }
 
     private static byte[] encode(Frame frame) {
         try {
             return new TSerializer(new TCompactProtocol.Factory()).serialize(frame);
         } catch (TException e) {
-            throw new IllegalStateException("a whole frame can be encoded", e);
+            throw new IllegalStateException("a frame can't be encoded", e);
         }
     }
 
@@ -119,7 +119,7 @@
         try {
             new TDeserializer(new TCompactProtocol.Factory()).deserialize(new Frame(), encoded);
         } catch (TException e) {
-            throw new IllegalStateException("a frame encoded here can be decoded", e);
+            throw new IllegalStateException("a frame encoded by this process can't be decoded", e);
         }
     }
 
@@ -166,7 +166,7 @@
         return root.toString().length();
     }
 
-    /** Leases without loads of lanes, as small as they get. */
+    /** Returns the size of a list of leases without loads of lanes, the smallest leases. */
     private static double leaseBytes(int leases) {
         JsonMapper mapper = JsonMapper.builder().build();
         var root = mapper.createObjectNode().put("revision", 1_000_000);
--- a/bench/src/main/java/org/sardinelift/bench/slope/IgnoredActions.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/NoOpLimitActions.java
@@ -4,8 +4,8 @@
 import org.sardinelift.core.limit.LimitActions;
 import org.sardinelift.core.limit.ShareCall;
 
-/** Does nothing of what limits ask for. */
-final class IgnoredActions implements LimitActions {
+/** Ignores all actions of a rate limiter. */
+final class NoOpLimitActions implements LimitActions {
 
     @Override
     public void answer(long ticket, Admission admission) {}
--- a/bench/src/main/java/org/sardinelift/bench/slope/Point.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/Point.java
@@ -1,9 +1,9 @@
 package org.sardinelift.bench.slope;
 
 /**
- * One measured figure.
+ * A measured value at one size.
  *
  * @param size size at which it was measured
- * @param value the figure
+ * @param value the value
  */
 public record Point(double size, double value) {}
--- a/bench/src/main/java/org/sardinelift/bench/slope/RouterSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/RouterSlopes.java
@@ -7,7 +7,7 @@
 import org.sardinelift.core.route.RouteRequest;
 import org.sardinelift.core.route.Router;
 
-/** Routing and the look for free batch slots against targets. */
+/** Time and size of routing and of the search for free batch slots with the number of targets. */
 final class RouterSlopes {
     private static final int[] TARGETS = {8, 32, 128, 512, 1024};
     private static final int SUBSET = 24;
@@ -20,10 +20,11 @@
         return List.of(
                 slope("routing decision", "ns", RouterSlopes::routingTime),
                 slope("candidates of one decision", "bytes", RouterSlopes::candidateBytes),
-                slope("look for free batch slots of a model", "ns", RouterSlopes::lookTime));
+                slope("look for free batch slots of a model", "ns", RouterSlopes::searchTime));
     }
 
-    private static Slope slope(String name, String unit, ToDoubleFunction<CompanionFleet> figure) {
+    private static Slope slope(
+            String name, String unit, ToDoubleFunction<CompanionFleet> measurement) {
         return Slope.measure(
                 "entry",
                 name,
@@ -32,7 +33,7 @@
                 TARGETS,
                 targets -> {
                     try (CompanionFleet fleet = CompanionFleet.start(targets)) {
-                        return figure.applyAsDouble(fleet);
+                        return measurement.applyAsDouble(fleet);
                     }
                 });
     }
@@ -41,16 +42,16 @@
         Router router =
                 Router.of(CompanionFleet.ZONE, "entry-1", LOAD_BOUND, SPILL_PRESSURE, SUBSET);
         Random random = new Random(1);
-        return Gauge.nanos(
+        return Measurements.medianNanos(
                 () -> router.choose(fleet.candidates(), request(random.nextInt(1 << 20))));
     }
 
     private static double candidateBytes(CompanionFleet fleet) {
-        return Gauge.heapBytes(fleet::candidates);
+        return Measurements.medianHeapBytes(fleet::candidates);
     }
 
-    private static double lookTime(CompanionFleet fleet) {
-        return Gauge.nanos(() -> fleet.freeBatchSlots(CompanionFleet.model(0)));
+    private static double searchTime(CompanionFleet fleet) {
+        return Measurements.medianNanos(() -> fleet.freeBatchSlots(CompanionFleet.model(0)));
     }
 
     private static RouteRequest request(int number) {
--- a/bench/src/main/java/org/sardinelift/bench/slope/Slope.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/Slope.java
@@ -5,33 +5,34 @@
 import java.util.stream.IntStream;
 
 /**
- * A figure measured at several sizes, with its least-squares line.
+ * A quantity measured at several sizes, with its least-squares line.
  *
  * @param group part of the system
  * @param name what was measured
- * @param sizeUnit what the sizes count
- * @param unit unit of the figures
- * @param points the figures
+ * @param sizeUnit unit of the sizes
+ * @param unit unit of the values
+ * @param points the measured values
  */
 public record Slope(String group, String name, String sizeUnit, String unit, List<Point> points) {
 
-    /** Keeps its own copy of the points. */
+    /** Copies the points. */
     public Slope {
         points = List.copyOf(points);
         if (points.size() < 2) {
-            throw new IllegalArgumentException("A line needs two points; measure at more sizes.");
+            throw new IllegalArgumentException(
+                    "a line needs at least two points; measure at more sizes");
         }
     }
 
     /**
-     * Measures a figure at several sizes.
+     * Measures a quantity at several sizes.
      *
      * @param group part of the system
      * @param name what is measured
-     * @param sizeUnit what the sizes count
-     * @param unit unit of the figures
+     * @param sizeUnit unit of the sizes
+     * @param unit unit of the values
      * @param sizes the sizes
-     * @param figure measures the figure at a size
+     * @param measurement measures the quantity at a size
      * @return the slope
      */
     public static Slope measure(
@@ -40,16 +41,16 @@
             String sizeUnit,
             String unit,
             int[] sizes,
-            IntToDoubleFunction figure) {
+            IntToDoubleFunction measurement) {
         List<Point> points =
                 IntStream.of(sizes)
-                        .mapToObj(size -> new Point(size, figure.applyAsDouble(size)))
+                        .mapToObj(size -> new Point(size, measurement.applyAsDouble(size)))
                         .toList();
         return new Slope(group, name, sizeUnit, unit, points);
     }
 
     /**
-     * Growth of the figure with each unit of size.
+     * Returns the growth per unit of size.
      *
      * @return slope of the least-squares line
      */
@@ -67,7 +68,7 @@
     }
 
     /**
-     * The line's figure at size 0.
+     * Returns the value of the line at size 0.
      *
      * @return intercept of the least-squares line
      */
--- a/bench/src/main/java/org/sardinelift/bench/slope/SlopeReport.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/SlopeReport.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.sardinelift.bench.report.Output;
 
-/** Slopes as a table, as JSON and as a plot. */
+/** Slopes, written as a table, JSON and a line chart. */
 public final class SlopeReport implements Output {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Makes a report.
+     * Creates a report.
      *
-     * @param slopes what was measured
+     * @param slopes the measured slopes
      * @return the report
      */
     public static SlopeReport of(List<Slope> slopes) {
@@ -39,7 +39,7 @@
     @Override
     public void write(Path folder, String name) throws IOException {
         Files.createDirectories(folder);
-        Files.writeString(folder.resolve(name + ".json"), json().toPrettyString() + "\n");
+        Files.writeString(folder.resolve(name + ".json"), toJson().toPrettyString() + "\n");
         Files.writeString(folder.resolve(name + ".svg"), LineChart.draw(slopes));
     }
 
@@ -65,13 +65,13 @@
                 : String.format(Locale.ROOT, "%.3f", value);
     }
 
-    private ArrayNode json() {
+    private ArrayNode toJson() {
         ArrayNode all = MAPPER.createArrayNode();
-        slopes.forEach(slope -> describe(slope, all.addObject()));
+        slopes.forEach(slope -> writeTo(slope, all.addObject()));
         return all;
     }
 
-    private static void describe(Slope slope, ObjectNode node) {
+    private static void writeTo(Slope slope, ObjectNode node) {
         node.put("group", slope.group()).put("name", slope.name());
         node.put("sizeUnit", slope.sizeUnit()).put("unit", slope.unit());
         node.put("perUnit", slope.perUnit()).put("intercept", slope.intercept());
--- a/bench/src/main/java/org/sardinelift/bench/slope/Slopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/Slopes.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 
-/** All measurements of the command {@code slopes}. */
+/** Runs all measurements of the command {@code slopes}. */
 public final class Slopes {
     private static final List<Supplier<List<Slope>>> MEASUREMENTS =
             List.of(
@@ -20,9 +20,9 @@
     private Slopes() {}
 
     /**
-     * Measures everything, which takes about a minute.
+     * Runs all measurements, which takes about a minute.
      *
-     * @return the slopes
+     * @return the report
      */
     public static SlopeReport measure() {
         Stream<Slope> slopes = MEASUREMENTS.stream().flatMap(each -> each.get().stream());
--- a/bench/src/main/java/org/sardinelift/bench/slope/package-info.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/package-info.java
@@ -1,4 +1,4 @@
-/** Slopes of state, time and bytes against the size of the fleet. */
+/** Growth of state, time and message sizes with the size of the fleet. */
 @NullMarked
 package org.sardinelift.bench.slope;
 
--- a/bench/src/test/java/org/sardinelift/bench/load/LoadRunTest.java
+++ b/bench/src/test/java/org/sardinelift/bench/load/LoadGeneratorTest.java
@@ -21,14 +21,15 @@
 import org.sardinelift.standins.engine.EngineOptions;
 import org.sardinelift.standins.engine.EngineStandin;
 
-final class LoadRunTest {
+/** Counts of requests, tokens and refusals must agree with what the server did. */
+final class LoadGeneratorTest {
     private static final int TOKENS = 5;
     private static final TeamLoad TEAM = new TeamLoad("patrol", "sl_a_b", 100, 10, 1);
 
     private final EventLoopGroup group = EventLoops.start("test", 1);
     private final HttpClient client = HttpClient.create(group, Duration.ofSeconds(5), null);
-    private final LoadRun run =
-            LoadRun.of(client, new RequestForm("r", "registry-llm", TOKENS, 64));
+    private final LoadGenerator generator =
+            LoadGenerator.of(client, new RequestTemplate("r", "registry-llm", TOKENS, 64));
 
     @AfterEach
     void stop() {
@@ -38,24 +39,25 @@
     @Test
     void countsEveryTokenOfEveryAnswer() throws BindException {
         try (EngineStandin engine = EngineStandin.start(EngineOptions.defaults())) {
-            LoadResult result = run.send(arrivals(20), new Endpoint("127.0.0.1", engine.port()));
+            LoadResult result =
+                    generator.send(arrivals(20), new Endpoint("127.0.0.1", engine.port()));
             assertEquals(20, result.served());
             Endpoint engineAddress = new Endpoint("127.0.0.1", engine.port());
             assertEquals(
                     OptionalLong.of(20), EngineCompletions.read(client, List.of(engineAddress)));
             assertEquals(20 * TOKENS, result.tokens());
-            assertEquals(20, result.firstToken().getTotalCount());
-            assertEquals(20 * (TOKENS - 1), result.betweenTokens().getTotalCount());
+            assertEquals(20, result.timeToFirstToken().getTotalCount());
+            assertEquals(20 * (TOKENS - 1), result.interTokenLatency().getTotalCount());
             assertEquals(0, result.failed());
-            assertEquals(2.0, result.worstServed().orElseThrow().getValue().share());
+            assertEquals(2.0, result.worstServed().orElseThrow().getValue().servedFraction());
         }
     }
 
     @Test
-    void keepsAsManyRequestsUnderWayAsAsked() throws BindException {
+    void keepsTheGivenNumberOfRequestsInFlight() throws BindException {
         try (EngineStandin engine = EngineStandin.start(EngineOptions.defaults())) {
             LoadResult result =
-                    run.saturate(
+                    generator.saturate(
                             TEAM,
                             3,
                             Duration.ofMillis(300),
@@ -67,9 +69,10 @@
     }
 
     @Test
-    void tellsARefusalWithinTheRateFromOneOverIt() throws BindException {
-        try (HttpServer entry = answering(429)) {
-            LoadResult result = run.send(arrivals(20), new Endpoint("127.0.0.1", entry.port()));
+    void countsRefusalsWithinTheRateAsWrong() throws BindException {
+        try (HttpServer entry = startEntry(429)) {
+            LoadResult result =
+                    generator.send(arrivals(20), new Endpoint("127.0.0.1", entry.port()));
             TeamCounts counts = result.teams().get("patrol");
             assertEquals(new TeamCounts(20, 10, 0, 20), counts);
             assertEquals(10, result.wronglyRefused());
@@ -78,16 +81,17 @@
     }
 
     @Test
-    void ofATeamOverItsRateOnlyTheNumberServedCounts() {
+    void forATeamOverItsRateOnlyTheNumberServedCounts() {
         assertEquals(0, new TeamCounts(20, 10, 10, 10).wronglyRefused());
         assertEquals(3, new TeamCounts(20, 10, 7, 13).wronglyRefused());
         assertEquals(1, new TeamCounts(10, 10, 7, 1).wronglyRefused());
     }
 
     @Test
-    void anAnswerThatIsNoStreamOfEventsIsNotServedWithTokens() throws BindException {
-        try (HttpServer entry = answering(500)) {
-            LoadResult result = run.send(arrivals(4), new Endpoint("127.0.0.1", entry.port()));
+    void anErrorAnswerIsCountedAsFailedWithoutTokens() throws BindException {
+        try (HttpServer entry = startEntry(500)) {
+            LoadResult result =
+                    generator.send(arrivals(4), new Endpoint("127.0.0.1", entry.port()));
             assertEquals(4, result.failed());
             assertEquals(0, result.tokens());
         }
@@ -95,17 +99,17 @@
 
     @Test
     void findsEventsThatArriveInPieces() throws ExecutionException, InterruptedException {
-        StreamProbe probe = new StreamProbe(arrivals(1).get(0), 0, gap -> {});
-        probe.onHead(200, List.of());
+        StreamTimer timer = new StreamTimer(arrivals(1).get(0), 0, gap -> {});
+        timer.onHead(200, List.of());
         "data: {\"a\":1}\n\ndata: {\"text\":\"data: {\"}\n\ndata: {}\n\ndata: [DONE]\n\n"
                 .chars()
-                .forEach(next -> probe.onData(new byte[] {(byte) next}));
-        probe.onEnd();
-        assertEquals(2, probe.result().get().tokens());
+                .forEach(next -> timer.onData(new byte[] {(byte) next}));
+        timer.onEnd();
+        assertEquals(2, timer.result().get().tokens());
     }
 
     @Test
-    void readsTheUseOfAProcess() throws IOException {
+    void readsTheResourceUsageOfAProcess() throws IOException {
         ProcessSample before = ProcessSample.read(ProcessHandle.current().pid());
         int sum = IntStream.range(0, 50_000_000).map(each -> each ^ 7).reduce(0, Integer::sum);
         ProcessSample after = ProcessSample.read(ProcessHandle.current().pid());
@@ -114,7 +118,7 @@
         assertTrue(after.ioBytes() > before.ioBytes());
     }
 
-    private HttpServer answering(int status) throws BindException {
+    private HttpServer startEntry(int status) throws BindException {
         byte[] body = "{\"kind\":\"x\"}".getBytes(StandardCharsets.UTF_8);
         return HttpServer.start(
                 group,
--- a/bench/src/test/java/org/sardinelift/bench/model/LoadModelTest.java
+++ b/bench/src/test/java/org/sardinelift/bench/model/LoadModelTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Plays loads in virtual time and checks what callers get, on the mean of some seeds. */
+/** Simulates loads in virtual time and checks what callers get, as the mean of several seeds. */
 class LoadModelTest {
     private static final int SEEDS = 3;
 
@@ -16,18 +16,18 @@
             ModelPolicy policy,
             ToDoubleFunction<ModelResult> figure) {
         return LongStream.rangeClosed(1, SEEDS)
-                .mapToObj(seed -> LoadModel.play(settings.apply(seed), policy))
+                .mapToObj(seed -> LoadModel.simulate(settings.apply(seed), policy))
                 .mapToDouble(figure)
                 .average()
                 .orElseThrow();
     }
 
     private static double served(ModelResult result) {
-        return result.inTime() + result.inTimeAfterReturn();
+        return result.inTime() + result.inTimeAfterRetry();
     }
 
     @Test
-    void atTheUsualLoadNearlyAllAreInTimeAndBatchCostsOnlineCallsLittle() {
+    void atTypicalLoadNearlyAllCallsAreInTimeAndBatchDelaysFewOnlineCalls() {
         double with =
                 mean(
                         seed -> ModelSettings.small(1, seed),
@@ -49,9 +49,9 @@
         assertTrue(items >= 0.97, "items in time " + items);
     }
 
-    /** Reports come late, but callers get nearly what one queue for all would give them. */
+    /** Although reports arrive late, callers get nearly what one common queue would give them. */
     @Test
-    void aboveTheCapacityCallersGetNearlyWhatACommonQueueGives() {
+    void aboveCapacityCallersGetNearlyWhatACommonQueueGives() {
         double product =
                 mean(
                         seed -> ModelSettings.small(1.33, seed),
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aboveTheCapacityCallersGetMoreThanByPoliciesWithoutReports() {
+    void aboveCapacityMoreCallsAreServedThanByPoliciesWithoutReports() {
         double product =
                 mean(
                         seed -> ModelSettings.small(1.33, seed),
@@ -83,17 +83,17 @@
         }
     }
 
-    /** Nobody waits past the objective in vain: who can't be served is refused and returns. */
+    /** Calls that can't be served within the objective are refused at once and retried. */
     @Test
-    void withHalfOfTheTargetsLostFewCallsAreLateAndNoneIsLost() {
+    void withHalfOfTheTargetsLostFewCallsAreLateOrRefused() {
         double late =
                 mean(
-                        seed -> ModelSettings.small(0.75, seed).withTargets(1),
+                        seed -> ModelSettings.small(0.75, seed).withTargetsPerZone(1),
                         ModelPolicy.PRODUCT,
                         ModelResult::late);
         double refused =
                 mean(
-                        seed -> ModelSettings.small(0.75, seed).withTargets(1),
+                        seed -> ModelSettings.small(0.75, seed).withTargetsPerZone(1),
                         ModelPolicy.PRODUCT,
                         ModelResult::refused);
 
@@ -101,17 +101,17 @@
         assertTrue(refused <= 0.01, "refused " + refused);
     }
 
-    /** Those who come back must not fill the queues beyond the objective of all who are new. */
+    /** Retried calls must not fill the queues so far that new calls miss the objective. */
     @Test
-    void inALongPeakMostWhoAreServedAreServedInTime() {
+    void inALongPeakMostServedCallsAreInTime() {
         double inTime =
                 mean(
-                        seed -> ModelSettings.small(1, seed).withTargets(1),
+                        seed -> ModelSettings.small(1, seed).withTargetsPerZone(1),
                         ModelPolicy.PRODUCT,
                         LoadModelTest::served);
         double late =
                 mean(
-                        seed -> ModelSettings.small(1, seed).withTargets(1),
+                        seed -> ModelSettings.small(1, seed).withTargetsPerZone(1),
                         ModelPolicy.PRODUCT,
                         ModelResult::late);
 
@@ -120,17 +120,16 @@
 
     @Test
     void everyCallIsCountedOnce() {
-        ModelResult result = LoadModel.play(ModelSettings.small(1.6, 7), ModelPolicy.PRODUCT);
+        ModelResult result = LoadModel.simulate(ModelSettings.small(1.6, 7), ModelPolicy.PRODUCT);
 
-        double all =
-                result.inTime() + result.inTimeAfterReturn() + result.late() + result.refused();
+        double all = result.inTime() + result.inTimeAfterRetry() + result.late() + result.refused();
         assertEquals(1, all, 1e-9);
     }
 
     @Test
-    void aSeedGivesTheSameRunAgain() {
-        ModelResult first = LoadModel.play(ModelSettings.small(1, 5), ModelPolicy.PRODUCT);
-        ModelResult second = LoadModel.play(ModelSettings.small(1, 5), ModelPolicy.PRODUCT);
+    void theSameSeedGivesTheSameResults() {
+        ModelResult first = LoadModel.simulate(ModelSettings.small(1, 5), ModelPolicy.PRODUCT);
+        ModelResult second = LoadModel.simulate(ModelSettings.small(1, 5), ModelPolicy.PRODUCT);
 
         assertEquals(first.row("x"), second.row("x"));
     }
--- a/bench/src/test/java/org/sardinelift/bench/report/ReportTest.java
+++ b/bench/src/test/java/org/sardinelift/bench/report/ReportTest.java
@@ -18,7 +18,7 @@
 final class ReportTest {
 
     @Test
-    void tableJsonAndPlotHoldEveryFigure(@TempDir Path folder)
+    void tableJsonAndPlotContainEveryMeasure(@TempDir Path folder)
             throws IOException, ParserConfigurationException, SAXException {
         Report report =
                 Report.of("a < b & c")
--- a/bench/src/test/java/org/sardinelift/bench/slope/SlopeReportTest.java
+++ b/bench/src/test/java/org/sardinelift/bench/slope/SlopeReportTest.java
@@ -26,13 +26,13 @@
     }
 
     @Test
-    void findsTheLineThroughPointsOnIt() {
+    void fitsPointsOnALineExactly() {
         assertEquals(3, line().perUnit(), EXACT);
         assertEquals(7, line().intercept(), EXACT);
     }
 
     @Test
-    void findsTheLeastSquaresLineThroughPointsBesideIt() {
+    void fitsTheLeastSquaresLineToOtherPoints() {
         List<Point> points = List.of(new Point(0, 0), new Point(1, 2), new Point(2, 1));
         Slope slope = new Slope("entry", "name", "teams", "bytes", points);
         assertEquals(0.5, slope.perUnit(), EXACT);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void refusesOnePoint() {
+    void rejectsASinglePoint() {
         List<Point> points = List.of(new Point(1, 1));
         assertThrows(
                 IllegalArgumentException.class,
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void tableJsonAndPlotHoldEveryPoint(@TempDir Path folder)
+    void tableJsonAndPlotContainEveryPoint(@TempDir Path folder)
             throws IOException, ParserConfigurationException, SAXException {
         SlopeReport report = SlopeReport.of(List.of(line()));
         report.write(folder, "slopes");
