--- a/objects/src/main/java/org/sardinelift/objects/CallPriority.java
+++ b/objects/src/main/java/org/sardinelift/objects/CallPriority.java
@@ -2,11 +2,11 @@
 
 import java.util.Set;
 
-/** Classes of calls, the first goes first. */
+/** Priorities of calls, highest first. */
 enum CallPriority {
-    /** Configuration, leases, shares, job states and the list of instances. */
+    /** Configuration, leases, shares, job states, watches and the list of instances. */
     CONTROL,
-    /** Chunks of items, results and what is to be removed. */
+    /** Chunks of items, results and records of what to remove. */
     BULK;
 
     private static final Set<String> BULK_KINDS = Set.of("job-chunk", "job-result", "job-expiry");
--- a/objects/src/main/java/org/sardinelift/objects/DefaultObjectDialect.java
+++ b/objects/src/main/java/org/sardinelift/objects/DefaultObjectDialect.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 import org.sardinelift.http.HttpAnswer;
 
-/** The object API that docs/PLATFORM.md describes and the stand-in serves. */
+/** Dialect of the object API in docs/PLATFORM.md, which the platform stand-in serves. */
 final class DefaultObjectDialect implements ObjectDialect {
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
@@ -25,45 +25,47 @@
     @Override
     public ReadResult parseReadResult(ObjectKey key, HttpAnswer answer, JsonNode body) {
         if (answer.status() == NOT_FOUND) {
-            return absent(key, answer);
+            return parseAbsent(key, answer);
         }
         return answer.status() == OK
-                ? ObjectJson.found(body)
+                ? ObjectJson.parseFound(body)
                 : new ReadResult.Unavailable(ObjectDialect.refusalReason(answer));
     }
 
-    private static ReadResult absent(ObjectKey key, HttpAnswer answer) {
+    private static ReadResult parseAbsent(ObjectKey key, HttpAnswer answer) {
         String revision = answer.header("Revision");
         try {
             return new ReadResult.Absent(Long.parseLong(String.valueOf(revision)));
         } catch (NumberFormatException e) {
             return new ReadResult.Unavailable(
-                    "404 for " + ObjectPath.of(key) + " without a Revision header");
+                    "status 404 for " + ObjectPath.of(key) + " has no valid Revision header");
         }
     }
 
     @Override
     public Request writeRequest(ObjectKey key, long expectedVersion, String value) {
         return new Request(
-                "PUT", conditional(key, expectedVersion), value.getBytes(StandardCharsets.UTF_8));
+                "PUT",
+                conditionalUri(key, expectedVersion),
+                value.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
     public Request deleteRequest(ObjectKey key, long expectedVersion) {
-        return Request.of("DELETE", conditional(key, expectedVersion));
+        return Request.of("DELETE", conditionalUri(key, expectedVersion));
     }
 
-    private static String conditional(ObjectKey key, long expectedVersion) {
+    private static String conditionalUri(ObjectKey key, long expectedVersion) {
         return ObjectPath.of(key) + "?ifVersion=" + expectedVersion;
     }
 
     @Override
     public WriteResult parseWriteResult(HttpAnswer answer, JsonNode body) {
         if (answer.status() == OK) {
-            return ObjectJson.written(body);
+            return ObjectJson.parseWritten(body);
         }
         if (answer.status() == CONFLICT) {
-            return ObjectJson.conflict(body);
+            return ObjectJson.parseConflict(body);
         }
         boolean notApplied =
                 "no".equalsIgnoreCase(answer.header(APPLIED_HEADER))
@@ -82,7 +84,7 @@
 
     @Override
     public Page parsePage(String kind, String namePrefix, JsonNode body) {
-        return new Page(ObjectJson.listed(body), Optional.empty());
+        return new Page(ObjectJson.parseListed(body), Optional.empty());
     }
 
     @Override
@@ -96,7 +98,7 @@
 
     @Override
     public WatchResult parseChanges(Set<String> kinds, JsonNode body) {
-        return ObjectJson.changes(body);
+        return ObjectJson.parseChanges(body);
     }
 
     @Override
@@ -106,6 +108,6 @@
 
     @Override
     public InstancesResult parseInstances(JsonNode body) {
-        return ObjectJson.instances(body);
+        return ObjectJson.parseInstances(body);
     }
 }
--- a/objects/src/main/java/org/sardinelift/objects/HttpObjectStore.java
+++ b/objects/src/main/java/org/sardinelift/objects/HttpObjectStore.java
@@ -18,7 +18,7 @@
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.http.HttpFailure;
 
-/** Client of a store of objects over HTTP/1.1; a dialect says how the store spells its calls. */
+/** Object store client over HTTP/1.1; a dialect formats its requests and parses its responses. */
 public final class HttpObjectStore implements ObjectStore {
     private static final int OK = 200;
     private static final int GONE = 410;
@@ -39,12 +39,12 @@
     }
 
     /**
-     * Makes a client of the object API of docs/PLATFORM.md.
+     * Creates a client of the object API in docs/PLATFORM.md.
      *
      * @param client HTTP client to send with
      * @param host address of the platform
      * @param port port of the platform
-     * @param timeout longest silence before a call is given up; a watch adds its own wait
+     * @param timeout longest time without data before a call fails; a watch adds its wait
      * @return the client
      */
     public static HttpObjectStore create(
@@ -53,13 +53,13 @@
     }
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
      * @param client HTTP client to send with
      * @param host address of the store
      * @param port port of the store
-     * @param timeout longest silence before a call is given up; a watch adds its own wait
-     * @param dialect how the store spells its calls
+     * @param timeout longest time without data before a call fails; a watch adds its wait
+     * @param dialect formats requests and parses responses
      * @return the client
      */
     public static HttpObjectStore create(
@@ -73,8 +73,8 @@
                 .handle(
                         (answer, error) ->
                                 answer == null
-                                        ? new ReadResult.Unavailable(reason(error))
-                                        : parsed(
+                                        ? new ReadResult.Unavailable(noResponseReason(error))
+                                        : parse(
                                                 answer,
                                                 body -> dialect.parseReadResult(key, answer, body),
                                                 ReadResult.Unavailable::new));
@@ -86,46 +86,46 @@
         if (bytes > MAX_VALUE_BYTES) {
             return CompletableFuture.completedFuture(
                     new WriteResult.NotWritten(
-                            "the value of "
+                            "value of "
                                     + ObjectPath.of(key)
-                                    + " has "
+                                    + " is too large: "
                                     + bytes
-                                    + " bytes; split it to at most "
+                                    + " bytes; split it into values of at most "
                                     + MAX_VALUE_BYTES));
         }
-        return change(dialect.writeRequest(key, expectedVersion, value));
+        return update(dialect.writeRequest(key, expectedVersion, value));
     }
 
     @Override
     public CompletableFuture<WriteResult> delete(ObjectKey key, long expectedVersion) {
-        return change(dialect.deleteRequest(key, expectedVersion));
+        return update(dialect.deleteRequest(key, expectedVersion));
     }
 
-    private CompletableFuture<WriteResult> change(ObjectDialect.Request request) {
+    private CompletableFuture<WriteResult> update(ObjectDialect.Request request) {
         return send(request, timeout)
                 .handle(
                         (answer, error) ->
                                 answer == null
-                                        ? unanswered(error)
-                                        : parsed(
+                                        ? noResponseResult(error)
+                                        : parse(
                                                 answer,
                                                 body -> dialect.parseWriteResult(answer, body),
                                                 WriteResult.Unclear::new));
     }
 
-    private static WriteResult unanswered(Throwable error) {
+    private static WriteResult noResponseResult(Throwable error) {
         return mayHaveRun(error)
-                ? new WriteResult.Unclear(reason(error))
-                : new WriteResult.NotWritten(reason(error));
+                ? new WriteResult.Unclear(noResponseReason(error))
+                : new WriteResult.NotWritten(noResponseReason(error));
     }
 
     @Override
     public CompletableFuture<ListResult> list(String kind, String namePrefix) {
-        return pages(kind, namePrefix, "", null);
+        return listFrom(kind, namePrefix, "", null);
     }
 
-    /** Reads the page that begins at a place, and those after it. */
-    private CompletableFuture<ListResult> pages(
+    /** Reads the page that begins at {@code from} and all pages after it. */
+    private CompletableFuture<ListResult> listFrom(
             String kind, String namePrefix, String from, ListResult.@Nullable Listed before) {
         return send(dialect.listRequest(kind, namePrefix, from), timeout)
                 .handle((answer, error) -> page(kind, namePrefix, answer, error))
@@ -133,17 +133,17 @@
                         page -> {
                             if (!(page instanceof PageResult.Read read)) {
                                 String reason = ((PageResult.Failed) page).reason();
-                                return done(new ListResult.Unavailable(reason));
+                                return completed(new ListResult.Unavailable(reason));
                             }
-                            ListResult.Listed all = joined(before, read.page().listed());
+                            ListResult.Listed all = append(before, read.page().listed());
                             Optional<String> next = read.page().nextPageStart();
                             return next.isPresent()
-                                    ? pages(kind, namePrefix, next.get(), all)
-                                    : done(all);
+                                    ? listFrom(kind, namePrefix, next.get(), all)
+                                    : completed(all);
                         });
     }
 
-    /** One page, or why there is none. */
+    /** Outcome of reading one page. */
     private sealed interface PageResult {
         record Read(ObjectDialect.Page page) implements PageResult {}
 
@@ -159,8 +159,11 @@
                 PageResult.Failed::new);
     }
 
-    /** What changes between two pages is seen by a watch from the revision of the first. */
-    private static ListResult.Listed joined(
+    /**
+     * Appends a page. The list keeps the revision of its first page, so that a watch from there
+     * reports what changed while the other pages were read.
+     */
+    private static ListResult.Listed append(
             ListResult.@Nullable Listed before, ListResult.Listed page) {
         if (before == null) {
             return page;
@@ -189,7 +192,8 @@
     public CompletableFuture<InstancesResult> instances() {
         Optional<ObjectDialect.Request> request = dialect.instancesRequest();
         if (request.isEmpty()) {
-            return done(new InstancesResult.Unavailable("this store has no list of instances"));
+            return completed(
+                    new InstancesResult.Unavailable("this store has no list of instances"));
         }
         return send(request.get(), timeout)
                 .handle(
@@ -201,7 +205,8 @@
                                         InstancesResult.Unavailable::new));
     }
 
-    private CompletableFuture<HttpAnswer> send(ObjectDialect.Request request, Duration silence) {
+    private CompletableFuture<HttpAnswer> send(
+            ObjectDialect.Request request, Duration idleTimeout) {
         return client.call(
                 HttpCall.of(
                         host,
@@ -212,7 +217,7 @@
                                 ? Map.of()
                                 : Map.of("content-type", "application/json"),
                         request.body(),
-                        silence));
+                        idleTimeout));
     }
 
     private static <T> T decode(
@@ -221,27 +226,27 @@
             Function<JsonNode, ? extends T> decoder,
             Function<String, ? extends T> unavailable) {
         if (answer == null) {
-            return unavailable.apply(reason(error));
+            return unavailable.apply(noResponseReason(error));
         }
         return answer.status() == OK
-                ? parsed(answer, decoder, unavailable)
+                ? parse(answer, decoder, unavailable)
                 : unavailable.apply(ObjectDialect.refusalReason(answer));
     }
 
-    private static <T> T parsed(
+    private static <T> T parse(
             HttpAnswer answer,
             Function<JsonNode, ? extends T> decoder,
             Function<String, ? extends T> malformed) {
         try {
             return decoder.apply(json(answer));
         } catch (IllegalArgumentException e) {
-            return malformed.apply("the platform's answer is malformed: " + e.getMessage());
+            return malformed.apply("malformed response from the platform: " + e.getMessage());
         } catch (IOException e) {
-            return malformed.apply("the platform's answer can't be read: " + e.getMessage());
+            return malformed.apply("unreadable response from the platform: " + e.getMessage());
         }
     }
 
-    /** Only answers of success and conflicts need to have a body. */
+    /** Parses the body; only success and conflict responses need one. */
     private static JsonNode json(HttpAnswer answer) throws IOException {
         boolean isJson = answer.body().length > 0 && answer.body()[0] == '{';
         return isJson || answer.status() == OK
@@ -250,20 +255,20 @@
     }
 
     private static boolean mayHaveRun(Throwable error) {
-        return !(root(error) instanceof HttpFailure failure) || failure.mayHaveRun();
+        return !(rootCause(error) instanceof HttpFailure failure) || failure.mayHaveRun();
     }
 
-    private static String reason(Throwable error) {
-        return "the platform gave no answer: " + root(error).getMessage();
+    private static String noResponseReason(Throwable error) {
+        return "no response from the platform: " + rootCause(error).getMessage();
     }
 
-    private static Throwable root(Throwable error) {
+    private static Throwable rootCause(Throwable error) {
         return error instanceof java.util.concurrent.CompletionException && error.getCause() != null
                 ? error.getCause()
                 : error;
     }
 
-    private static <T> CompletableFuture<T> done(T result) {
+    private static <T> CompletableFuture<T> completed(T result) {
         return CompletableFuture.completedFuture(result);
     }
 }
--- a/objects/src/main/java/org/sardinelift/objects/ListResult.java
+++ b/objects/src/main/java/org/sardinelift/objects/ListResult.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** Outcome of a list. */
+/** Outcome of listing objects. */
 public sealed interface ListResult {
 
     /**
-     * What the store held at one revision.
+     * The objects as of one revision.
      *
-     * @param revision that revision
-     * @param objects the objects, by name
+     * @param revision the store's revision
+     * @param objects the objects, ordered by name
      */
     record Listed(long revision, List<StoredObject> objects) implements ListResult {}
 
     /**
-     * No answer; try again after a pause.
+     * The objects could not be listed; retry after a pause.
      *
-     * @param reason what was wrong
+     * @param reason what went wrong
      */
     record Unavailable(String reason) implements ListResult {}
 }
--- a/objects/src/main/java/org/sardinelift/objects/MeteredObjectStore.java
+++ b/objects/src/main/java/org/sardinelift/objects/MeteredObjectStore.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts the calls of the platform by what they were for and what came of them. */
+/** Object store that counts its calls by operation, kind of object and result. */
 public final class MeteredObjectStore implements ObjectStore {
     private static final Counter CALLS =
             Counter.builder()
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Counts the calls of a store.
+     * Wraps a store to count its calls.
      *
-     * @param store where the calls go
-     * @return the counted store
+     * @param store store to wrap
+     * @return the counting store
      */
     public static MeteredObjectStore wrap(ObjectStore store) {
         return new MeteredObjectStore(store);
@@ -37,39 +37,39 @@
 
     @Override
     public CompletableFuture<ReadResult> read(ObjectKey key) {
-        return counted("read", key.kind(), store.read(key));
+        return count("read", key.kind(), store.read(key));
     }
 
     @Override
     public CompletableFuture<WriteResult> write(ObjectKey key, long expectedVersion, String value) {
-        return counted("write", key.kind(), store.write(key, expectedVersion, value));
+        return count("write", key.kind(), store.write(key, expectedVersion, value));
     }
 
     @Override
     public CompletableFuture<WriteResult> delete(ObjectKey key, long expectedVersion) {
-        return counted("delete", key.kind(), store.delete(key, expectedVersion));
+        return count("delete", key.kind(), store.delete(key, expectedVersion));
     }
 
     @Override
     public CompletableFuture<ListResult> list(String kind, String namePrefix) {
-        return counted("list", kind, store.list(kind, namePrefix));
+        return count("list", kind, store.list(kind, namePrefix));
     }
 
     @Override
     public CompletableFuture<WatchResult> watch(
             Set<String> kinds, long afterRevision, Duration wait) {
-        return counted("watch", String.join("+", kinds), store.watch(kinds, afterRevision, wait));
+        return count("watch", String.join("+", kinds), store.watch(kinds, afterRevision, wait));
     }
 
     @Override
     public CompletableFuture<InstancesResult> instances() {
-        return counted("instances", "", store.instances());
+        return count("instances", "", store.instances());
     }
 
     /**
-     * Calls that were made since the start.
+     * Returns how many calls were made since the start.
      *
-     * @return their number by call and kind
+     * @return numbers of calls by operation and kind of object
      */
     public Map<String, Long> callCounts() {
         Map<String, Long> sums = new TreeMap<>();
@@ -77,8 +77,7 @@
         return sums;
     }
 
-    private <T> CompletableFuture<T> counted(
-            String call, String kind, CompletableFuture<T> result) {
+    private <T> CompletableFuture<T> count(String call, String kind, CompletableFuture<T> result) {
         callCounts.computeIfAbsent(call + " " + kind, key -> new LongAdder()).increment();
         return result.whenComplete(
                 (value, error) ->
--- a/objects/src/main/java/org/sardinelift/objects/ObjectDialect.java
+++ b/objects/src/main/java/org/sardinelift/objects/ObjectDialect.java
@@ -7,13 +7,13 @@
 import org.sardinelift.http.HttpAnswer;
 
 /**
- * How a store of objects spells its calls and answers over HTTP/1.1. A reader of an answer may
- * throw {@link IllegalArgumentException} where the answer is malformed.
+ * Formats the requests and parses the responses of one kind of object store over HTTP/1.1. The
+ * parsers throw {@link IllegalArgumentException} if a response is malformed.
  */
 public interface ObjectDialect {
 
     /**
-     * One call.
+     * One HTTP request.
      *
      * @param method HTTP method
      * @param uri path and query
@@ -21,11 +21,11 @@
      */
     record Request(String method, String uri, byte[] body) {
         /**
-         * A call without a body.
+         * Creates a request without a body.
          *
          * @param method HTTP method
          * @param uri path and query
-         * @return the call
+         * @return the request
          */
         public static Request of(String method, String uri) {
             return new Request(method, uri, new byte[0]);
@@ -35,70 +35,70 @@
     /**
      * One page of a list.
      *
-     * @param listed its objects
-     * @param nextPageStart where the next page begins, or empty after the last
+     * @param listed objects of the page
+     * @param nextPageStart where the next page begins, empty after the last page
      */
     record Page(ListResult.Listed listed, Optional<String> nextPageStart) {}
 
     /**
-     * A call that reads an object.
+     * Formats a request that reads an object.
      *
-     * @param key its name
-     * @return the call
+     * @param key kind and name of the object
+     * @return the request
      */
     Request readRequest(ObjectKey key);
 
     /**
-     * The outcome of a read.
+     * Parses the response to a read.
      *
-     * @param key name of the object
-     * @param answer what the store answered
-     * @param body its body as JSON, a missing node where it is none
-     * @return what was read
+     * @param key kind and name of the object
+     * @param answer response of the store
+     * @param body body as JSON, a missing node if it is not JSON
+     * @return outcome of the read
      */
     ReadResult parseReadResult(ObjectKey key, HttpAnswer answer, JsonNode body);
 
     /**
-     * A call that writes an object under a condition.
+     * Formats a request that writes an object if it has the expected version.
      *
-     * @param key its name
-     * @param expectedVersion the version that must be there, {@link ObjectStore#ABSENT_VERSION} to
-     *     create
+     * @param key kind and name of the object
+     * @param expectedVersion version that the object must have, {@link ObjectStore#ABSENT_VERSION}
+     *     to create
      * @param value new value
-     * @return the call
+     * @return the request
      */
     Request writeRequest(ObjectKey key, long expectedVersion, String value);
 
     /**
-     * A call that deletes an object under a condition.
+     * Formats a request that deletes an object if it has the expected version.
      *
-     * @param key its name
-     * @param expectedVersion the version that must be there
-     * @return the call
+     * @param key kind and name of the object
+     * @param expectedVersion version that the object must have
+     * @return the request
      */
     Request deleteRequest(ObjectKey key, long expectedVersion);
 
     /**
-     * The outcome of a write or a deletion.
+     * Parses the response to a write or a deletion.
      *
-     * @param answer what the store answered
-     * @param body its body as JSON, a missing node where it is none
-     * @return what became of it
+     * @param answer response of the store
+     * @param body body as JSON, a missing node if it is not JSON
+     * @return outcome of the write or the deletion
      */
     WriteResult parseWriteResult(HttpAnswer answer, JsonNode body);
 
     /**
-     * A call that lists objects.
+     * Formats a request that lists one page of objects.
      *
      * @param kind kind of object
      * @param namePrefix prefix of the names, empty for all
      * @param from where the page begins, empty for the first
-     * @return the call
+     * @return the request
      */
     Request listRequest(String kind, String namePrefix, String from);
 
     /**
-     * One page of a list, from an answer with status 200.
+     * Parses one page of a list from a response with status 200.
      *
      * @param kind kind of object
      * @param namePrefix prefix of the names, empty for all
@@ -108,17 +108,17 @@
     Page parsePage(String kind, String namePrefix, JsonNode body);
 
     /**
-     * A call that waits for changes.
+     * Formats a request that waits for changes.
      *
      * @param kinds kinds to watch
-     * @param afterRevision the last revision that the caller holds
+     * @param afterRevision last revision that the caller knows
      * @param wait longest time to wait
-     * @return the call
+     * @return the request
      */
     Request watchRequest(Set<String> kinds, long afterRevision, Duration wait);
 
     /**
-     * The outcome of a watch, from an answer with status 200.
+     * Parses the changes of a watch from a response with status 200.
      *
      * @param kinds kinds that were watched
      * @param body the body as JSON
@@ -127,14 +127,14 @@
     WatchResult parseChanges(Set<String> kinds, JsonNode body);
 
     /**
-     * A call that reads the lagging list of instances.
+     * Formats a request that reads the list of instances.
      *
-     * @return the call, or empty where the store has no such list
+     * @return the request, empty if the store has no such list
      */
     Optional<Request> instancesRequest();
 
     /**
-     * The list of instances, from an answer with status 200.
+     * Parses the list of instances from a response with status 200.
      *
      * @param body the body as JSON
      * @return the list
@@ -142,10 +142,10 @@
     InstancesResult parseInstances(JsonNode body);
 
     /**
-     * Why the store refused a call.
+     * Describes why the store refused a call.
      *
-     * @param answer what the store answered
-     * @return the reason in words
+     * @param answer response of the store
+     * @return the reason, with the status and the time to wait if the response has one
      */
     static String refusalReason(HttpAnswer answer) {
         String retryAfter = answer.header("Retry-After");
--- a/objects/src/main/java/org/sardinelift/objects/ObjectJson.java
+++ b/objects/src/main/java/org/sardinelift/objects/ObjectJson.java
@@ -7,35 +7,35 @@
 import java.util.stream.StreamSupport;
 import org.jspecify.annotations.Nullable;
 
-/** JSON bodies of the platform's answers; a missing field is an error. */
+/** Parses JSON bodies of the platform's responses; a missing field is an error. */
 final class ObjectJson {
     static final JsonMapper MAPPER = JsonMapper.builder().build();
 
     private ObjectJson() {}
 
-    static ReadResult found(JsonNode body) {
+    static ReadResult parseFound(JsonNode body) {
         return new ReadResult.Found(object(body));
     }
 
-    static ListResult.Listed listed(JsonNode body) {
+    static ListResult.Listed parseListed(JsonNode body) {
         return new ListResult.Listed(
                 number(body, "revision"), each(body, "objects", ObjectJson::object));
     }
 
-    static WatchResult changes(JsonNode body) {
+    static WatchResult parseChanges(JsonNode body) {
         return new WatchResult.Changes(
                 number(body, "revision"), each(body, "changes", ObjectJson::change));
     }
 
-    static InstancesResult instances(JsonNode body) {
+    static InstancesResult parseInstances(JsonNode body) {
         return new InstancesResult.Instances(each(body, "instances", ObjectJson::instance));
     }
 
-    static WriteResult written(JsonNode body) {
+    static WriteResult parseWritten(JsonNode body) {
         return new WriteResult.Written(number(body, "version"), number(body, "revision"));
     }
 
-    static WriteResult conflict(JsonNode body) {
+    static WriteResult parseConflict(JsonNode body) {
         return new WriteResult.Conflict(number(body, "version"));
     }
 
@@ -66,7 +66,7 @@
     private static <T> List<T> each(JsonNode body, String field, Function<JsonNode, T> decoder) {
         JsonNode array = body.path(field);
         if (!array.isArray()) {
-            throw new IllegalArgumentException("no list " + field);
+            throw new IllegalArgumentException("no list in field " + field);
         }
         return StreamSupport.stream(array.spliterator(), false).map(decoder).toList();
     }
@@ -74,7 +74,7 @@
     private static long number(JsonNode node, String field) {
         JsonNode value = node.path(field);
         if (!value.isIntegralNumber()) {
-            throw new IllegalArgumentException("no whole number " + field);
+            throw new IllegalArgumentException("no integer in field " + field);
         }
         return value.asLong();
     }
@@ -82,7 +82,7 @@
     private static String text(JsonNode node, String field) {
         JsonNode value = node.path(field);
         if (!value.isTextual()) {
-            throw new IllegalArgumentException("no string " + field);
+            throw new IllegalArgumentException("no string in field " + field);
         }
         return value.asText();
     }
--- a/objects/src/main/java/org/sardinelift/objects/ObjectPath.java
+++ b/objects/src/main/java/org/sardinelift/objects/ObjectPath.java
@@ -3,7 +3,7 @@
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 
-/** Paths of objects, each part percent-encoded (RFC 3986). */
+/** URI paths of objects; each segment is percent-encoded (RFC 3986). */
 final class ObjectPath {
     private ObjectPath() {}
 
--- a/objects/src/main/java/org/sardinelift/objects/ObjectStore.java
+++ b/objects/src/main/java/org/sardinelift/objects/ObjectStore.java
@@ -5,40 +5,40 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's object API. Every call counts against the platform's limits, a waiting watch too.
- * No future fails: what went wrong is part of the result.
+ * Client of the platform's object API. Every call counts against the platform's limits, including a
+ * waiting watch. The futures never fail: errors are part of the result.
  */
 public interface ObjectStore {
-    /** Largest value, bytes. */
+    /** Largest size of a value. */
     int MAX_VALUE_BYTES = 1_000_000;
 
-    /** Expected version that means the object must not exist yet. */
+    /** Expected version of an object that must not exist yet. */
     long ABSENT_VERSION = 0;
 
     /**
      * Reads one object.
      *
-     * @param key its name
-     * @return what was read
+     * @param key kind and name of the object
+     * @return outcome of the read
      */
     CompletableFuture<ReadResult> read(ObjectKey key);
 
     /**
-     * Writes one object where it still has the expected version.
+     * Writes one object if it still has the expected version.
      *
-     * @param key its name
-     * @param expectedVersion the version that must be there, {@link #ABSENT_VERSION} to create
+     * @param key kind and name of the object
+     * @param expectedVersion version that the object must have, {@link #ABSENT_VERSION} to create
      * @param value new value
-     * @return what became of the write
+     * @return outcome of the write
      */
     CompletableFuture<WriteResult> write(ObjectKey key, long expectedVersion, String value);
 
     /**
-     * Deletes one object where it still has the expected version.
+     * Deletes one object if it still has the expected version.
      *
-     * @param key its name
-     * @param expectedVersion the version that must be there
-     * @return what became of the deletion
+     * @param key kind and name of the object
+     * @param expectedVersion version that the object must have
+     * @return outcome of the deletion
      */
     CompletableFuture<WriteResult> delete(ObjectKey key, long expectedVersion);
 
@@ -55,14 +55,14 @@
      * Waits for changes.
      *
      * @param kinds kinds to watch
-     * @param afterRevision the last revision that the caller holds
+     * @param afterRevision last revision that the caller knows
      * @param wait longest time to wait
-     * @return changes, none, or a gap
+     * @return the changes, none if the wait ran out, or a gap in the history
      */
     CompletableFuture<WatchResult> watch(Set<String> kinds, long afterRevision, Duration wait);
 
     /**
-     * Reads the lagging list of instances.
+     * Reads the platform's list of instances, which lags behind the actual state.
      *
      * @return live and leaving instances
      */
--- a/objects/src/main/java/org/sardinelift/objects/PriorityRateLimiter.java
+++ b/objects/src/main/java/org/sardinelift/objects/PriorityRateLimiter.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** Token bucket with a queue for each class of calls; time is given by the caller. */
+/** Token bucket with one queue per priority. The caller passes the time and synchronizes access. */
 final class PriorityRateLimiter {
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -27,16 +27,16 @@
         return new PriorityRateLimiter(budget, nowNanos);
     }
 
-    /** Queues a call; returns false where the queue is full. */
-    boolean enqueue(CallPriority callClass, Runnable call) {
+    /** Queues a call; returns false if the limit of queued calls is reached. */
+    boolean enqueue(CallPriority priority, Runnable call) {
         if (queuedCalls() >= budget.maxQueued()) {
             return false;
         }
-        queues.get(callClass).add(call);
+        queues.get(priority).add(call);
         return true;
     }
 
-    /** Takes the next call that the budget allows now. */
+    /** Removes and returns the next call if a token is available, and spends the token. */
     Optional<Runnable> dequeue(long nowNanos) {
         refill(nowNanos);
         if (tokens < 1) {
@@ -48,7 +48,7 @@
         return next;
     }
 
-    /** Time until a token is there, nanoseconds; 0 where one is. */
+    /** Returns the nanoseconds until a token is available, 0 if one is. */
     long nanosUntilNextToken(long nowNanos) {
         refill(nowNanos);
         double missing = Math.max(0, 1 - tokens);
--- a/objects/src/main/java/org/sardinelift/objects/RateLimitedObjectStore.java
+++ b/objects/src/main/java/org/sardinelift/objects/RateLimitedObjectStore.java
@@ -13,15 +13,15 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps one instance's calls within its budget: control kinds go before bulk kinds, and each
- * waiting watch counts as a call.
+ * Object store that keeps one instance's calls within its budget. Calls for control objects are
+ * sent before those for bulk objects, and each watch counts as a call.
  */
 public final class RateLimitedObjectStore implements ObjectStore {
     private final ObjectStore store;
     private final ScheduledExecutorService timer;
     private final LongSupplier clockNanos;
-    private final PriorityRateLimiter pacer;
-    private boolean wakeScheduled;
+    private final PriorityRateLimiter limiter;
+    private boolean isWakeUpScheduled;
 
     private RateLimitedObjectStore(
             ObjectStore store,
@@ -31,16 +31,16 @@
         this.store = store;
         this.timer = timer;
         this.clockNanos = clockNanos;
-        this.pacer = PriorityRateLimiter.create(budget, clockNanos.getAsLong());
+        this.limiter = PriorityRateLimiter.create(budget, clockNanos.getAsLong());
     }
 
     /**
-     * Paces the calls of a store.
+     * Wraps a store to limit the rate of its calls.
      *
-     * @param store where the calls go
-     * @param budget what may be called
+     * @param store store to wrap
+     * @param budget limits on the calls
      * @param timer runs calls that had to wait
-     * @return the paced store
+     * @return the rate-limited store
      */
     public static RateLimitedObjectStore wrap(
             ObjectStore store, CallBudget budget, ScheduledExecutorService timer) {
@@ -48,13 +48,13 @@
     }
 
     /**
-     * Paces the calls of a store by a given clock.
+     * Wraps a store to limit the rate of its calls by a given clock.
      *
-     * @param store where the calls go
-     * @param budget what may be called
+     * @param store store to wrap
+     * @param budget limits on the calls
      * @param timer runs calls that had to wait
      * @param clockNanos monotonic clock, nanoseconds
-     * @return the paced store
+     * @return the rate-limited store
      */
     public static RateLimitedObjectStore wrap(
             ObjectStore store,
@@ -65,17 +65,17 @@
     }
 
     /**
-     * Calls that wait for the budget.
+     * Returns how many calls wait for the budget.
      *
-     * @return their number
+     * @return number of queued calls
      */
     public synchronized int queuedCalls() {
-        return pacer.queuedCalls();
+        return limiter.queuedCalls();
     }
 
     @Override
     public CompletableFuture<ReadResult> read(ObjectKey key) {
-        return pace(
+        return submit(
                 key.kind(),
                 () -> store.read(key),
                 ReadResult.Unavailable::new,
@@ -84,7 +84,7 @@
 
     @Override
     public CompletableFuture<WriteResult> write(ObjectKey key, long expectedVersion, String value) {
-        return pace(
+        return submit(
                 key.kind(),
                 () -> store.write(key, expectedVersion, value),
                 WriteResult.NotWritten::new,
@@ -93,7 +93,7 @@
 
     @Override
     public CompletableFuture<WriteResult> delete(ObjectKey key, long expectedVersion) {
-        return pace(
+        return submit(
                 key.kind(),
                 () -> store.delete(key, expectedVersion),
                 WriteResult.NotWritten::new,
@@ -102,7 +102,7 @@
 
     @Override
     public CompletableFuture<ListResult> list(String kind, String namePrefix) {
-        return pace(
+        return submit(
                 kind,
                 () -> store.list(kind, namePrefix),
                 ListResult.Unavailable::new,
@@ -112,7 +112,7 @@
     @Override
     public CompletableFuture<WatchResult> watch(
             Set<String> kinds, long afterRevision, Duration wait) {
-        return pace(
+        return submit(
                 "",
                 () -> store.watch(kinds, afterRevision, wait),
                 WatchResult.Unavailable::new,
@@ -121,20 +121,20 @@
 
     @Override
     public CompletableFuture<InstancesResult> instances() {
-        return pace(
+        return submit(
                 "",
                 store::instances,
                 InstancesResult.Unavailable::new,
                 InstancesResult.Unavailable::new);
     }
 
-    private <T> CompletableFuture<T> pace(
+    private <T> CompletableFuture<T> submit(
             String kind,
             Supplier<CompletableFuture<T>> call,
             Function<String, ? extends T> notSent,
             Function<String, ? extends T> failed) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        Runnable sent =
+        Runnable send =
                 () ->
                         call.get()
                                 .whenComplete(
@@ -145,38 +145,42 @@
                                                                 : failed.apply(error.toString())));
         boolean queued;
         synchronized (this) {
-            queued = pacer.enqueue(CallPriority.ofKind(kind), sent);
+            queued = limiter.enqueue(CallPriority.ofKind(kind), send);
         }
         if (!queued) {
             result.complete(
-                    notSent.apply("too many calls wait for the platform; try again after a pause"));
+                    notSent.apply(
+                            "too many calls are queued for the platform; retry after a pause"));
             return result;
         }
-        sendAllowed();
+        sendPermitted();
         return result;
     }
 
-    private void sendAllowed() {
-        List<Runnable> allowed = new ArrayList<>();
+    private void sendPermitted() {
+        List<Runnable> permitted = new ArrayList<>();
         synchronized (this) {
             long now = clockNanos.getAsLong();
-            Optional<Runnable> next = pacer.dequeue(now);
+            Optional<Runnable> next = limiter.dequeue(now);
             while (next.isPresent()) {
-                allowed.add(next.get());
-                next = pacer.dequeue(now);
+                permitted.add(next.get());
+                next = limiter.dequeue(now);
             }
-            if (pacer.queuedCalls() > 0 && !wakeScheduled) {
-                wakeScheduled = true;
-                timer.schedule(this::onWake, pacer.nanosUntilNextToken(now), TimeUnit.NANOSECONDS);
+            if (limiter.queuedCalls() > 0 && !isWakeUpScheduled) {
+                isWakeUpScheduled = true;
+                timer.schedule(
+                        this::onTokenAvailable,
+                        limiter.nanosUntilNextToken(now),
+                        TimeUnit.NANOSECONDS);
             }
         }
-        allowed.forEach(Runnable::run);
+        permitted.forEach(Runnable::run);
     }
 
-    private void onWake() {
+    private void onTokenAvailable() {
         synchronized (this) {
-            wakeScheduled = false;
+            isWakeUpScheduled = false;
         }
-        sendAllowed();
+        sendPermitted();
     }
 }
--- a/objects/src/main/java/org/sardinelift/objects/ReadResult.java
+++ b/objects/src/main/java/org/sardinelift/objects/ReadResult.java
@@ -1,26 +1,26 @@
 package org.sardinelift.objects;
 
-/** Outcome of a read. A read may be stale: it shows a state that once held. */
+/** Outcome of a read. It may be stale, that is, show a past state. */
 public sealed interface ReadResult {
 
     /**
-     * The object was there.
+     * The object exists.
      *
-     * @param object what was read
+     * @param object the object
      */
     record Found(StoredObject object) implements ReadResult {}
 
     /**
-     * There is no such object.
+     * The object does not exist.
      *
-     * @param revision the store's revision as of this answer
+     * @param revision the store's revision as of this response
      */
     record Absent(long revision) implements ReadResult {}
 
     /**
-     * No answer; try again after a pause.
+     * The object could not be read; retry after a pause.
      *
-     * @param reason what was wrong
+     * @param reason what went wrong
      */
     record Unavailable(String reason) implements ReadResult {}
 }
--- a/objects/src/main/java/org/sardinelift/objects/StoredObject.java
+++ b/objects/src/main/java/org/sardinelift/objects/StoredObject.java
@@ -1,10 +1,10 @@
 package org.sardinelift.objects;
 
 /**
- * One object as the platform holds it.
+ * One version of an object in the platform's store.
  *
- * @param key its name
- * @param version grows by one with each write of this object, from 1
+ * @param key kind and name of the object
+ * @param version number of this version; starts at 1, grows by one with each write
  * @param revision the store's revision at which this version was written
  * @param value UTF-8 text, at most 1 MB
  */
--- a/objects/src/main/java/org/sardinelift/objects/kinds/ConfigCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/ConfigCodec.java
@@ -20,16 +20,16 @@
 import org.sardinelift.settings.SettingsResult;
 
 /**
- * Reads and writes configuration objects as JSON. The object's name is not part of its value.
- * Unknown fields are refused. {@code sardinectl} and the instances use the same checks.
+ * Decodes and encodes configuration objects as JSON. The name of an object is not part of its
+ * value. Unknown fields are errors. {@code sardinectl} and the instances use the same checks.
  */
 public final class ConfigCodec {
-    /** Field that names the write which left the value; its writer finds its own write by it. */
+    /** Field with the mark of the last write, by which a writer recognizes its own write. */
     public static final String WRITE_MARK_FIELD = "mark";
 
     private static final double MAX_RATE_PER_SECOND = 10_000_000;
 
-    /** Entries hold parts of a burst; below this, rounding could leave no whole token. */
+    /** Entries divide a burst between them; below this, rounding could leave no whole token. */
     private static final double MIN_BURST = 2;
 
     private static final int MAX_WEIGHT = 1_000_000;
@@ -38,11 +38,11 @@
     private ConfigCodec() {}
 
     /**
-     * Reads the value of a configuration object.
+     * Decodes the value of a configuration object.
      *
      * @param ref kind and name of the object
-     * @param json its value
-     * @return the object, or everything that is wrong with it
+     * @param json value of the object
+     * @return the object, or every problem found
      */
     public static DecodeResult<ConfigItem> decode(ConfigRef ref, String json) {
         Function<SettingsNode, ConfigItem> reader = node -> item(ref, node);
@@ -63,10 +63,10 @@
     }
 
     /**
-     * Writes a configuration object.
+     * Encodes a configuration object.
      *
      * @param item the object
-     * @return its value, one line of JSON
+     * @return value of the object, one line of JSON
      */
     public static String encode(ConfigItem item) {
         ObjectNode node = MAPPER.createObjectNode();
@@ -100,10 +100,10 @@
     }
 
     /**
-     * The name under which an object is kept.
+     * Returns the kind and name under which an object is stored.
      *
      * @param item the object
-     * @return its kind and name
+     * @return kind and name of the object
      */
     public static ConfigRef refOf(ConfigItem item) {
         if (item instanceof TeamTemplate template) {
--- a/objects/src/main/java/org/sardinelift/objects/kinds/DecodeResult.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/DecodeResult.java
@@ -3,20 +3,20 @@
 import java.util.List;
 import org.sardinelift.core.catalog.ConfigProblem;
 
-/** Outcome of reading the value of an object. */
+/** Outcome of decoding the value of a stored object. */
 public sealed interface DecodeResult<T> {
 
     /**
-     * The value is sound.
+     * The value is valid.
      *
-     * @param item what it holds
+     * @param item the decoded value
      */
     record Valid<T>(T item) implements DecodeResult<T> {}
 
     /**
-     * The value can't be used.
+     * The value is invalid.
      *
-     * @param problems everything that is wrong with it
+     * @param problems every problem found
      */
     record Invalid<T>(List<ConfigProblem> problems) implements DecodeResult<T> {}
 }
--- a/objects/src/main/java/org/sardinelift/objects/kinds/RolloutCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/RolloutCodec.java
@@ -23,20 +23,20 @@
 import org.sardinelift.settings.SettingsResult;
 
 /**
- * Reads and writes the objects of roll-outs as JSON. {@code sardinectl} and the instances use the
- * same checks; an unknown field is an error.
+ * Decodes and encodes the stored objects of roll-outs as JSON. {@code sardinectl} and the instances
+ * use the same checks; an unknown field is an error.
  */
 public final class RolloutCodec {
-    /** Kind of what an operator wants. */
+    /** Kind of the object with the state that an operator wants. */
     public static final String SPEC_KIND = "rollout";
 
-    /** Kind of what the controller has decided. */
+    /** Kind of the object with the state that the controller has decided. */
     public static final String STATUS_KIND = "rollout-status";
 
-    /** Kind of the controller's lease. */
+    /** Kind of the object with the controller's lease. */
     public static final String LEASE_KIND = "rollout-lease";
 
-    /** Name of the one lease. */
+    /** Name of the only object of {@link #LEASE_KIND}. */
     public static final String LEASE_NAME = "controller";
 
     private static final double DEFAULT_LEAST_SERVING = 0.5;
@@ -45,19 +45,19 @@
     private RolloutCodec() {}
 
     /**
-     * Reads what an operator wants.
+     * Decodes the state that an operator wants.
      *
      * @param name name of the object
      * @param revision store revision of the object
-     * @param json its value
-     * @return the wanted state, or everything that is wrong with it
+     * @param json value of the object
+     * @return the wanted state, or every problem found
      */
     public static DecodeResult<RolloutSpec> decodeSpec(String name, long revision, String json) {
         return parse(SPEC_KIND + "/" + name, json, node -> spec(name, revision, node));
     }
 
     /**
-     * Writes what an operator wants.
+     * Encodes the state that an operator wants.
      *
      * @param spec the wanted state
      * @return one line of JSON
@@ -67,18 +67,18 @@
     }
 
     /**
-     * Reads what the controller has decided.
+     * Decodes the state that the controller has decided.
      *
      * @param name name of the object
-     * @param json its value
-     * @return the state, or everything that is wrong with it
+     * @param json value of the object
+     * @return the state, or every problem found
      */
     public static DecodeResult<RolloutState> decodeState(String name, String json) {
         return parse(STATUS_KIND + "/" + name, json, node -> state(name, node));
     }
 
     /**
-     * Writes what the controller has decided.
+     * Encodes the state that the controller has decided.
      *
      * @param state the state
      * @return one line of JSON
@@ -103,10 +103,10 @@
     }
 
     /**
-     * Reads the controller's lease.
+     * Decodes the controller's lease.
      *
-     * @param json the object's value
-     * @return the lease, or everything that is wrong with it
+     * @param json value of the object
+     * @return the lease, or every problem found
      */
     public static DecodeResult<LeaseRecord> decodeLease(String json) {
         return parse(
@@ -120,7 +120,7 @@
     }
 
     /**
-     * Writes the controller's lease.
+     * Encodes the controller's lease.
      *
      * @param lease the lease
      * @return one line of JSON
@@ -189,13 +189,15 @@
         return Arrays.stream(values).map(Enum::name).toArray(String[]::new);
     }
 
-    /** Numbers of 64 bits are texts, as JSON numbers of other programs may hold fewer. */
+    /**
+     * Parses a 64-bit number, stored as a string since JSON numbers may lose precision elsewhere.
+     */
     private static long number(SettingsNode node, String field) {
         String text = node.text(field);
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
-            node.addError(field, "a whole number as a text", text, "Delete the object.");
+            node.addError(field, "an integer as a string", text, "Delete the object.");
             return 0;
         }
     }
--- a/objects/src/main/java/org/sardinelift/objects/kinds/SharesCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/SharesCodec.java
@@ -14,9 +14,9 @@
 import org.sardinelift.settings.SettingsNode;
 import org.sardinelift.settings.SettingsResult;
 
-/** Reads and writes the division of the limits between entries. */
+/** Decodes and encodes, as JSON, how the limits are divided between entries. */
 public final class SharesCodec {
-    /** The one object of its kind. */
+    /** Key of the only object of its kind. */
     public static final ObjectKey OBJECT_KEY = new ObjectKey("shares", "limits");
 
     private static final String REMEDY =
@@ -28,7 +28,7 @@
     private SharesCodec() {}
 
     /**
-     * Writes shares.
+     * Encodes shares.
      *
      * @param shares the shares
      * @return one line of JSON
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Reads shares.
+     * Decodes shares.
      *
-     * @param json the object's value
-     * @return the shares, or everything that is wrong with them
+     * @param json value of the object
+     * @return the shares, or every problem found
      */
     public static DecodeResult<Shares> decode(String json) {
         SettingsResult<Value> result = SettingsFile.parse(json, Value::read);
--- a/objects/src/main/java/org/sardinelift/objects/kinds/package-info.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/package-info.java
@@ -1,4 +1,4 @@
-/** JSON codecs of the system's own kinds of object. */
+/** JSON codecs for the kinds of object that this system stores. */
 @NullMarked
 package org.sardinelift.objects.kinds;
 
--- a/objects/src/main/java/org/sardinelift/objects/package-info.java
+++ b/objects/src/main/java/org/sardinelift/objects/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's object API: versions, conditional updates, watches, outages. */
+/** Client of the platform's object API: versioned objects, conditional updates, watches. */
 @NullMarked
 package org.sardinelift.objects;
 
--- a/objects/src/test/java/org/sardinelift/objects/CallPacerTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/PriorityRateLimiterTest.java
@@ -13,7 +13,8 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-final class CallPacerTest {
+/** Tests the rate, order and queue limit of {@link PriorityRateLimiter}. */
+final class PriorityRateLimiterTest {
     private static final long SECOND_NANOS = 1_000_000_000L;
     private static final Runnable NOTHING = () -> {};
 
@@ -22,15 +23,15 @@
             @ForAll @IntRange(min = 1, max = 50) int rate,
             @ForAll @IntRange(min = 1, max = 5) int burst,
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 400) Integer> pausesMs) {
-        PriorityRateLimiter pacer =
+        PriorityRateLimiter limiter =
                 PriorityRateLimiter.create(new CallBudget(rate, burst, 1_000), 0);
         List<Long> sent = new ArrayList<>();
         long now = 0;
         for (int pauseMs : pausesMs) {
             now += pauseMs * 1_000_000L;
-            pacer.enqueue(CallPriority.CONTROL, NOTHING);
-            pacer.enqueue(CallPriority.BULK, NOTHING);
-            while (pacer.dequeue(now).isPresent()) {
+            limiter.enqueue(CallPriority.CONTROL, NOTHING);
+            limiter.enqueue(CallPriority.BULK, NOTHING);
+            while (limiter.dequeue(now).isPresent()) {
                 sent.add(now);
             }
         }
@@ -43,34 +44,34 @@
     }
 
     @Test
-    void controlGoesBeforeBulk() {
-        PriorityRateLimiter pacer = PriorityRateLimiter.create(new CallBudget(1, 1, 10), 0);
+    void controlCallsAreDequeuedBeforeBulkCalls() {
+        PriorityRateLimiter limiter = PriorityRateLimiter.create(new CallBudget(1, 1, 10), 0);
         List<String> sent = new ArrayList<>();
-        pacer.dequeue(0);
-        pacer.enqueue(CallPriority.ofKind("job-result"), () -> sent.add("bulk"));
-        pacer.enqueue(CallPriority.ofKind("lease"), () -> sent.add("control"));
-        pacer.dequeue(0).ifPresent(Runnable::run);
-        pacer.dequeue(SECOND_NANOS).ifPresent(Runnable::run);
+        limiter.dequeue(0);
+        limiter.enqueue(CallPriority.ofKind("job-result"), () -> sent.add("bulk"));
+        limiter.enqueue(CallPriority.ofKind("lease"), () -> sent.add("control"));
+        limiter.dequeue(0).ifPresent(Runnable::run);
+        limiter.dequeue(SECOND_NANOS).ifPresent(Runnable::run);
         assertEquals(List.of("control", "bulk"), sent);
     }
 
     @Test
-    void aFullQueueTakesNoMore() {
-        PriorityRateLimiter pacer = PriorityRateLimiter.create(new CallBudget(1, 1, 2), 0);
-        assertTrue(pacer.enqueue(CallPriority.BULK, NOTHING));
-        assertTrue(pacer.enqueue(CallPriority.BULK, NOTHING));
-        assertFalse(pacer.enqueue(CallPriority.CONTROL, NOTHING));
+    void aFullQueueRefusesCalls() {
+        PriorityRateLimiter limiter = PriorityRateLimiter.create(new CallBudget(1, 1, 2), 0);
+        assertTrue(limiter.enqueue(CallPriority.BULK, NOTHING));
+        assertTrue(limiter.enqueue(CallPriority.BULK, NOTHING));
+        assertFalse(limiter.enqueue(CallPriority.CONTROL, NOTHING));
     }
 
     @Test
-    void tellsWhenTheNextTokenIsThere() {
-        PriorityRateLimiter pacer = PriorityRateLimiter.create(new CallBudget(4, 1, 10), 0);
-        pacer.enqueue(CallPriority.BULK, NOTHING);
-        assertTrue(pacer.dequeue(0).isPresent());
-        pacer.enqueue(CallPriority.BULK, NOTHING);
-        long wait = pacer.nanosUntilNextToken(0);
+    void reportsTheTimeUntilTheNextToken() {
+        PriorityRateLimiter limiter = PriorityRateLimiter.create(new CallBudget(4, 1, 10), 0);
+        limiter.enqueue(CallPriority.BULK, NOTHING);
+        assertTrue(limiter.dequeue(0).isPresent());
+        limiter.enqueue(CallPriority.BULK, NOTHING);
+        long wait = limiter.nanosUntilNextToken(0);
         assertEquals(SECOND_NANOS / 4, wait);
-        assertEquals(Optional.empty(), pacer.dequeue(wait - 2));
-        assertTrue(pacer.dequeue(wait).isPresent());
+        assertEquals(Optional.empty(), limiter.dequeue(wait - 2));
+        assertTrue(limiter.dequeue(wait).isPresent());
     }
 }
--- a/objects/src/test/java/org/sardinelift/objects/PacedObjectStoreTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/RateLimitedObjectStoreTest.java
@@ -17,7 +17,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-final class PacedObjectStoreTest {
+/** Tests how {@link RateLimitedObjectStore} orders, delays and refuses calls. */
+final class RateLimitedObjectStoreTest {
     private static final ObjectKey LEASE = new ObjectKey("lease", "l");
     private static final ObjectKey RESULT = new ObjectKey("job-result", "r");
 
@@ -25,7 +26,7 @@
     private final VirtualTimer timer = new VirtualTimer();
     private final ObjectStore store =
             RateLimitedObjectStore.wrap(
-                    new Recording(), new CallBudget(1, 1, 3), timer, () -> timer.nowNanos);
+                    new RecordingStore(), new CallBudget(1, 1, 3), timer, () -> timer.nowNanos);
 
     @AfterEach
     void stop() {
@@ -33,7 +34,7 @@
     }
 
     @Test
-    void aWaitingWatchTakesPartOfTheBudgetAndControlGoesFirst() {
+    void aWatchSpendsATokenAndControlCallsAreSentFirst() {
         CompletableFuture<WatchResult> watch =
                 store.watch(Set.of("team"), 0, Duration.ofSeconds(30));
         CompletableFuture<WriteResult> bulk = store.write(RESULT, 0, "x");
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void aCallThatFindsTheQueueFullIsNotSent() {
+    void aCallIsNotSentIfTheQueueIsFull() {
         List<CompletableFuture<WriteResult>> writes = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             writes.add(store.write(RESULT, 0, "x"));
@@ -59,11 +60,11 @@
     }
 
     @Test
-    void aStoreThatFailsLeavesAWriteUnclearAndNoFutureFailed() {
+    void aFailedFutureOfTheStoreBecomesAnUnclearWrite() {
         assertInstanceOf(WriteResult.Unclear.class, store.delete(LEASE, 1).join());
     }
 
-    private final class Recording implements ObjectStore {
+    private final class RecordingStore implements ObjectStore {
         @Override
         public CompletableFuture<ReadResult> read(ObjectKey key) {
             calls.add("read " + key.kind());
@@ -98,7 +99,7 @@
         }
     }
 
-    /** Runs what was scheduled when the test moves the time on. */
+    /** Timer that runs scheduled tasks when the test advances the time. */
     private static final class VirtualTimer extends ScheduledThreadPoolExecutor
             implements ScheduledExecutorService {
         private final List<Task> tasks = new ArrayList<>();
--- a/objects/src/test/java/org/sardinelift/objects/kinds/ConfigCodecTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/kinds/ConfigCodecTest.java
@@ -18,6 +18,7 @@
 import org.sardinelift.core.catalog.TeamSpec;
 import org.sardinelift.core.catalog.TeamTemplate;
 
+/** Tests that configuration objects survive encoding and that all errors are reported. */
 class ConfigCodecTest {
     static List<ConfigItem> items() {
         return List.of(
@@ -37,14 +38,14 @@
 
     @ParameterizedTest
     @MethodSource("items")
-    void whatIsWrittenIsReadBack(ConfigItem item) {
+    void anEncodedObjectIsDecodedToTheSameValue(ConfigItem item) {
         assertEquals(
                 new DecodeResult.Valid<>(item),
                 ConfigCodec.decode(ConfigCodec.refOf(item), ConfigCodec.encode(item)));
     }
 
     @Test
-    void everyErrorIsNamedWithItsPath() {
+    void everyErrorIsReportedWithItsPath() {
         DecodeResult<ConfigItem> result =
                 ConfigCodec.decode(
                         new ConfigRef(ConfigKind.TEMPLATE, "standard"),
--- a/objects/src/test/java/org/sardinelift/objects/kinds/RolloutCodecTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/kinds/RolloutCodecTest.java
@@ -15,12 +15,13 @@
 import org.sardinelift.core.order.RolloutStep;
 import org.sardinelift.core.order.StepState;
 
+/** Tests that roll-out objects survive encoding and that all errors are reported. */
 class RolloutCodecTest {
     private static final RolloutSpec SPEC =
             new RolloutSpec("r", "i", 7, "s", RolloutGoal.version("m", "2"), 0.75, true);
 
     @Test
-    void whatIsWrittenIsReadBack() {
+    void encodedObjectsAreDecodedToTheSameValue() {
         assertEquals(
                 new DecodeResult.Valid<>(SPEC),
                 RolloutCodec.decodeSpec("r", 7, RolloutCodec.encodeSpec(SPEC)));
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void errorsNameTheirPathAndRemedy() {
+    void everyErrorIsReportedWithItsPath() {
         DecodeResult<RolloutSpec> result =
                 RolloutCodec.decodeSpec("r", 1, "{\"action\":\"load\",\"leastServing\":2,\"x\":1}");
         String text = ((DecodeResult.Invalid<RolloutSpec>) result).problems().toString();
--- a/objects/src/test/java/org/sardinelift/objects/kinds/SharesCodecTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/kinds/SharesCodecTest.java
@@ -8,9 +8,10 @@
 import org.sardinelift.core.limit.MemberId;
 import org.sardinelift.core.limit.Shares;
 
+/** Tests that shares survive encoding and that inconsistent shares are refused. */
 class SharesCodecTest {
     @Test
-    void whatIsWrittenIsReadBack() {
+    void encodedSharesAreDecodedToTheSameValue() {
         MemberId id = new MemberId("e/1", "i-1");
         Shares shares = Shares.initial().addMember(id, 3).transferFromPool(id, 1_000);
         assertEquals(
@@ -18,13 +19,13 @@
     }
 
     @Test
-    void unitsAreNotFreshWhereNothingSaysSo() {
+    void noUnitsAreFreshIfTheFieldIsMissing() {
         DecodeResult<Shares> read = SharesCodec.decode("{\"pool\": 720720, \"members\": []}");
         assertEquals(new DecodeResult.Valid<>(new Shares(Shares.TOTAL_UNITS, 0, Map.of())), read);
     }
 
     @Test
-    void moreFreshUnitsThanThePoolHoldsAreRefused() {
+    void moreFreshUnitsThanInThePoolAreRefused() {
         assertInstanceOf(
                 DecodeResult.Invalid.class,
                 SharesCodec.decode(
@@ -33,7 +34,7 @@
     }
 
     @Test
-    void unitsThatDoNotAddUpAreRefused() {
+    void unitsThatDoNotAddUpToTheTotalAreRefused() {
         assertInstanceOf(
                 DecodeResult.Invalid.class, SharesCodec.decode("{\"pool\": 5, \"members\": []}"));
     }
