--- a/settings/src/main/java/org/sardinelift/settings/SettingsError.java
+++ b/settings/src/main/java/org/sardinelift/settings/SettingsError.java
@@ -1,12 +1,12 @@
 package org.sardinelift.settings;
 
 /**
- * One thing wrong in a settings file.
+ * One error in a settings file.
  *
- * @param path where, such as {@code /entry/port}
- * @param expected what was expected there
+ * @param path path of the field, such as {@code /entry/port}
+ * @param expected what was expected
  * @param found what was found
- * @param remedy what to do
+ * @param remedy how to correct it
  */
 public record SettingsError(String path, String expected, String found, String remedy) {
 
--- a/settings/src/main/java/org/sardinelift/settings/SettingsFile.java
+++ b/settings/src/main/java/org/sardinelift/settings/SettingsFile.java
@@ -24,18 +24,19 @@
     private SettingsFile() {}
 
     /**
-     * Reads and checks a whole file.
+     * Reads and checks a file.
      *
      * @param file path of the file
-     * @param reader builds the settings from the root object; it reads every field that it knows
+     * @param reader builds the settings from the root object; fields that it does not read are
+     *     errors
      * @param <T> type of the settings
-     * @return the settings, or everything that is wrong with them
+     * @return the settings, or every error found
      */
     public static <T> SettingsResult<T> load(Path file, Function<SettingsNode, T> reader) {
         try {
             return parse(Files.readString(file), reader);
         } catch (IOException e) {
-            return unsound(
+            return invalid(
                     new SettingsError(
                             file.toString(),
                             "a readable UTF-8 file",
@@ -45,19 +46,19 @@
     }
 
     /**
-     * Reads and checks settings from text.
+     * Reads and checks settings from a string.
      *
      * @param text JSON with comments
      * @param reader builds the settings from the root object
      * @param <T> type of the settings
-     * @return the settings, or everything that is wrong with them
+     * @return the settings, or every error found
      */
     public static <T> SettingsResult<T> parse(String text, Function<SettingsNode, T> reader) {
         JsonNode root;
         try {
             root = MAPPER.readTree(text);
         } catch (JsonProcessingException e) {
-            return unsound(
+            return invalid(
                     new SettingsError(
                             "line " + (e.getLocation() == null ? 0 : e.getLocation().getLineNr()),
                             "JSON with comments",
@@ -67,13 +68,13 @@
         List<SettingsError> errors = new ArrayList<>();
         SettingsNode node = SettingsNode.root(root, errors);
         T settings = reader.apply(node);
-        node.refuseUnknownFields();
+        node.addUnknownFieldErrors();
         return errors.isEmpty()
                 ? new SettingsResult.Valid<>(settings)
                 : new SettingsResult.Invalid<>(List.copyOf(errors));
     }
 
-    private static <T> SettingsResult<T> unsound(SettingsError error) {
+    private static <T> SettingsResult<T> invalid(SettingsError error) {
         return new SettingsResult.Invalid<>(List.of(error));
     }
 }
--- a/settings/src/main/java/org/sardinelift/settings/SettingsNode.java
+++ b/settings/src/main/java/org/sardinelift/settings/SettingsNode.java
@@ -13,14 +13,14 @@
 import java.util.stream.StreamSupport;
 
 /**
- * One object of a settings file. Each accessor notes the field as known and records an error
- * instead of throwing, so that one check reports everything that is wrong.
+ * One JSON object of a settings file. Each accessor marks its field as known, and records an error
+ * instead of throwing, so that one run reports all errors.
  */
 public final class SettingsNode {
     private final JsonNode node;
     private final String path;
     private final List<SettingsError> errors;
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> knownFields = new HashSet<>();
     private final List<SettingsNode> children = new ArrayList<>();
 
     private SettingsNode(JsonNode node, String path, List<SettingsError> errors) {
@@ -37,71 +37,71 @@
     }
 
     /**
-     * Whether a field is present and not null.
+     * Returns whether a field is present and not null.
      *
      * @param name field name
-     * @return true where the field has a value
+     * @return true if the field has a value
      */
     public boolean has(String name) {
         return !field(name).isMissingNode();
     }
 
     /**
-     * A text that must be there.
+     * Returns a required string.
      *
      * @param name field name
-     * @return its value, empty where an error was recorded
+     * @return its value, empty if an error was recorded
      */
     public String text(String name) {
         JsonNode value = field(name);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            addError(name, "a non-empty string", show(value), "Set it.");
+            addError(name, "a non-empty string", describe(value), "Set it.");
             return "";
         }
         return value.asText();
     }
 
     /**
-     * A text with a default.
+     * Returns a string with a default.
      *
      * @param name field name
-     * @param fallback value where the field is absent
+     * @param defaultValue value if the field is absent
      * @return its value
      */
-    public String text(String name, String fallback) {
-        return field(name).isMissingNode() ? fallback : text(name);
+    public String text(String name, String defaultValue) {
+        return field(name).isMissingNode() ? defaultValue : text(name);
     }
 
     /**
-     * A text that may be absent.
+     * Returns an optional string.
      *
      * @param name field name
-     * @return its value, or empty
+     * @return its value, empty if the field is absent
      */
     public Optional<String> optionalText(String name) {
         return field(name).isMissingNode() ? Optional.empty() : Optional.of(text(name));
     }
 
     /**
-     * A text that may be absent or empty.
+     * Returns a string that may be absent or empty.
      *
      * @param name field name
-     * @return its value, empty where it is absent
+     * @return its value, an empty string if the field is absent
      */
     public String textOrEmpty(String name) {
         JsonNode value = field(name);
         if (!value.isMissingNode() && !value.isTextual()) {
-            addError(name, "a string", show(value), "Write \"...\", or leave it out for none.");
+            addError(name, "a string", describe(value), "Write \"...\", or leave it out for none.");
             return "";
         }
         return value.asText();
     }
 
     /**
-     * One of a fixed set of texts.
+     * Returns one of a fixed set of strings.
      *
      * @param name field name
-     * @param choices allowed values, the first is the default
+     * @param choices allowed values; the first is the default
      * @return its value
      */
     public String choice(String name, String... choices) {
@@ -114,33 +114,37 @@
     }
 
     /**
-     * A whole number with a default.
+     * Returns an integer with a default.
      *
      * @param name field name
-     * @param fallback value where the field is absent
+     * @param defaultValue value if the field is absent
      * @param min smallest allowed value
      * @param max largest allowed value
      * @return its value
      */
-    public int integer(String name, int fallback, int min, int max) {
+    public int integer(String name, int defaultValue, int min, int max) {
         JsonNode value = field(name);
         if (value.isMissingNode()) {
-            return fallback;
+            return defaultValue;
         }
         if (!value.isIntegralNumber() || value.asLong() < min || value.asLong() > max) {
-            addError(name, "a whole number from " + min + " to " + max, show(value), "Correct it.");
-            return fallback;
+            addError(
+                    name,
+                    "a whole number from " + min + " to " + max,
+                    describe(value),
+                    "Correct it.");
+            return defaultValue;
         }
         return value.asInt();
     }
 
     /**
-     * A whole number that must be there.
+     * Returns a required integer.
      *
      * @param name field name
      * @param min smallest allowed value
      * @param max largest allowed value
-     * @return its value, the smallest where an error was recorded
+     * @return its value, {@code min} if an error was recorded
      */
     public int integer(String name, int min, int max) {
         if (field(name).isMissingNode()) {
@@ -151,58 +155,58 @@
     }
 
     /**
-     * A number with a default.
+     * Returns a number with a default.
      *
      * @param name field name
-     * @param fallback value where the field is absent
+     * @param defaultValue value if the field is absent
      * @param min smallest allowed value
      * @param max largest allowed value
      * @return its value
      */
-    public double number(String name, double fallback, double min, double max) {
+    public double number(String name, double defaultValue, double min, double max) {
         JsonNode value = field(name);
         if (value.isMissingNode()) {
-            return fallback;
+            return defaultValue;
         }
         if (!value.isNumber() || value.asDouble() < min || value.asDouble() > max) {
-            addError(name, "a number from " + min + " to " + max, show(value), "Correct it.");
-            return fallback;
+            addError(name, "a number from " + min + " to " + max, describe(value), "Correct it.");
+            return defaultValue;
         }
         return value.asDouble();
     }
 
     /**
-     * A time in milliseconds with a default.
+     * Returns a duration, given in milliseconds, with a default.
      *
      * @param name field name, ending in {@code Ms}
-     * @param fallbackMs value where the field is absent, milliseconds
+     * @param defaultMs value if the field is absent, milliseconds
      * @return its value
      */
-    public Duration millis(String name, int fallbackMs) {
-        return Duration.ofMillis(integer(name, fallbackMs, 0, Integer.MAX_VALUE));
+    public Duration millis(String name, int defaultMs) {
+        return Duration.ofMillis(integer(name, defaultMs, 0, Integer.MAX_VALUE));
     }
 
     /**
-     * A truth value with a default.
+     * Returns a boolean with a default.
      *
      * @param name field name
-     * @param fallback value where the field is absent
+     * @param defaultValue value if the field is absent
      * @return its value
      */
-    public boolean flag(String name, boolean fallback) {
+    public boolean flag(String name, boolean defaultValue) {
         JsonNode value = field(name);
         if (value.isMissingNode()) {
-            return fallback;
+            return defaultValue;
         }
         if (!value.isBoolean()) {
-            addError(name, "true or false", show(value), "Correct it.");
-            return fallback;
+            addError(name, "true or false", describe(value), "Correct it.");
+            return defaultValue;
         }
         return value.asBoolean();
     }
 
     /**
-     * A list of texts, empty where the field is absent.
+     * Returns a list of strings, empty if the field is absent.
      *
      * @param name field name
      * @return its values
@@ -213,14 +217,14 @@
             return List.of();
         }
         if (!value.isArray() || !elements(value).allMatch(JsonNode::isTextual)) {
-            addError(name, "a list of strings", show(value), "Write [\"...\"].");
+            addError(name, "a list of strings", describe(value), "Write [\"...\"].");
             return List.of();
         }
         return elements(value).map(JsonNode::asText).toList();
     }
 
     /**
-     * An object; its fields take their defaults where it is absent.
+     * Returns an object; if it is absent, its fields have their defaults.
      *
      * @param name field name
      * @return the object
@@ -230,12 +234,12 @@
     }
 
     /**
-     * An object that may be absent.
+     * Returns the value built from an optional object.
      *
      * @param name field name
      * @param reader builds the value from the object
      * @param <T> type of the value
-     * @return the value, or empty
+     * @return the value, empty if the field is absent
      */
     public <T> Optional<T> optionalObject(String name, Function<SettingsNode, T> reader) {
         return field(name).isMissingNode()
@@ -244,7 +248,7 @@
     }
 
     /**
-     * A list of objects, empty where the field is absent.
+     * Returns the values built from a list of objects, empty if the field is absent.
      *
      * @param name field name
      * @param reader builds a value from each object
@@ -257,7 +261,7 @@
             return List.of();
         }
         if (!value.isArray()) {
-            addError(name, "a list of objects", show(value), "Write [{ ... }].");
+            addError(name, "a list of objects", describe(value), "Write [{ ... }].");
             return List.of();
         }
         List<T> values = new ArrayList<>();
@@ -268,31 +272,32 @@
     }
 
     /**
-     * Records an error found by a check over several fields.
+     * Records an error that a check over several fields found.
      *
-     * @param name field that the error is shown at
+     * @param name field at which the error is reported
      * @param expected what was expected
      * @param found what was found
-     * @param remedy what to do
+     * @param remedy how to correct it
      */
     public void addError(String name, String expected, String found, String remedy) {
-        String where = name.isEmpty() ? path : path + "/" + name;
-        errors.add(new SettingsError(where.isEmpty() ? "/" : where, expected, found, remedy));
+        String errorPath = name.isEmpty() ? path : path + "/" + name;
+        errors.add(
+                new SettingsError(errorPath.isEmpty() ? "/" : errorPath, expected, found, remedy));
     }
 
-    void refuseUnknownFields() {
+    void addUnknownFieldErrors() {
         node.fieldNames()
                 .forEachRemaining(
                         name -> {
-                            if (!known.contains(name)) {
+                            if (!knownFields.contains(name)) {
                                 addError(
                                         name,
-                                        "one of " + known.stream().sorted().toList(),
+                                        "one of " + knownFields.stream().sorted().toList(),
                                         "an unknown field",
                                         "Remove it or correct its name.");
                             }
                         });
-        children.forEach(SettingsNode::refuseUnknownFields);
+        children.forEach(SettingsNode::addUnknownFieldErrors);
     }
 
     private SettingsNode child(JsonNode value, String childPath) {
@@ -302,12 +307,12 @@
     }
 
     private JsonNode field(String name) {
-        known.add(name);
+        knownFields.add(name);
         JsonNode value = node.get(name);
         return value == null || value.isNull() ? MissingNode.getInstance() : value;
     }
 
-    private static String show(JsonNode value) {
+    private static String describe(JsonNode value) {
         return value.isMissingNode() ? "nothing" : value.toString();
     }
 
--- a/settings/src/main/java/org/sardinelift/settings/SettingsResult.java
+++ b/settings/src/main/java/org/sardinelift/settings/SettingsResult.java
@@ -6,16 +6,16 @@
 public sealed interface SettingsResult<T> {
 
     /**
-     * The settings are sound.
+     * The settings are valid.
      *
      * @param settings the settings
      */
     record Valid<T>(T settings) implements SettingsResult<T> {}
 
     /**
-     * The settings are not sound; nothing may be started with them.
+     * The settings are invalid; no process may start with them.
      *
-     * @param errors everything that is wrong
+     * @param errors every error found
      */
     record Invalid<T>(List<SettingsError> errors) implements SettingsResult<T> {}
 }
--- a/settings/src/main/java/org/sardinelift/settings/package-info.java
+++ b/settings/src/main/java/org/sardinelift/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings files: JSON with comments, checked as a whole. */
+/** Reads settings files: JSON with comments, with all errors of a file reported at once. */
 @NullMarked
 package org.sardinelift.settings;
 
--- a/settings/src/test/java/org/sardinelift/settings/SettingsFileTest.java
+++ b/settings/src/test/java/org/sardinelift/settings/SettingsFileTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests that a settings file is read, and that every error in it is reported. */
 class SettingsFileTest {
     private record Sample(String name, int port, Duration delay) {
         static Sample read(SettingsNode node) {
@@ -18,10 +19,10 @@
         }
     }
 
-    private static List<String> paths(String text) {
+    private static List<String> errorPaths(String text) {
         SettingsResult<Sample> result = SettingsFile.parse(text, Sample::read);
-        var unsound = assertInstanceOf(SettingsResult.Invalid.class, result);
-        List<?> errors = unsound.errors();
+        var invalid = assertInstanceOf(SettingsResult.Invalid.class, result);
+        List<?> errors = invalid.errors();
         return errors.stream().map(error -> ((SettingsError) error).path()).toList();
     }
 
@@ -38,17 +39,17 @@
     void reportsEveryErrorWithItsPath() {
         String text = "{\"name\": 3, \"caller\": {\"port\": 70000, \"prot\": 1}, \"extra\": 1}";
 
-        assertEquals(List.of("/name", "/caller/port", "/extra", "/caller/prot"), paths(text));
+        assertEquals(List.of("/name", "/caller/port", "/extra", "/caller/prot"), errorPaths(text));
     }
 
     @Test
     void reportsLineOfSyntaxError() {
-        assertEquals(List.of("line 2"), paths("{\n  \"name\" }"));
+        assertEquals(List.of("line 2"), errorPaths("{\n  \"name\" }"));
     }
 
     @Test
-    void refusesFieldGivenTwice() {
-        assertEquals(1, paths("{\"name\": \"a\", \"name\": \"b\"}").size());
+    void reportsDuplicateField() {
+        assertEquals(1, errorPaths("{\"name\": \"a\", \"name\": \"b\"}").size());
     }
 
     @Test
