--- a/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
+++ b/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
@@ -16,16 +16,16 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
-import org.sardinelift.companion.call.CallDecisions;
-import org.sardinelift.companion.call.CallDesk;
-import org.sardinelift.companion.link.EntryLinks;
+import org.sardinelift.companion.call.CallDecisionRecorder;
+import org.sardinelift.companion.call.CallManager;
+import org.sardinelift.companion.link.EntryConnections;
 import org.sardinelift.companion.link.LoadReporter;
 import org.sardinelift.companion.order.OrderGuard;
 import org.sardinelift.companion.target.LoadedModels;
-import org.sardinelift.companion.target.ModelWatch;
+import org.sardinelift.companion.target.ModelTracker;
+import org.sardinelift.companion.target.TargetClient;
+import org.sardinelift.companion.target.TargetControlClient;
 import org.sardinelift.companion.target.TargetHealth;
-import org.sardinelift.companion.target.TargetLink;
-import org.sardinelift.companion.target.TargetOrders;
 import org.sardinelift.companion.target.TargetProbe;
 import org.sardinelift.core.explain.DecisionAction;
 import org.sardinelift.core.explain.DecisionLog;
@@ -67,12 +67,12 @@
     private final TargetHealth health;
     private final DecisionLog log;
     private final DecisionRecorder decisions;
-    private final TargetLink target;
+    private final TargetClient target;
     private final TargetProbe probe;
-    private final ModelWatch models;
+    private final ModelTracker models;
     private final Optional<OrderGuard> orders;
-    private final CallDesk calls;
-    private final EntryLinks entries;
+    private final CallManager calls;
+    private final EntryConnections entries;
     private final LoadReporter reporter;
     private final FrameServer peer;
     private final HttpServer operators;
@@ -95,26 +95,27 @@
         decisions = DecisionRecorder.of(log, System::currentTimeMillis);
         health =
                 TargetHealth.create(
-                        settings.target().probeFailures(), () -> UUID.randomUUID().toString());
-        target = new TargetLink(client, settings.target(), health.incarnation());
+                        settings.target().probeFailureThreshold(),
+                        () -> UUID.randomUUID().toString());
+        target = new TargetClient(client, settings.target(), health.incarnation());
         models =
-                new ModelWatch(
-                        new TargetOrders(client, settings.target()),
+                new ModelTracker(
+                        new TargetControlClient(client, settings.target()),
                         settings.target().models(),
                         control::execute,
                         this::onModels);
         orders = settings.platform().map(platform -> guard(client, platform));
         probe = new TargetProbe(control, client, settings.target(), this::onProbe);
         calls =
-                new CallDesk(
+                new CallManager(
                         control,
                         target,
                         settings.calls(),
                         telemetry,
-                        CallDecisions.of(decisions),
+                        CallDecisionRecorder.of(decisions),
                         this::onBroken,
                         this::onLoadChange);
-        entries = new EntryLinks(control, this::onFrame, calls::onDown, this::report);
+        entries = new EntryConnections(control, this::onFrame, calls::onDown, this::report);
         reporter = reporter();
         peer =
                 FrameServer.start(
@@ -145,7 +146,7 @@
     }
 
     private void tell(LoadReport load) {
-        LoadMetrics.show(load);
+        LoadMetrics.update(load);
         entries.broadcast(Frame.loadReport(load));
     }
 
@@ -226,8 +227,8 @@
                     told.countDown();
                 });
         await(told);
-        waitWhile(calls::busy, settings.drainTimeout());
-        waitWhile(() -> calls.unacknowledged() > 0, settings.drainLinger());
+        waitWhile(calls::hasActiveCalls, settings.drainTimeout());
+        waitWhile(() -> calls.unacknowledgedCalls() > 0, settings.drainLinger());
     }
 
     private void note(DecisionAction action, String reason) {
@@ -318,35 +319,35 @@
     }
 
     private void onModels() {
-        reporter.reportIfOther();
+        reporter.reportIfChanged();
     }
 
     private void onBroken() {
-        health.onBroken();
+        health.onConnectionFailed();
         probe.ask();
     }
 
     private void onProbe(TargetProbe.Result result) {
         boolean changed = health.onProbe(result.answered(), calls.running());
-        targetUp = health.up();
+        targetUp = health.isUp();
         if (changed) {
             Logger.warn(
                     "Target {} is {}; {}",
                     settings.target().name(),
-                    health.up() ? "up" : "down",
-                    health.up() ? "it takes calls" : "its calls are refused until it answers");
+                    health.isUp() ? "up" : "down",
+                    health.isUp() ? "it takes calls" : "its calls are refused until it answers");
             note(
-                    health.up() ? DecisionAction.LET_IN : DecisionAction.LEFT_OUT,
-                    health.up() ? "the target answers" : "the target does not answer");
+                    health.isUp() ? DecisionAction.LET_IN : DecisionAction.LEFT_OUT,
+                    health.isUp() ? "the target answers" : "the target does not answer");
             target.incarnation(health.incarnation());
-            if (!health.up()) {
+            if (!health.isUp()) {
                 calls.close(GateRefusal.TARGET_DOWN);
             } else if (!leaving) {
                 calls.open();
             }
             report();
         }
-        result.load().ifPresent(calls::onLoad);
+        result.load().ifPresent(calls::onTargetLoad);
         reporter.compare();
     }
 
@@ -359,7 +360,7 @@
     }
 
     private LoadReport load() {
-        LoadedModels shown = models.shown();
+        LoadedModels shown = models.availableModels();
         LoadReport report =
                 new LoadReport()
                         .setTarget(settings.target().name())
@@ -369,9 +370,9 @@
                         .setModels(shown.models())
                         .setVersions(shown.versions())
                         .setRole(shown.role())
-                        .setFence(orders.map(OrderGuard::highest).orElse(0L))
+                        .setFence(orders.map(OrderGuard::highestFence).orElse(0L))
                         .setLeaving(leaving)
-                        .setHealthy(health.up());
+                        .setHealthy(health.isUp());
         calls.describe(report);
         return report;
     }
--- a/companion/src/main/java/org/sardinelift/companion/CompanionSettings.java
+++ b/companion/src/main/java/org/sardinelift/companion/CompanionSettings.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.sardinelift.companion.call.CallSettings;
 import org.sardinelift.companion.target.TargetSettings;
-import org.sardinelift.protocol.LinkLimits;
+import org.sardinelift.protocol.ConnectionLimits;
 import org.sardinelift.protocol.LinkTimings;
 import org.sardinelift.runtime.tls.PlaintextCheck;
 import org.sardinelift.runtime.tls.TlsSettings;
@@ -48,7 +48,7 @@
         int maxOrders,
         int orderTries,
         LinkTimings timings,
-        LinkLimits limits,
+        ConnectionLimits limits,
         CallSettings calls,
         Duration reportInterval,
         Duration reportRefresh,
@@ -117,9 +117,9 @@
                 defaults.reconnectMax());
     }
 
-    private static LinkLimits readLimits(SettingsNode node) {
-        LinkLimits defaults = LinkLimits.defaults();
-        return new LinkLimits(
+    private static ConnectionLimits readLimits(SettingsNode node) {
+        ConnectionLimits defaults = ConnectionLimits.defaults();
+        return new ConnectionLimits(
                 node.integer("maxFrameBytes", defaults.maxFrameBytes(), 1024, Integer.MAX_VALUE),
                 node.integer("maxUnsentBytes", defaults.maxUnsentBytes(), 1024, Integer.MAX_VALUE),
                 node.integer("maxConnections", defaults.maxConnections(), 1, Integer.MAX_VALUE));
--- a/companion/src/main/java/org/sardinelift/companion/LoadMetrics.java
+++ b/companion/src/main/java/org/sardinelift/companion/LoadMetrics.java
@@ -29,7 +29,7 @@
 
     private LoadMetrics() {}
 
-    static void show(LoadReport report) {
+    static void update(LoadReport report) {
         SLOTS.set(report.getSlots());
         RUNNING.labelValues("ONLINE").set(report.getOnlineRunning());
         RUNNING.labelValues("BATCH").set(report.getBatchRunning());
--- a/companion/src/main/java/org/sardinelift/companion/call/Answer.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/Answer.java
@@ -22,7 +22,7 @@
     private final List<byte[]> parts = new ArrayList<>();
     private @Nullable FrameConnection connection;
     private @Nullable Object source;
-    private @Nullable Frame head;
+    private @Nullable Frame writeHead;
     private @Nullable Frame finish;
     private boolean kept = true;
     private long length;
@@ -42,14 +42,14 @@
         return source == other;
     }
 
-    synchronized void head(Object from, int status, Map<String, String> headers) {
-        if (from == source && head == null && finish == null) {
-            head = Frame.head(new Head(id.requestId(), id.attempt(), status, headers));
-            send(head);
+    synchronized void writeHead(Object from, int status, Map<String, String> headers) {
+        if (from == source && writeHead == null && finish == null) {
+            writeHead = Frame.head(new Head(id.requestId(), id.attempt(), status, headers));
+            send(writeHead);
         }
     }
 
-    synchronized void data(Object from, byte[] part) {
+    synchronized void writeData(Object from, byte[] part) {
         if (from != source || finish != null) {
             return;
         }
@@ -79,15 +79,15 @@
     }
 
     /** Whether the body can be passed on from an offset. */
-    synchronized boolean reaches(long offset) {
+    synchronized boolean canReplayFrom(long offset) {
         return offset <= length && (kept || offset == length);
     }
 
     /** Goes on over another connection, whose entry holds the body up to an offset. */
     synchronized void attach(FrameConnection next, long offset) {
         connection = next;
-        if (head != null) {
-            send(head);
+        if (writeHead != null) {
+            send(writeHead);
         }
         long at = 0;
         for (byte[] part : parts) {
@@ -110,12 +110,12 @@
         return length;
     }
 
-    synchronized boolean finished() {
+    synchronized boolean isFinished() {
         return finish != null;
     }
 
-    synchronized boolean started() {
-        return head != null;
+    synchronized boolean isStarted() {
+        return writeHead != null;
     }
 
     private void send(Frame frame) {
--- a/companion/src/main/java/org/sardinelift/companion/call/Attempt.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/Attempt.java
@@ -24,8 +24,8 @@
     private final Span span;
     private Span stage;
     private @Nullable Runnable abort;
-    private boolean begun;
-    private boolean acknowledged;
+    private boolean wasSentToTarget;
+    private boolean isAcknowledged;
     private long orphanedMs = NOT_ORPHANED;
 
     Attempt(AttemptId id, Start start, Answer answer, long receivedMs, Telemetry telemetry) {
@@ -55,8 +55,8 @@
         return start.getLane() == Lane.BATCH ? Lane.BATCH : Lane.ONLINE;
     }
 
-    boolean begun() {
-        return begun;
+    boolean wasSentToTarget() {
+        return wasSentToTarget;
     }
 
     long receivedMs() {
@@ -85,19 +85,19 @@
 
     /** The call is at the target from now on. */
     void begin(Runnable aborting) {
-        begun = true;
+        wasSentToTarget = true;
         abort = aborting;
     }
 
     /** Starts the span of the call at the target; gives its trace context. */
-    String enterTarget() {
+    String startTargetSpan() {
         stage.end();
         stage = telemetry.hop("companion.target", SpanKind.CLIENT, traceparent());
         return Telemetry.traceparent(stage);
     }
 
     /** Cuts the call at the target; what it sends from now on is dropped. */
-    void cut() {
+    void abortAtTarget() {
         answer.source(null);
         if (abort != null) {
             abort.run();
@@ -105,27 +105,27 @@
         }
     }
 
-    void acknowledge() {
-        acknowledged = true;
+    void markAcknowledged() {
+        isAcknowledged = true;
     }
 
-    boolean acknowledged() {
-        return acknowledged;
+    boolean isAcknowledged() {
+        return isAcknowledged;
     }
 
-    void orphan(long nowMs) {
+    void markOrphaned(long nowMs) {
         orphanedMs = Math.min(orphanedMs, nowMs);
     }
 
-    void adopt() {
+    void clearOrphaned() {
         orphanedMs = NOT_ORPHANED;
     }
 
-    boolean orphaned() {
+    boolean isOrphaned() {
         return orphanedMs != NOT_ORPHANED;
     }
 
-    boolean orphanedBefore(long timeMs) {
+    boolean wasOrphanedBefore(long timeMs) {
         return orphanedMs < timeMs;
     }
 
@@ -136,10 +136,10 @@
 
     /** The end of an attempt that the target did not answer to the end. */
     Finish failed(FailureKind failure, String detail) {
-        return finish(failure, outcome()).setDetail(detail);
+        return newFinish(failure, outcome()).setDetail(detail);
     }
 
-    Finish finish(FailureKind failure, RunOutcome outcome) {
+    Finish newFinish(FailureKind failure, RunOutcome outcome) {
         return new Finish()
                 .setRequestId(id.requestId())
                 .setAttempt(id.attempt())
@@ -148,10 +148,10 @@
     }
 
     private RunOutcome outcome() {
-        if (answer.started()) {
+        if (answer.isStarted()) {
             return RunOutcome.RUN;
         }
-        return begun ? RunOutcome.UNKNOWN : RunOutcome.NOT_RUN;
+        return wasSentToTarget ? RunOutcome.UNKNOWN : RunOutcome.NOT_RUN;
     }
 
     private String traceparent() {
--- a/companion/src/main/java/org/sardinelift/companion/call/CallDecisions.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallDecisionRecorder.java
@@ -7,10 +7,10 @@
 import org.sardinelift.core.gate.SlotGate;
 
 /** Notes what the gate decided about calls, with the figures that it went by. */
-public final class CallDecisions {
+public final class CallDecisionRecorder {
     private final DecisionRecorder decisions;
 
-    private CallDecisions(DecisionRecorder decisions) {
+    private CallDecisionRecorder(DecisionRecorder decisions) {
         this.decisions = decisions;
     }
 
@@ -20,19 +20,19 @@
      * @param decisions notes the decisions
      * @return the record
      */
-    public static CallDecisions of(DecisionRecorder decisions) {
-        return new CallDecisions(decisions);
+    public static CallDecisionRecorder of(DecisionRecorder decisions) {
+        return new CallDecisionRecorder(decisions);
     }
 
-    void started(Attempt attempt, long waitedMs) {
+    void recordStart(Attempt attempt, long waitedMs) {
         note(
                 DecisionAction.STARTED,
                 attempt,
-                attempt.begun() ? "it goes on where it was cut" : "a slot was free",
+                attempt.wasSentToTarget() ? "it goes on where it was cut" : "a slot was free",
                 Map.of("waitedMs", String.valueOf(waitedMs)));
     }
 
-    void cut(Attempt attempt, boolean waits, SlotGate gate) {
+    void recordPreemption(Attempt attempt, boolean waits, SlotGate gate) {
         note(
                 DecisionAction.CUT,
                 attempt,
@@ -42,7 +42,7 @@
                 figures(gate));
     }
 
-    void refused(Attempt attempt, String reason, SlotGate gate) {
+    void recordRefusal(Attempt attempt, String reason, SlotGate gate) {
         note(DecisionAction.REFUSED, attempt, reason, figures(gate));
     }
 
--- a/companion/src/main/java/org/sardinelift/companion/call/CallDesk.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallManager.java
@@ -8,7 +8,7 @@
 import org.sardinelift.companion.outcome.Admission;
 import org.sardinelift.companion.outcome.AttemptId;
 import org.sardinelift.companion.outcome.OutcomeTable;
-import org.sardinelift.companion.target.TargetLink;
+import org.sardinelift.companion.target.TargetClient;
 import org.sardinelift.core.gate.EngineLoad;
 import org.sardinelift.core.gate.GateAction;
 import org.sardinelift.core.gate.GateRefusal;
@@ -23,21 +23,21 @@
 import org.sardinelift.protocol.generated.QueryAnswer;
 import org.sardinelift.protocol.generated.RequestState;
 import org.sardinelift.protocol.generated.Start;
-import org.sardinelift.runtime.Alarm;
 import org.sardinelift.runtime.ControlThread;
+import org.sardinelift.runtime.OneShotTimer;
 import org.sardinelift.runtime.Telemetry;
 import org.tinylog.Logger;
 
 /** Calls that wait for the target, run there, or ended lately. Owned by the control thread. */
-public final class CallDesk {
+public final class CallManager {
     private final ControlThread control;
-    private final TargetLink target;
+    private final TargetClient target;
     private final CallSettings settings;
     private final Telemetry telemetry;
-    private final CallDecisions decisions;
+    private final CallDecisionRecorder decisions;
     private final Runnable onBroken;
     private final Runnable onLoadChange;
-    private final Alarm ticks;
+    private final OneShotTimer ticks;
     private final SlotGate gate;
     private final OutcomeTable outcomes;
     private final Map<AttemptId, Attempt> attempts = new HashMap<>();
@@ -45,8 +45,8 @@
     private final ArrayDeque<GateAction> todo = new ArrayDeque<>();
     private boolean performing;
     private long lastMs = System.nanoTime() / TimeUnit.MILLISECONDS.toNanos(1);
-    private volatile boolean busy;
-    private volatile int unacknowledged;
+    private volatile boolean hasActiveCalls;
+    private volatile int unacknowledgedCalls;
 
     /**
      * Makes an empty desk.
@@ -59,12 +59,12 @@
      * @param onBroken runs when a connection to the target could not be opened or broke
      * @param onLoadChange runs when a call came, started or ended
      */
-    public CallDesk(
+    public CallManager(
             ControlThread control,
-            TargetLink target,
+            TargetClient target,
             CallSettings settings,
             Telemetry telemetry,
-            CallDecisions decisions,
+            CallDecisionRecorder decisions,
             Runnable onBroken,
             Runnable onLoadChange) {
         this.control = control;
@@ -74,7 +74,7 @@
         this.decisions = decisions;
         this.onBroken = onBroken;
         this.onLoadChange = onLoadChange;
-        this.ticks = Alarm.of(control, this::tick);
+        this.ticks = OneShotTimer.of(control, this::tick);
         this.gate = SlotGate.create(settings.gate());
         this.outcomes = OutcomeTable.create(settings.outcomes());
     }
@@ -107,18 +107,18 @@
         long now = now();
         active.values().stream()
                 .filter(attempt -> attempt.answer().on(connection))
-                .forEach(attempt -> attempt.orphan(now));
+                .forEach(attempt -> attempt.markOrphaned(now));
     }
 
     /** Checks deadlines and forgets old outcomes, often while there are calls. */
     public void tick() {
-        ticks.within(active.isEmpty() ? settings.idleTick() : settings.tick());
+        ticks.within(active.isEmpty() ? settings.idleTickInterval() : settings.tick());
         long now = now();
         for (Attempt attempt : List.copyOf(active.values())) {
             gate.recordProgress(attempt.key(), attempt.answer().length());
-            if (attempt.begun() && now >= attempt.deadlineMs()) {
+            if (attempt.wasSentToTarget() && now >= attempt.deadlineMs()) {
                 fail(attempt, FailureKind.DEADLINE_EXCEEDED, "the call's deadline has passed");
-            } else if (attempt.orphanedBefore(now - settings.orphanGrace().toMillis())) {
+            } else if (attempt.wasOrphanedBefore(now - settings.orphanGrace().toMillis())) {
                 fail(attempt, FailureKind.CANCELLED, "the entry went away and did not come back");
             }
         }
@@ -145,7 +145,7 @@
      *
      * @param load the report
      */
-    public void onLoad(EngineLoad load) {
+    public void onTargetLoad(EngineLoad load) {
         perform(gate.onLoadReport(now(), load));
     }
 
@@ -176,8 +176,8 @@
      *
      * @return true while there is one
      */
-    public boolean busy() {
-        return busy;
+    public boolean hasActiveCalls() {
+        return hasActiveCalls;
     }
 
     /**
@@ -185,8 +185,8 @@
      *
      * @return their number
      */
-    public int unacknowledged() {
-        return unacknowledged;
+    public int unacknowledgedCalls() {
+        return unacknowledgedCalls;
     }
 
     private void start(FrameConnection connection, Start start) {
@@ -201,10 +201,10 @@
         Attempt attempt = new Attempt(id, start, answer, now, telemetry);
         attempts.put(id, attempt);
         active.put(attempt.key(), attempt);
-        busy = true;
+        hasActiveCalls = true;
         ticks.within(settings.tick());
         onLoadChange.run();
-        perform(gate.submit(now, attempt.gateCall(target.resumes())));
+        perform(gate.submit(now, attempt.gateCall(target.canResume())));
     }
 
     private void cancel(Cancel cancel) {
@@ -218,7 +218,7 @@
         AttemptId id = new AttemptId(query.getRequestId(), query.getAttempt());
         Attempt attempt = attempts.get(id);
         RequestState state = outcomes.query(id, entry(connection));
-        if (attempt != null && !attempt.answer().reaches(query.getOffset())) {
+        if (attempt != null && !attempt.answer().canReplayFrom(query.getOffset())) {
             Logger.warn(
                     "The answer of {} is no longer kept from byte {}; its outcome is unknown",
                     id,
@@ -230,7 +230,7 @@
         QueryAnswer answer = new QueryAnswer(id.requestId(), id.attempt(), state, length);
         connection.send(Frame.queryAnswer(answer));
         if (attempt != null) {
-            attempt.adopt();
+            attempt.clearOrphaned();
             attempt.answer().attach(connection, query.getOffset());
         }
     }
@@ -239,12 +239,12 @@
         Attempt attempt = attempts.get(id);
         if (attempt != null && active.containsKey(attempt.key())) {
             // The entry has the whole answer before this thread has heard of its end.
-            attempt.acknowledge();
+            attempt.markAcknowledged();
             return;
         }
         attempts.remove(id);
         outcomes.acknowledge(id);
-        unacknowledged = outcomes.unacknowledged();
+        unacknowledgedCalls = outcomes.unacknowledgedCount();
     }
 
     /** Does what the gate says; what that leads to comes after it. */
@@ -274,20 +274,20 @@
             preempt(attempt, preempt.isRequeued());
         } else if (action instanceof GateAction.Refuse refuse) {
             FailureKind failure = failure(refuse.reason());
-            decisions.refused(attempt, "no slot: " + failure.name(), gate);
+            decisions.recordRefusal(attempt, "no slot: " + failure.name(), gate);
             end(attempt, failure, "no slot: " + failure.name());
         }
     }
 
     private void preempt(Attempt attempt, boolean waits) {
-        attempt.cut();
-        if (attempt.answer().finished()) {
+        attempt.abortAtTarget();
+        if (attempt.answer().isFinished()) {
             // It had ended before this thread heard of it; no work is lost.
-            settle(attempt, TargetRelay.End.WHOLE.name());
+            settle(attempt, TargetResponseRelay.End.WHOLE.name());
             return;
         }
-        CallMetrics.preempted();
-        decisions.cut(attempt, waits, gate);
+        CallMetrics.recordPreemption();
+        decisions.recordPreemption(attempt, waits, gate);
         if (!waits) {
             CallMetrics.lost(attempt.answer().length());
             end(attempt, FailureKind.PREEMPTED, "an online call took the slot");
@@ -295,24 +295,24 @@
     }
 
     private void run(Attempt attempt) {
-        if (attempt.orphaned() && !attempt.start().isIdempotent() && !attempt.begun()) {
+        if (attempt.isOrphaned() && !attempt.start().isIdempotent() && !attempt.wasSentToTarget()) {
             fail(attempt, FailureKind.TARGET_UNREACHABLE, "its connection was lost as it waited");
             return;
         }
-        CallMetrics.waited(attempt.lane().name(), lastMs - attempt.receivedMs());
-        decisions.started(attempt, lastMs - attempt.receivedMs());
-        boolean resuming = attempt.begun();
-        TargetRelay[] relay = new TargetRelay[1];
+        CallMetrics.recordWait(attempt.lane().name(), lastMs - attempt.receivedMs());
+        decisions.recordStart(attempt, lastMs - attempt.receivedMs());
+        boolean resuming = attempt.wasSentToTarget();
+        TargetResponseRelay[] relay = new TargetResponseRelay[1];
         relay[0] =
-                new TargetRelay(
+                new TargetResponseRelay(
                         attempt,
                         target.incarnation(),
                         resuming,
                         end -> control.execute(() -> onTargetEnd(attempt, relay[0], end)));
         attempt.answer().source(relay[0]);
-        String traceparent = attempt.enterTarget();
+        String traceparent = attempt.startTargetSpan();
         if (resuming) {
-            CallMetrics.resumed();
+            CallMetrics.recordResume();
             String id = attempt.id().requestId();
             attempt.begin(target.resume(id, attempt.answer().length(), traceparent, relay[0]));
         } else {
@@ -320,18 +320,19 @@
         }
     }
 
-    private void onTargetEnd(Attempt attempt, TargetRelay relay, TargetRelay.End end) {
+    private void onTargetEnd(
+            Attempt attempt, TargetResponseRelay relay, TargetResponseRelay.End end) {
         boolean current = attempt.answer().from(relay) && active.containsKey(attempt.key());
         if (!current) {
             return;
         }
-        if (end == TargetRelay.End.NOT_RESUMED) {
+        if (end == TargetResponseRelay.End.NOT_RESUMED) {
             CallMetrics.lost(attempt.answer().length());
             fail(attempt, FailureKind.PREEMPTED, "the target could not go on with the call");
             return;
         }
         settle(attempt, end.name());
-        if (end == TargetRelay.End.UNREACHABLE || end == TargetRelay.End.BROKEN) {
+        if (end == TargetResponseRelay.End.UNREACHABLE || end == TargetResponseRelay.End.BROKEN) {
             onBroken.run();
         }
     }
@@ -341,7 +342,7 @@
         if (!active.containsKey(attempt.key())) {
             return;
         }
-        attempt.cut();
+        attempt.abortAtTarget();
         end(attempt, failure, detail);
         perform(gate.release(lastMs, attempt.key()));
     }
@@ -363,12 +364,12 @@
         attempt.endSpans(how);
         CallMetrics.ended(attempt.lane().name(), how);
         outcomes.end(attempt.id(), attempt.answer().length(), lastMs).forEach(attempts::remove);
-        if (attempt.acknowledged()) {
+        if (attempt.isAcknowledged()) {
             attempts.remove(attempt.id());
             outcomes.acknowledge(attempt.id());
         }
-        unacknowledged = outcomes.unacknowledged();
-        busy = !active.isEmpty();
+        unacknowledgedCalls = outcomes.unacknowledgedCount();
+        hasActiveCalls = !active.isEmpty();
     }
 
     /** After a pause of this process, calls that wait count as lost until their entry asks. */
@@ -377,7 +378,7 @@
         if (now - lastMs > settings.pauseBound().toMillis()) {
             Logger.warn(
                     "This process was paused for {} ms; calls await their entries", now - lastMs);
-            active.values().forEach(attempt -> attempt.orphan(now));
+            active.values().forEach(attempt -> attempt.markOrphaned(now));
         }
         lastMs = now;
         return now;
--- a/companion/src/main/java/org/sardinelift/companion/call/CallMetrics.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallMetrics.java
@@ -39,11 +39,11 @@
         ENDED.labelValues(lane, failure).inc();
     }
 
-    static void preempted() {
+    static void recordPreemption() {
         PREEMPTED.inc();
     }
 
-    static void resumed() {
+    static void recordResume() {
         RESUMED.inc();
     }
 
@@ -51,7 +51,7 @@
         LOST_BYTES.inc(bytes);
     }
 
-    static void waited(String lane, long millis) {
+    static void recordWait(String lane, long millis) {
         WAITED.labelValues(lane).observe(millis / 1e3);
     }
 }
--- a/companion/src/main/java/org/sardinelift/companion/call/CallSettings.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallSettings.java
@@ -1,7 +1,7 @@
 package org.sardinelift.companion.call;
 
 import java.time.Duration;
-import org.sardinelift.companion.outcome.OutcomeBounds;
+import org.sardinelift.companion.outcome.OutcomeLimits;
 import org.sardinelift.core.gate.GateSettings;
 import org.sardinelift.settings.SettingsNode;
 
@@ -18,7 +18,7 @@
 public record CallSettings(
         Duration tick,
         GateSettings gate,
-        OutcomeBounds outcomes,
+        OutcomeLimits outcomes,
         int maxAnswerBytes,
         Duration orphanGrace,
         Duration pauseBound) {
@@ -44,7 +44,7 @@
         return new CallSettings(
                 node.millis("tickMs", DEFAULT_TICK_MS),
                 readGate(node.object("gate"), GateSettings.defaults(slots)),
-                new OutcomeBounds(
+                new OutcomeLimits(
                         node.integer("keptRecords", DEFAULT_RECORDS, 1, Integer.MAX_VALUE),
                         node.integer("keptBytes", DEFAULT_KEPT_BYTES, 0, Integer.MAX_VALUE),
                         node.millis("keptMs", DEFAULT_RETENTION_MS),
@@ -60,7 +60,7 @@
      *
      * @return the time
      */
-    public Duration idleTick() {
+    public Duration idleTickInterval() {
         Duration idle = pauseBound.dividedBy(IDLE_TICKS_PER_PAUSE_BOUND);
         return idle.compareTo(tick) < 0 ? tick : idle;
     }
--- a/companion/src/main/java/org/sardinelift/companion/call/TargetRelay.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/TargetResponseRelay.java
@@ -12,7 +12,7 @@
 import org.sardinelift.protocol.generated.RunOutcome;
 
 /** Passes what the target sends on to the answer of one attempt, on the connection's event loop. */
-final class TargetRelay implements HttpAnswerListener {
+final class TargetResponseRelay implements HttpAnswerListener {
     private static final int OK = 200;
 
     private final Attempt attempt;
@@ -35,7 +35,8 @@
         SILENT
     }
 
-    TargetRelay(Attempt attempt, String targetIncarnation, boolean resuming, Consumer<End> onEnd) {
+    TargetResponseRelay(
+            Attempt attempt, String targetIncarnation, boolean resuming, Consumer<End> onEnd) {
         this.attempt = attempt;
         this.targetIncarnation = targetIncarnation;
         this.resuming = resuming;
@@ -46,14 +47,14 @@
     public void onHead(int status, List<Map.Entry<String, String>> headers) {
         refusedToResume = resuming && status != OK;
         if (!refusedToResume) {
-            attempt.answer().head(this, status, joined(headers));
+            attempt.answer().writeHead(this, status, joined(headers));
         }
     }
 
     @Override
     public void onData(byte[] part) {
         if (!refusedToResume) {
-            attempt.answer().data(this, part);
+            attempt.answer().writeData(this, part);
         }
     }
 
@@ -63,7 +64,7 @@
             onEnd.accept(End.NOT_RESUMED);
             return;
         }
-        Finish finish = attempt.finish(FailureKind.NONE, RunOutcome.RUN);
+        Finish finish = attempt.newFinish(FailureKind.NONE, RunOutcome.RUN);
         attempt.answer().finish(this, finish.setTargetIncarnation(targetIncarnation));
         onEnd.accept(End.WHOLE);
     }
@@ -81,12 +82,12 @@
     }
 
     private RunOutcome mayHaveRun() {
-        return attempt.answer().started() ? RunOutcome.RUN : RunOutcome.UNKNOWN;
+        return attempt.answer().isStarted() ? RunOutcome.RUN : RunOutcome.UNKNOWN;
     }
 
     private void finish(FailureKind failure, RunOutcome outcome, Throwable cause, End end) {
         Finish finish =
-                attempt.finish(failure, outcome)
+                attempt.newFinish(failure, outcome)
                         .setDetail("the connection to the target failed: " + cause.getMessage())
                         .setTargetIncarnation(targetIncarnation);
         attempt.answer().finish(this, finish);
--- a/companion/src/main/java/org/sardinelift/companion/link/EntryLinks.java
+++ b/companion/src/main/java/org/sardinelift/companion/link/EntryConnections.java
@@ -15,7 +15,7 @@
  * Connections from entries, one for each lane. A new connection of the same entry and lane takes
  * the place of the old one, which is closed. State is owned by the control thread.
  */
-public final class EntryLinks implements FrameListener {
+public final class EntryConnections implements FrameListener {
     private final ControlThread control;
     private final BiConsumer<FrameConnection, Frame> onFrame;
     private final Consumer<FrameConnection> onLost;
@@ -32,7 +32,7 @@
      * @param onLost hears of each connection that is lost, on the control thread
      * @param onControlUp runs when an entry's control connection is up, on the control thread
      */
-    public EntryLinks(
+    public EntryConnections(
             ControlThread control,
             BiConsumer<FrameConnection, Frame> onFrame,
             Consumer<FrameConnection> onLost,
--- a/companion/src/main/java/org/sardinelift/companion/link/LoadReporter.java
+++ b/companion/src/main/java/org/sardinelift/companion/link/LoadReporter.java
@@ -6,15 +6,15 @@
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.core.gate.ReportPacer;
 import org.sardinelift.protocol.generated.LoadReport;
-import org.sardinelift.runtime.Alarm;
 import org.sardinelift.runtime.ControlThread;
+import org.sardinelift.runtime.OneShotTimer;
 
 /** Tells entries the load when its pace says so. Owned by the control thread. */
 public final class LoadReporter {
     private final ReportPacer pace;
     private final Supplier<LoadReport> load;
     private final Consumer<LoadReport> send;
-    private final Alarm alarm;
+    private final OneShotTimer alarm;
     private @Nullable LoadReport last;
 
     /**
@@ -33,7 +33,7 @@
         this.pace = pace;
         this.load = load;
         this.send = send;
-        this.alarm = Alarm.of(control, this::report);
+        this.alarm = OneShotTimer.of(control, this::report);
     }
 
     /** A call came, started or ended: entries count on a report after it, whatever its figures. */
@@ -50,7 +50,7 @@
     }
 
     /** Sends a report at once where the load is another than the one last told. */
-    public void reportIfOther() {
+    public void reportIfChanged() {
         if (isOther()) {
             report();
         }
--- a/companion/src/main/java/org/sardinelift/companion/order/OrderTarget.java
+++ b/companion/src/main/java/org/sardinelift/companion/order/OrderExecutor.java
@@ -5,7 +5,7 @@
 
 /** Carries out orders. */
 @FunctionalInterface
-public interface OrderTarget {
+public interface OrderExecutor {
 
     /**
      * Carries out an order.
@@ -13,13 +13,13 @@
      * @param order the order, with its fencing number
      * @return what became of it; never fails
      */
-    CompletableFuture<Verdict> carryOut(Order order);
+    CompletableFuture<Result> execute(Order order);
 
     /**
      * What became of an order at the target.
      *
-     * @param accepted whether the target took it
+     * @param isAccepted whether the target took it
      * @param detail what the target said
      */
-    record Verdict(boolean accepted, String detail) {}
+    record Result(boolean isAccepted, String detail) {}
 }
--- a/companion/src/main/java/org/sardinelift/companion/order/OrderGuard.java
+++ b/companion/src/main/java/org/sardinelift/companion/order/OrderGuard.java
@@ -25,13 +25,13 @@
 
     private final ObjectStore store;
     private final ObjectKey key;
-    private final OrderTarget target;
+    private final OrderExecutor target;
     private final Executor control;
     private final int maxWaiting;
     private final int maxTries;
     private final ArrayDeque<Pending> waiting = new ArrayDeque<>();
     private boolean taking;
-    private long highest;
+    private long highestFence;
 
     private record Pending(Order order, Consumer<OrderResult> answer) {}
 
@@ -48,7 +48,7 @@
     public OrderGuard(
             ObjectStore store,
             String targetName,
-            OrderTarget target,
+            OrderExecutor target,
             Executor control,
             int maxWaiting,
             int maxTries) {
@@ -80,8 +80,8 @@
      *
      * @return 0 before the first order
      */
-    public long highest() {
-        return highest;
+    public long highestFence() {
+        return highestFence;
     }
 
     private void next() {
@@ -102,7 +102,7 @@
 
     private void onRead(Pending pending, int tries, ReadResult read) {
         if (read instanceof ReadResult.Found found) {
-            highest = Math.max(highest, fence(found.object().value()));
+            highestFence = Math.max(highestFence, fence(found.object().value()));
             decide(pending, tries, found.object().version());
         } else if (read instanceof ReadResult.Absent) {
             decide(pending, tries, ObjectStore.ABSENT_VERSION);
@@ -115,15 +115,17 @@
 
     private void decide(Pending pending, int tries, long version) {
         long fence = pending.order().getFence();
-        if (fence < highest) {
+        if (fence < highestFence) {
             Logger.warn(
                     "Order {} {} of {} has fencing number {}, below {}; it is refused",
                     pending.order().getAction(),
                     pending.order().getSubject(),
                     pending.order().getHolder(),
                     fence,
-                    highest);
-            refuse(pending, "the fencing number is below " + highest + "; take the lease anew");
+                    highestFence);
+            refuse(
+                    pending,
+                    "the fencing number is below " + highestFence + "; take the lease anew");
             return;
         }
         // Written even where it is equal: the condition proves that the read was not stale.
@@ -136,10 +138,10 @@
             check(pending, tries - 1);
             return;
         }
-        highest = Math.max(highest, pending.order().getFence());
-        target.carryOut(pending.order())
+        highestFence = Math.max(highestFence, pending.order().getFence());
+        target.execute(pending.order())
                 .thenAcceptAsync(
-                        verdict -> end(pending, verdict.accepted(), true, verdict.detail()),
+                        verdict -> end(pending, verdict.isAccepted(), true, verdict.detail()),
                         control);
     }
 
@@ -154,7 +156,7 @@
     }
 
     private OrderResult result(Order order, boolean accepted, boolean passedOn, String detail) {
-        return new OrderResult(order.getExchange(), accepted, highest, detail)
+        return new OrderResult(order.getExchange(), accepted, highestFence, detail)
                 .setPassedOn(passedOn);
     }
 
--- a/companion/src/main/java/org/sardinelift/companion/outcome/OutcomeBounds.java
+++ b/companion/src/main/java/org/sardinelift/companion/outcome/OutcomeLimits.java
@@ -9,7 +9,11 @@
  * @param maxBytes bytes of answers of ended attempts kept
  * @param retention longest time that an ended attempt is kept
  * @param maxTombstones attempts remembered as never to be started
- * @param maxForgetful entries remembered as having lost an outcome
+ * @param maxEntriesWithLostOutcomes entries remembered as having lost an outcome
  */
-public record OutcomeBounds(
-        int maxRecords, long maxBytes, Duration retention, int maxTombstones, int maxForgetful) {}
+public record OutcomeLimits(
+        int maxRecords,
+        long maxBytes,
+        Duration retention,
+        int maxTombstones,
+        int maxEntriesWithLostOutcomes) {}
--- a/companion/src/main/java/org/sardinelift/companion/outcome/OutcomeTable.java
+++ b/companion/src/main/java/org/sardinelift/companion/outcome/OutcomeTable.java
@@ -17,7 +17,7 @@
  * told "unknown" of every attempt that is not on record. Not safe for use by several threads.
  */
 public final class OutcomeTable {
-    private final OutcomeBounds bounds;
+    private final OutcomeLimits bounds;
     private final Map<AttemptId, String> running = new HashMap<>();
     private final LinkedHashMap<AttemptId, Ended> ended = new LinkedHashMap<>();
     private final LinkedHashSet<AttemptId> tombstones = new LinkedHashSet<>();
@@ -27,7 +27,7 @@
 
     private record Ended(String entry, long bytes, long atMs) {}
 
-    private OutcomeTable(OutcomeBounds bounds) {
+    private OutcomeTable(OutcomeLimits bounds) {
         this.bounds = bounds;
     }
 
@@ -37,7 +37,7 @@
      * @param bounds its bounds
      * @return the table
      */
-    public static OutcomeTable create(OutcomeBounds bounds) {
+    public static OutcomeTable create(OutcomeLimits bounds) {
         return new OutcomeTable(bounds);
     }
 
@@ -137,7 +137,7 @@
      *
      * @return their number
      */
-    public int unacknowledged() {
+    public int unacknowledgedCount() {
         return ended.size();
     }
 
@@ -152,7 +152,7 @@
     }
 
     private void forget(String entry) {
-        if (forgetful.size() >= bounds.maxForgetful()) {
+        if (forgetful.size() >= bounds.maxEntriesWithLostOutcomes()) {
             allForgetful = true;
             forgetful.clear();
         }
--- a/companion/src/main/java/org/sardinelift/companion/target/LoadedModels.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/LoadedModels.java
@@ -18,7 +18,7 @@
      * @param models names of the settings
      * @return these models, without versions
      */
-    public static LoadedModels untold(List<String> models) {
+    public static LoadedModels ofNames(List<String> models) {
         return new LoadedModels(models, Map.of(), "");
     }
 
@@ -28,7 +28,7 @@
      * @param hidden whether a model is left out
      * @return the rest, all versions kept
      */
-    LoadedModels without(java.util.function.Predicate<String> hidden) {
+    LoadedModels excluding(java.util.function.Predicate<String> hidden) {
         return new LoadedModels(models.stream().filter(hidden.negate()).toList(), versions, role);
     }
 }
--- a/companion/src/main/java/org/sardinelift/companion/target/ModelWatch.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/ModelTracker.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
-import org.sardinelift.companion.order.OrderTarget;
+import org.sardinelift.companion.order.OrderExecutor;
 import org.sardinelift.protocol.generated.Order;
 
 /**
@@ -12,10 +12,10 @@
  * not shown, so that entries send new calls elsewhere; an order for a role hides all models. What
  * is shown is new before an order's verdict is given. Owned by the control thread.
  */
-public final class ModelWatch implements OrderTarget {
+public final class ModelTracker implements OrderExecutor {
     private static final String ROLE_ACTION = "role";
 
-    private final TargetOrders target;
+    private final TargetControlClient target;
     private final Executor control;
     private final Runnable onChange;
     private final List<Order> running = new ArrayList<>();
@@ -31,12 +31,12 @@
      * @param control runs what follows an answer
      * @param onChange called when something else is shown
      */
-    public ModelWatch(
-            TargetOrders target, List<String> models, Executor control, Runnable onChange) {
+    public ModelTracker(
+            TargetControlClient target, List<String> models, Executor control, Runnable onChange) {
         this.target = target;
         this.control = control;
         this.onChange = onChange;
-        this.loaded = LoadedModels.untold(models);
+        this.loaded = LoadedModels.ofNames(models);
     }
 
     /**
@@ -44,8 +44,8 @@
      *
      * @return the models shown
      */
-    public LoadedModels shown() {
-        return loaded.without(this::hidden);
+    public LoadedModels availableModels() {
+        return loaded.excluding(this::hidden);
     }
 
     /** Asks the target; an answer that another question has overtaken is dropped. */
@@ -54,10 +54,10 @@
     }
 
     @Override
-    public CompletableFuture<Verdict> carryOut(Order order) {
+    public CompletableFuture<Result> execute(Order order) {
         running.add(order);
         onChange.run();
-        return target.carryOut(order)
+        return target.execute(order)
                 .thenComposeAsync(
                         verdict -> {
                             running.remove(order);
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetLink.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetClient.java
@@ -12,7 +12,7 @@
 import org.sardinelift.protocol.generated.Start;
 
 /** Sends calls to the target. */
-public final class TargetLink {
+public final class TargetClient {
     private static final Set<String> HOP_HEADERS =
             Set.of(
                     "authorization",
@@ -40,7 +40,7 @@
      * @param settings the target
      * @param incarnation names the target's life
      */
-    public TargetLink(HttpClient client, TargetSettings settings, String incarnation) {
+    public TargetClient(HttpClient client, TargetSettings settings, String incarnation) {
         this.client = client;
         this.settings = settings;
         this.incarnation = incarnation;
@@ -60,8 +60,8 @@
      *
      * @return true where it does
      */
-    public boolean resumes() {
-        return settings.engine() && settings.resume();
+    public boolean canResume() {
+        return settings.isModelEngine() && settings.resume();
     }
 
     /**
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetOrders.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetControlClient.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import org.sardinelift.companion.order.OrderTarget;
+import org.sardinelift.companion.order.OrderExecutor;
 import org.sardinelift.http.HttpAnswer;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.protocol.generated.Order;
 
 /** Orders to the target over HTTP, and the models that it has loaded. */
-public final class TargetOrders implements OrderTarget {
+public final class TargetControlClient implements OrderExecutor {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int OK = 200;
     private static final byte[] NO_BODY = {};
@@ -31,13 +31,13 @@
      * @param client HTTP client
      * @param settings the target
      */
-    public TargetOrders(HttpClient client, TargetSettings settings) {
+    public TargetControlClient(HttpClient client, TargetSettings settings) {
         this.client = client;
         this.settings = settings;
     }
 
     @Override
-    public CompletableFuture<Verdict> carryOut(Order order) {
+    public CompletableFuture<Result> execute(Order order) {
         String body =
                 MAPPER.createObjectNode()
                         .put("action", order.getAction())
@@ -53,8 +53,8 @@
                 .handle(
                         (answer, error) ->
                                 error == null
-                                        ? new Verdict(answer.status() == OK, answer.text())
-                                        : new Verdict(false, "no answer: " + error.getMessage()));
+                                        ? new Result(answer.status() == OK, answer.text())
+                                        : new Result(false, "no answer: " + error.getMessage()));
     }
 
     /**
@@ -63,8 +63,8 @@
      * @return what the target says; the settings' models where it does not tell
      */
     public CompletableFuture<LoadedModels> models() {
-        LoadedModels untold = LoadedModels.untold(settings.models());
-        if (!settings.engine()) {
+        LoadedModels untold = LoadedModels.ofNames(settings.models());
+        if (!settings.isModelEngine()) {
             return CompletableFuture.completedFuture(untold);
         }
         return client.call(call("GET", "/v1/models", Map.of(), NO_BODY))
@@ -89,7 +89,7 @@
                             });
             return new LoadedModels(names, versions, body.path("role").asText());
         } catch (JsonProcessingException e) {
-            return LoadedModels.untold(settings.models());
+            return LoadedModels.ofNames(settings.models());
         }
     }
 
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetHealth.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetHealth.java
@@ -11,7 +11,7 @@
     private final int failuresToDown;
     private final Supplier<String> incarnations;
     private String incarnation;
-    private boolean up = true;
+    private boolean isUp = true;
     private boolean broken;
     private int failures;
 
@@ -33,7 +33,7 @@
     }
 
     /** A connection of a call could not be opened or broke. */
-    public void onBroken() {
+    public void onConnectionFailed() {
         broken = true;
     }
 
@@ -45,23 +45,23 @@
      * @return whether the target is another life of itself, or down, since the last probe
      */
     public boolean onProbe(boolean answered, int callsRunning) {
-        boolean wasUp = up;
+        boolean wasUp = isUp;
         String before = incarnation;
         if (answered) {
             boolean restarted = broken && callsRunning == 0;
-            if (!up || restarted) {
+            if (!isUp || restarted) {
                 incarnation = incarnations.get();
             }
-            up = true;
+            isUp = true;
             failures = 0;
         } else {
             failures++;
             if (broken || failures >= failuresToDown) {
-                up = false;
+                isUp = false;
             }
         }
         broken = false;
-        return wasUp != up || !before.equals(incarnation);
+        return wasUp != isUp || !before.equals(incarnation);
     }
 
     /**
@@ -69,8 +69,8 @@
      *
      * @return false while it is down
      */
-    public boolean up() {
-        return up;
+    public boolean isUp() {
+        return isUp;
     }
 
     /**
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetSettings.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetSettings.java
@@ -19,7 +19,7 @@
  * @param probeInterval time between two probes
  * @param probeTimeout time after which a probe counts as not answered
  * @param probePath path that a probe asks for; any answer shows that the target lives
- * @param probeFailures failed probes in a row after which the target is down
+ * @param probeFailureThreshold failed probes in a row after which the target is down
  * @param orderTimeout longest silence while the target carries out an order
  * @param resume whether it goes on with calls that were cut
  */
@@ -28,7 +28,7 @@
         String host,
         int port,
         String service,
-        boolean engine,
+        boolean isModelEngine,
         int slots,
         List<String> models,
         Duration connectTimeout,
@@ -36,7 +36,7 @@
         Duration probeInterval,
         Duration probeTimeout,
         String probePath,
-        int probeFailures,
+        int probeFailureThreshold,
         Duration orderTimeout,
         boolean resume) {
     private static final int MAX_PORT = 65_535;
--- a/companion/src/test/java/org/sardinelift/companion/order/OrderGuardTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/order/OrderGuardTest.java
@@ -24,7 +24,7 @@
                 order -> {
                     carriedOut.add(order.getFence());
                     return CompletableFuture.completedFuture(
-                            new OrderTarget.Verdict(true, "loaded"));
+                            new OrderExecutor.Result(true, "loaded"));
                 },
                 Runnable::run,
                 4,
@@ -44,7 +44,7 @@
         assertTrue(take(guard, 7));
         assertTrue(take(guard, 8));
         assertEquals(List.of(7L, 7L, 8L), carriedOut);
-        assertEquals(8, guard.highest());
+        assertEquals(8, guard.highestFence());
     }
 
     @Test
--- a/companion/src/test/java/org/sardinelift/companion/outcome/OutcomeTableTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/outcome/OutcomeTableTest.java
@@ -14,8 +14,8 @@
 import org.sardinelift.protocol.generated.RequestState;
 
 class OutcomeTableTest {
-    private static final OutcomeBounds BOUNDS =
-            new OutcomeBounds(5, 100, Duration.ofMillis(1_000), 1_000, 3);
+    private static final OutcomeLimits BOUNDS =
+            new OutcomeLimits(5, 100, Duration.ofMillis(1_000), 1_000, 3);
 
     @Property(seed = "31007", tries = 500)
     void notStartedIsSaidOnlyOfWhatNeverCameAndNeverWill(@ForAll long seed) {
@@ -50,7 +50,7 @@
                     }
                 }
             }
-            assertTrue(table.unacknowledged() <= BOUNDS.maxRecords());
+            assertTrue(table.unacknowledgedCount() <= BOUNDS.maxRecords());
         }
     }
 
--- a/companion/src/test/java/org/sardinelift/companion/target/ModelWatchTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/target/ModelWatchTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.companion.order.OrderTarget;
+import org.sardinelift.companion.order.OrderExecutor;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.http.HttpLimits;
@@ -37,7 +37,7 @@
     private final List<HttpExchange> orders = new CopyOnWriteArrayList<>();
     private volatile String version = "1";
     private HttpServer server;
-    private ModelWatch watch;
+    private ModelTracker watch;
 
     @BeforeEach
     void start() throws Exception {
@@ -50,8 +50,8 @@
         TargetSettings target = ((SettingsResult.Valid<TargetSettings>) settings).settings();
         HttpClient client = HttpClient.create(group, Duration.ofSeconds(5), null);
         watch =
-                new ModelWatch(
-                        new TargetOrders(client, target),
+                new ModelTracker(
+                        new TargetControlClient(client, target),
                         target.models(),
                         control::execute,
                         () -> {});
@@ -82,35 +82,35 @@
         return done.join();
     }
 
-    private CompletableFuture<OrderTarget.Verdict> begin(Order order) {
+    private CompletableFuture<OrderExecutor.Result> begin(Order order) {
         int before = orders.size();
-        CompletableFuture<OrderTarget.Verdict> verdict = new CompletableFuture<>();
-        control.execute(() -> watch.carryOut(order).thenAccept(verdict::complete));
+        CompletableFuture<OrderExecutor.Result> verdict = new CompletableFuture<>();
+        control.execute(() -> watch.execute(order).thenAccept(verdict::complete));
         await().until(() -> orders.size() > before);
         return verdict;
     }
 
     @Test
     void aModelUnderOrderIsNotShownAndItsNewVersionIsThereWithTheVerdict() {
-        CompletableFuture<OrderTarget.Verdict> verdict =
+        CompletableFuture<OrderExecutor.Result> verdict =
                 begin(new Order(1, 7, "load", "m", "2", "e1"));
-        assertEquals(List.of("n"), onControl(watch::shown).models());
+        assertEquals(List.of("n"), onControl(watch::availableModels).models());
         version = "2";
         orders.get(0).respondJson(200, "{}");
-        assertTrue(verdict.join().accepted());
+        assertTrue(verdict.join().isAccepted());
         assertEquals(
                 new LoadedModels(List.of("m", "n"), Map.of("m", "2"), "decode"),
-                onControl(watch::shown));
+                onControl(watch::availableModels));
     }
 
     @Test
     void anOrderForARoleHidesAllModelsAndARefusalShowsThemAgain() {
-        CompletableFuture<OrderTarget.Verdict> verdict =
+        CompletableFuture<OrderExecutor.Result> verdict =
                 begin(new Order(1, 7, "role", "prefill", "", "e1"));
-        assertEquals(List.of(), onControl(watch::shown).models());
+        assertEquals(List.of(), onControl(watch::availableModels).models());
         orders.get(0).respondJson(500, "{}");
-        assertFalse(verdict.join().accepted());
-        assertEquals(List.of("m", "n"), onControl(watch::shown).models());
+        assertFalse(verdict.join().isAccepted());
+        assertEquals(List.of("m", "n"), onControl(watch::availableModels).models());
     }
 
     @Test
--- a/companion/src/test/java/org/sardinelift/companion/target/TargetHealthTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/target/TargetHealthTest.java
@@ -14,31 +14,31 @@
     void isDownAfterSeveralSilentProbesAndBackAfterOneAnswer() {
         assertFalse(health.onProbe(false, 0));
         assertFalse(health.onProbe(false, 0));
-        assertTrue(health.up());
+        assertTrue(health.isUp());
         assertTrue(health.onProbe(false, 0));
-        assertFalse(health.up());
+        assertFalse(health.isUp());
         assertTrue(health.onProbe(true, 0));
-        assertTrue(health.up());
+        assertTrue(health.isUp());
         assertEquals("life2", health.incarnation());
     }
 
     @Test
     void isDownAtOnceWhereACallBrokeAndTheProbeFails() {
-        health.onBroken();
+        health.onConnectionFailed();
         assertTrue(health.onProbe(false, 0));
-        assertFalse(health.up());
+        assertFalse(health.isUp());
     }
 
     @Test
     void aRestartBetweenTwoProbesIsAnotherLife() {
-        health.onBroken();
+        health.onConnectionFailed();
         assertTrue(health.onProbe(true, 0));
         assertEquals("life2", health.incarnation());
     }
 
     @Test
     void oneBrokenCallAmongOthersThatStandIsNoRestart() {
-        health.onBroken();
+        health.onConnectionFailed();
         assertFalse(health.onProbe(true, 1));
         assertEquals("life1", health.incarnation());
     }
--- a/http/src/main/java/org/sardinelift/http/ClientExchange.java
+++ b/http/src/main/java/org/sardinelift/http/ClientExchange.java
@@ -39,7 +39,7 @@
         this.listener = listener;
     }
 
-    void sendOn(Channel target, boolean fromPool) {
+    void sendOver(Channel target, boolean fromPool) {
         channel = target;
         if (!target.eventLoop().inEventLoop()) {
             target.eventLoop().execute(() -> write(target, fromPool));
@@ -134,7 +134,7 @@
         finish();
         // A peer that answered early still takes what comes next for the rest of the body.
         if (keepAlive && written && !cancelled) {
-            client.release(call, source, idleSeconds);
+            client.returnToPool(call, source, idleSeconds);
         } else {
             source.close();
         }
--- a/http/src/main/java/org/sardinelift/http/HttpClient.java
+++ b/http/src/main/java/org/sardinelift/http/HttpClient.java
@@ -122,7 +122,7 @@
         ClientExchange exchange = new ClientExchange(this, call, listener);
         Channel pooled = call.freshConnection() ? null : takeIdle(call);
         if (pooled != null) {
-            exchange.sendOn(pooled, true);
+            exchange.sendOver(pooled, true);
         } else {
             connect(call, exchange);
         }
@@ -173,14 +173,14 @@
         connecting.addListener(
                 future -> {
                     if (future.isSuccess()) {
-                        exchange.sendOn(connecting.channel(), false);
+                        exchange.sendOver(connecting.channel(), false);
                     } else {
                         exchange.fail(future.cause(), false);
                     }
                 });
     }
 
-    void release(HttpCall call, Channel channel, @Nullable String keepAlive) {
+    void returnToPool(HttpCall call, Channel channel, @Nullable String keepAlive) {
         ConcurrentLinkedDeque<Idle> pool =
                 idle.computeIfAbsent(address(call), key -> new ConcurrentLinkedDeque<>());
         if (pool.size() >= MAX_IDLE_PER_ADDRESS) {
--- a/http/src/main/java/org/sardinelift/http/HttpServer.java
+++ b/http/src/main/java/org/sardinelift/http/HttpServer.java
@@ -141,12 +141,12 @@
      * @return their number
      */
     public int answersDue() {
-        return state.answersDue.get();
+        return state.pendingResponses.get();
     }
 
     /** Has every answer from now on announce that its connection closes after it. */
     public void announceClose() {
-        state.closing = true;
+        state.isClosing = true;
     }
 
     /** Closes the connections on which no request is under way, in whole or in part. */
--- a/http/src/main/java/org/sardinelift/http/ServerConnection.java
+++ b/http/src/main/java/org/sardinelift/http/ServerConnection.java
@@ -150,7 +150,7 @@
     private void dispatch(ChannelHandlerContext context, HttpRequest head, CompositeByteBuf whole) {
         cancelTimer();
         answering = true;
-        state.answersDue.incrementAndGet();
+        state.pendingResponses.incrementAndGet();
         byte[] bytes = ByteBufUtil.getBytes(whole);
         releaseBody();
         request = null;
@@ -161,7 +161,7 @@
                         head.uri(),
                         head.headers(),
                         bytes,
-                        () -> HttpUtil.isKeepAlive(head) && !state.closing,
+                        () -> HttpUtil.isKeepAlive(head) && !state.isClosing,
                         () -> context.executor().execute(() -> onAnswered(context)));
         handler.handle(exchange);
     }
@@ -180,7 +180,7 @@
     private void noteAnswered() {
         if (answering) {
             answering = false;
-            state.answersDue.decrementAndGet();
+            state.pendingResponses.decrementAndGet();
         }
     }
 
--- a/http/src/main/java/org/sardinelift/http/ServerState.java
+++ b/http/src/main/java/org/sardinelift/http/ServerState.java
@@ -4,6 +4,6 @@
 
 /** What the connections of one server have in common. */
 final class ServerState {
-    final AtomicInteger answersDue = new AtomicInteger();
-    volatile boolean closing;
+    final AtomicInteger pendingResponses = new AtomicInteger();
+    volatile boolean isClosing;
 }
--- a/protocol/src/main/java/org/sardinelift/protocol/Backoff.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/Backoff.java
@@ -23,7 +23,7 @@
     }
 
     /** Between half and all of a bound that doubles with each call. */
-    Duration next() {
+    Duration nextDelay() {
         long bound = nextNanos;
         nextNanos = Math.min(maxNanos, bound * 2);
         return Duration.ofNanos(bound / 2 + random.nextLong(bound / 2 + 1));
--- a/protocol/src/main/java/org/sardinelift/protocol/ChannelConnection.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ChannelConnection.java
@@ -56,7 +56,7 @@
     }
 
     /** Watches the raw bytes, so that a large frame on its way does not count as silence. */
-    ChannelInboundHandlerAdapter byteWatch() {
+    ChannelInboundHandlerAdapter byteMonitor() {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) {
--- a/protocol/src/main/java/org/sardinelift/protocol/LinkLimits.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ConnectionLimits.java
@@ -8,7 +8,7 @@
  *     disconnected
  * @param maxConnections connections that a server holds at once; one more is closed at once
  */
-public record LinkLimits(int maxFrameBytes, int maxUnsentBytes, int maxConnections) {
+public record ConnectionLimits(int maxFrameBytes, int maxUnsentBytes, int maxConnections) {
     private static final int DEFAULT_FRAME_BYTES = 72 * 1024 * 1024;
     private static final int DEFAULT_UNSENT_BYTES = 256 * 1024 * 1024;
     private static final int DEFAULT_CONNECTIONS = 10_000;
@@ -18,7 +18,7 @@
      *
      * @return the default bounds
      */
-    public static LinkLimits defaults() {
-        return new LinkLimits(DEFAULT_FRAME_BYTES, DEFAULT_UNSENT_BYTES, DEFAULT_CONNECTIONS);
+    public static ConnectionLimits defaults() {
+        return new ConnectionLimits(DEFAULT_FRAME_BYTES, DEFAULT_UNSENT_BYTES, DEFAULT_CONNECTIONS);
     }
 }
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameLink.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameLink.java
@@ -51,7 +51,7 @@
             Supplier<Hello> self,
             LinkTimings timings,
             FrameListener listener) {
-        return open(group, host, port, tls, self, timings, LinkLimits.defaults(), listener);
+        return open(group, host, port, tls, self, timings, ConnectionLimits.defaults(), listener);
     }
 
     /**
@@ -74,7 +74,7 @@
             @Nullable Supplier<SslContext> tls,
             Supplier<Hello> self,
             LinkTimings timings,
-            LinkLimits limits,
+            ConnectionLimits limits,
             FrameListener listener) {
         Backoff backoff = Backoff.of(timings, ThreadLocalRandom.current());
         FrameListener resetting = new BackoffReset(backoff, listener);
@@ -141,7 +141,7 @@
         if (closed || group.isShuttingDown()) {
             return;
         }
-        group.schedule(this::connect, backoff.next().toNanos(), TimeUnit.NANOSECONDS);
+        group.schedule(this::connect, backoff.nextDelay().toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /** Lets the backoff start again from its shortest time once a connection is up. */
--- a/protocol/src/main/java/org/sardinelift/protocol/FramePipeline.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FramePipeline.java
@@ -16,14 +16,14 @@
     static void install(
             Channel channel,
             @Nullable SslHandler tls,
-            LinkLimits limits,
+            ConnectionLimits limits,
             ChannelConnection connection) {
         channel.config()
                 .setOption(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
                         new WriteBufferWaterMark(
                                 limits.maxUnsentBytes() / 2, limits.maxUnsentBytes()));
-        channel.pipeline().addLast(connection.byteWatch());
+        channel.pipeline().addLast(connection.byteMonitor());
         if (tls != null) {
             channel.pipeline().addLast(tls);
         }
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameServer.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameServer.java
@@ -52,7 +52,7 @@
             LinkTimings timings,
             FrameListener listener)
             throws BindException {
-        return start(group, host, port, tls, self, timings, LinkLimits.defaults(), listener);
+        return start(group, host, port, tls, self, timings, ConnectionLimits.defaults(), listener);
     }
 
     /**
@@ -76,7 +76,7 @@
             @Nullable Supplier<SslContext> tls,
             Supplier<Hello> self,
             LinkTimings timings,
-            LinkLimits limits,
+            ConnectionLimits limits,
             FrameListener listener)
             throws BindException {
         ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
--- a/protocol/src/test/java/org/sardinelift/protocol/FrameLinkTest.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/FrameLinkTest.java
@@ -179,7 +179,7 @@
 
     @Test
     void disconnectsAPeerWhoseFrameIsTooLarge() throws Exception {
-        LinkLimits limits = new LinkLimits(1000, 1_000_000, 10);
+        ConnectionLimits limits = new ConnectionLimits(1000, 1_000_000, 10);
         try (FrameServer small =
                         FrameServer.start(
                                 group,
--- a/runtime/src/main/java/org/sardinelift/runtime/ControlThread.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/ControlThread.java
@@ -102,7 +102,7 @@
      *
      * @return true on the control thread
      */
-    public boolean onThread() {
+    public boolean isCurrentThread() {
         return Thread.currentThread() == thread;
     }
 
--- a/runtime/src/main/java/org/sardinelift/runtime/Alarm.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/OneShotTimer.java
@@ -6,13 +6,13 @@
  * Runs one task on a control thread when it is due, and only then. Setting it to an earlier time
  * moves it; to a later time does nothing. All methods are called on the control thread.
  */
-public final class Alarm {
+public final class OneShotTimer {
     private final ControlThread control;
     private final Runnable task;
     private boolean set;
     private long dueNanos;
 
-    private Alarm(ControlThread control, Runnable task) {
+    private OneShotTimer(ControlThread control, Runnable task) {
         this.control = control;
         this.task = task;
     }
@@ -24,8 +24,8 @@
      * @param task what to run; it may set the alarm again
      * @return the alarm
      */
-    public static Alarm of(ControlThread control, Runnable task) {
-        return new Alarm(control, task);
+    public static OneShotTimer of(ControlThread control, Runnable task) {
+        return new OneShotTimer(control, task);
     }
 
     /**
--- a/runtime/src/main/java/org/sardinelift/runtime/log/Event.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/Event.java
@@ -6,12 +6,12 @@
 /** One structured log line: a named event and the values that decided it. */
 public final class Event {
     /** Begins a message that is a part of a JSON object already. */
-    static final String MARK = "\u0001";
+    static final String JSON_MARKER = "\u0001";
 
     private final StringBuilder line = new StringBuilder(128);
 
     private Event(String name) {
-        line.append(MARK).append(",\"event\":\"").append(name).append('"');
+        line.append(JSON_MARKER).append(",\"event\":\"").append(name).append('"');
     }
 
     /**
--- a/runtime/src/main/java/org/sardinelift/runtime/log/LineBuffer.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/LineBuffer.java
@@ -30,7 +30,7 @@
     }
 
     /** Takes a line, or counts it as dropped. */
-    synchronized void offer(String line, boolean important, long nowNanos) {
+    synchronized void add(String line, boolean important, long nowNanos) {
         double earned = (nowNanos - filledAt) / NANOS_PER_SECOND * linesPerSecond;
         tokens = Math.min(burst, tokens + earned);
         filledAt = nowNanos;
@@ -53,7 +53,7 @@
     }
 
     /** Lines left out since the last call. */
-    synchronized long takeDropped() {
+    synchronized long drainDroppedCount() {
         long count = dropped;
         dropped = 0;
         return count;
--- a/runtime/src/main/java/org/sardinelift/runtime/log/StructuredWriter.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/StructuredWriter.java
@@ -57,7 +57,7 @@
     @Override
     public void write(LogEntry entry) {
         boolean important = entry.getLevel().compareTo(Level.WARN) >= 0;
-        buffer.offer(line(entry), important, System.nanoTime());
+        buffer.add(line(entry), important, System.nanoTime());
         if (idle) {
             LockSupport.unpark(thread);
         }
@@ -70,8 +70,8 @@
                 .append(entry.getLevel().name().toLowerCase(java.util.Locale.ROOT))
                 .append('"');
         String message = String.valueOf(entry.getMessage());
-        if (message.startsWith(Event.MARK)) {
-            line.append(message, Event.MARK.length(), message.length());
+        if (message.startsWith(Event.JSON_MARKER)) {
+            line.append(message, Event.JSON_MARKER.length(), message.length());
         } else {
             line.append(",\"event\":\"message\",\"text\":");
             JsonText.append(line, message);
@@ -113,7 +113,7 @@
     }
 
     private String text() {
-        long dropped = buffer.takeDropped();
+        long dropped = buffer.drainDroppedCount();
         String text = buffer.drain();
         return dropped == 0
                 ? text
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/ReloadedFiles.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/FileBackedValue.java
@@ -12,7 +12,7 @@
  * A value made from files. Files that change are read again; while they can't be read, the value
  * made last stays in force. Safe for use by several threads.
  */
-final class ReloadedFiles<T> {
+final class FileBackedValue<T> {
     private final List<Path> files;
     private final Duration recheck;
     private final Loader<T> loader;
@@ -25,7 +25,8 @@
         T load() throws IOException;
     }
 
-    private ReloadedFiles(List<Path> files, Duration recheck, Loader<T> loader) throws IOException {
+    private FileBackedValue(List<Path> files, Duration recheck, Loader<T> loader)
+            throws IOException {
         this.files = files;
         this.recheck = recheck;
         this.loader = loader;
@@ -34,9 +35,9 @@
         this.checkedNanos = System.nanoTime();
     }
 
-    static <T> ReloadedFiles<T> open(List<Path> files, Duration recheck, Loader<T> loader)
+    static <T> FileBackedValue<T> open(List<Path> files, Duration recheck, Loader<T> loader)
             throws IOException {
-        return new ReloadedFiles<>(files, recheck, loader);
+        return new FileBackedValue<>(files, recheck, loader);
     }
 
     synchronized T current() {
@@ -62,7 +63,7 @@
     }
 
     private List<String> stamps() {
-        return files.stream().map(ReloadedFiles::stamp).toList();
+        return files.stream().map(FileBackedValue::stamp).toList();
     }
 
     private static String stamp(Path file) {
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/ServerTlsSettings.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/ServerTlsSettings.java
@@ -14,9 +14,9 @@
  *
  * @param certificate PEM file of the certificate chain
  * @param key PEM file of the private key, PKCS #8
- * @param recheck time between two looks at whether a file has changed
+ * @param recheckInterval time between two looks at whether a file has changed
  */
-public record ServerTlsSettings(Path certificate, Path key, Duration recheck) {
+public record ServerTlsSettings(Path certificate, Path key, Duration recheckInterval) {
     private static final String[] PROTOCOLS = {"TLSv1.3", "TLSv1.2"};
     private static final int DEFAULT_RECHECK_MS = 1_000;
 
@@ -41,8 +41,8 @@
      * @throws IOException where a file can't be read or is not PEM; the message names the files
      */
     public Supplier<SslContext> open() throws IOException {
-        ReloadedFiles<SslContext> context =
-                ReloadedFiles.open(List.of(certificate, key), recheck, this::load);
+        FileBackedValue<SslContext> context =
+                FileBackedValue.open(List.of(certificate, key), recheckInterval, this::load);
         return context::current;
     }
 
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/TlsFiles.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/TlsFiles.java
@@ -15,11 +15,11 @@
 public final class TlsFiles {
     private static final String PROTOCOL = "TLSv1.3";
 
-    private final ReloadedFiles<Contexts> contexts;
+    private final FileBackedValue<Contexts> contexts;
 
     private record Contexts(SslContext server, SslContext client) {}
 
-    private TlsFiles(ReloadedFiles<Contexts> contexts) {
+    private TlsFiles(FileBackedValue<Contexts> contexts) {
         this.contexts = contexts;
     }
 
@@ -32,9 +32,9 @@
      */
     public static TlsFiles open(TlsSettings settings) throws IOException {
         return new TlsFiles(
-                ReloadedFiles.open(
+                FileBackedValue.open(
                         List.of(settings.certificate(), settings.key(), settings.trust()),
-                        settings.recheck(),
+                        settings.recheckInterval(),
                         () -> load(settings)));
     }
 
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/TlsSettings.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/TlsSettings.java
@@ -10,9 +10,9 @@
  * @param certificate PEM file of its certificate chain
  * @param key PEM file of its private key, PKCS #8
  * @param trust PEM file of the authorities whose certificates it trusts
- * @param recheck time between two looks at whether a file has changed
+ * @param recheckInterval time between two looks at whether a file has changed
  */
-public record TlsSettings(Path certificate, Path key, Path trust, Duration recheck) {
+public record TlsSettings(Path certificate, Path key, Path trust, Duration recheckInterval) {
     private static final int DEFAULT_RECHECK_MS = 1_000;
 
     /**
--- a/sardinelift/src/main/java/org/sardinelift/server/LogOutput.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/LogOutput.java
@@ -7,7 +7,7 @@
     /** Text on standard error, since standard output carries the ready line only. */
     TEXT {
         @Override
-        void set() {
+        void configureWriter() {
             Configuration.set("writer", "console");
             Configuration.set("writer.stream", "err");
             Configuration.set(
@@ -18,12 +18,12 @@
     /** JSON objects on standard output, written by a thread of their own. */
     STRUCTURED {
         @Override
-        void set() {
+        void configureWriter() {
             Configuration.set("writer", "structured");
         }
     };
 
-    abstract void set();
+    abstract void configureWriter();
 
     static LogOutput of(Role role) {
         return switch (role) {
@@ -37,7 +37,7 @@
         if (Configuration.isFrozen()) {
             return;
         }
-        set();
+        configureWriter();
         Configuration.set("level", level);
     }
 }
--- a/sardinelift/src/main/java/org/sardinelift/server/Role.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/Role.java
@@ -18,7 +18,7 @@
     /** Takes callers' requests behind the balancer. */
     ENTRY {
         @Override
-        Startable read(SettingsNode node) {
+        InstanceStarter read(SettingsNode node) {
             EntrySettings settings = EntrySettings.read(node);
             return () -> {
                 EntryProcess process = EntryProcess.start(settings);
@@ -33,7 +33,7 @@
     /** Stands beside a target and is the only way to it. */
     COMPANION {
         @Override
-        Startable read(SettingsNode node) {
+        InstanceStarter read(SettingsNode node) {
             CompanionSettings settings = CompanionSettings.read(node);
             return () -> {
                 CompanionProcess process = CompanionProcess.start(settings);
@@ -45,7 +45,7 @@
     /** Takes callers' requests and sends them to targets itself, on the users' platform. */
     GATEWAY {
         @Override
-        Startable read(SettingsNode node) {
+        InstanceStarter read(SettingsNode node) {
             GatewaySettings settings = GatewaySettings.read(node);
             return () -> {
                 GatewayProcess process =
@@ -58,7 +58,7 @@
     /** Keeps and runs batch jobs on the users' platform. */
     WORKER {
         @Override
-        Startable read(SettingsNode node) {
+        InstanceStarter read(SettingsNode node) {
             WorkerSettings settings = WorkerSettings.read(node);
             return () -> {
                 WorkerProcess process = WorkerProcess.start(settings, PotRegistryAdapter.create());
@@ -74,14 +74,14 @@
      * @param node root of the settings file
      * @return starts the instance
      */
-    abstract Startable read(SettingsNode node);
+    abstract InstanceStarter read(SettingsNode node);
 
     static Role named(String name) {
         return valueOf(name.toUpperCase(Locale.ROOT));
     }
 
     /** An instance that can be started. */
-    interface Startable {
+    interface InstanceStarter {
         Instance start() throws Exception;
     }
 
--- a/sardinelift/src/main/java/org/sardinelift/server/Sardinelift.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/Sardinelift.java
@@ -117,7 +117,7 @@
     private ExitCode serve(Path file, ServerSettings settings) {
         try {
             ReloadSignal.install(file);
-            Role.Instance instance = settings.role().start();
+            Role.Instance instance = settings.starter().start();
             AtomicBoolean stopped = new AtomicBoolean();
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(instance, stopped)));
             out.println(instance.readyLine());
--- a/sardinelift/src/main/java/org/sardinelift/server/ServerSettings.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/ServerSettings.java
@@ -5,9 +5,9 @@
 /**
  * Settings of one instance.
  *
- * @param role starts the instance in its role
+ * @param starter starts the instance in its role
  */
-record ServerSettings(Role.Startable role) {
+record ServerSettings(Role.InstanceStarter starter) {
 
     /** Reads the settings; the log is configured first, since reading a role may already log. */
     static ServerSettings read(SettingsNode node) {
