--- a/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
+++ b/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
@@ -61,8 +61,8 @@
     private final CompanionSettings settings;
     private final String incarnation = UUID.randomUUID().toString();
     private final ControlThread control;
-    private final ControlThread explaining = ControlThread.start("companion-explain");
-    private final EventLoopGroup group;
+    private final ControlThread explainThread = ControlThread.start("companion-explain");
+    private final EventLoopGroup eventLoops;
     private final Telemetry telemetry;
     private final TargetHealth health;
     private final DecisionLog log;
@@ -70,21 +70,21 @@
     private final TargetClient target;
     private final TargetProbe probe;
     private final ModelTracker models;
-    private final Optional<OrderGuard> orders;
+    private final Optional<OrderGuard> orderGuard;
     private final CallManager calls;
     private final EntryConnections entries;
     private final LoadReporter reporter;
     private final FrameServer peer;
     private final HttpServer operators;
     private final CompletableFuture<Void> drainRequested = new CompletableFuture<>();
-    private volatile boolean leaving;
-    private volatile boolean targetUp = true;
+    private volatile boolean isLeaving;
+    private volatile boolean isTargetUp = true;
 
     private CompanionProcess(CompanionSettings settings) throws IOException {
         this.settings = settings;
         control = ControlThread.start("companion-control");
-        group = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
-        HttpClient client = HttpClient.create(group, settings.target().connectTimeout(), null);
+        eventLoops = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
+        HttpClient client = HttpClient.create(eventLoops, settings.target().connectTimeout(), null);
         telemetry =
                 Telemetry.start(
                         settings.instance(),
@@ -103,8 +103,8 @@
                         new TargetControlClient(client, settings.target()),
                         settings.target().models(),
                         control::execute,
-                        this::onModels);
-        orders = settings.platform().map(platform -> guard(client, platform));
+                        this::onModelsChanged);
+        orderGuard = settings.platform().map(platform -> createOrderGuard(client, platform));
         probe = new TargetProbe(control, client, settings.target(), this::onProbe);
         calls =
                 new CallManager(
@@ -113,13 +113,14 @@
                         settings.calls(),
                         telemetry,
                         CallDecisionRecorder.of(decisions),
-                        this::onBroken,
-                        this::onLoadChange);
-        entries = new EntryConnections(control, this::onFrame, calls::onDown, this::report);
-        reporter = reporter();
+                        this::onConnectionFailed,
+                        this::onCallsChanged);
+        entries =
+                new EntryConnections(control, this::onFrame, calls::onConnectionLost, this::report);
+        reporter = createReporter();
         peer =
                 FrameServer.start(
-                        group,
+                        eventLoops,
                         settings.peer().host(),
                         settings.peer().port(),
                         tls(settings),
@@ -129,40 +130,41 @@
                         entries);
         operators =
                 HttpServer.start(
-                        group,
+                        eventLoops,
                         settings.operators().host(),
                         settings.operators().port(),
                         HttpLimits.defaults(),
                         null,
-                        OperatorRoutes.of(this::notReady, () -> drainRequested.complete(null)));
+                        OperatorRoutes.of(
+                                this::notReadyReason, () -> drainRequested.complete(null)));
         startControl();
     }
 
-    private LoadReporter reporter() {
-        ReportPacer pace =
+    private LoadReporter createReporter() {
+        ReportPacer pacer =
                 ReportPacer.of(
                         settings.reportInterval(), settings.reportRefresh(), System.nanoTime());
-        return new LoadReporter(control, pace, this::load, this::tell);
+        return new LoadReporter(control, pacer, this::currentLoad, this::broadcast);
     }
 
-    private void tell(LoadReport load) {
+    private void broadcast(LoadReport load) {
         LoadMetrics.update(load);
         entries.broadcast(Frame.loadReport(load));
     }
 
     private void startControl() {
         control.execute(this::report);
-        control.repeat(settings.target().probeInterval(), probe::ask);
-        control.repeat(settings.modelsInterval(), models::ask);
+        control.repeat(settings.target().probeInterval(), probe::probeNow);
+        control.repeat(settings.modelsInterval(), models::poll);
         control.execute(calls::tick);
     }
 
     /**
      * Starts a companion.
      *
-     * @param settings sound settings
+     * @param settings valid settings
      * @return the running companion
-     * @throws IOException where an address is taken or the certificates can't be read
+     * @throws IOException if an address is in use or the certificates can't be read
      */
     public static CompanionProcess start(CompanionSettings settings) throws IOException {
         Metrics.registerJvm();
@@ -170,7 +172,7 @@
     }
 
     /**
-     * The line on standard output that says the process is ready and what it bound.
+     * Line for standard output that says that the process is ready, with the ports that it bound.
      *
      * @return one line of JSON
      */
@@ -188,7 +190,7 @@
     }
 
     /**
-     * The port that entries connect to.
+     * Port that entries connect to.
      *
      * @return port number
      */
@@ -197,46 +199,48 @@
     }
 
     /**
-     * Tells when an operator asks for a drain; the starter then calls {@link #drain} and ends the
-     * process, as after SIGTERM.
+     * Completes when an operator requests a drain; the caller then calls {@link #drain} and ends
+     * the process, as after SIGTERM.
      *
-     * @return completes once a drain is asked for
+     * @return completes once a drain is requested
      */
     public CompletableFuture<Void> drainRequested() {
         return drainRequested;
     }
 
-    private Optional<String> notReady() {
-        if (leaving || drainRequested.isDone()) {
+    private Optional<String> notReadyReason() {
+        if (isLeaving || drainRequested.isDone()) {
             return Optional.of("draining");
         }
-        return targetUp
+        return isTargetUp
                 ? Optional.empty()
                 : Optional.of("target " + settings.target().name() + " does not answer");
     }
 
-    /** Tells entries that the target is leaving, takes no new call and lets running ones finish. */
+    /**
+     * Announces to entries that the target leaves, refuses new calls and waits for running ones.
+     */
     public void drain() {
-        leaving = true;
-        CountDownLatch told = new CountDownLatch(1);
+        isLeaving = true;
+        CountDownLatch announced = new CountDownLatch(1);
         control.execute(
                 () -> {
-                    note(DecisionAction.LEAVING, "this companion drains");
-                    calls.close(GateRefusal.TARGET_LEAVING);
+                    recordDecision(DecisionAction.LEAVING, "this companion drains");
+                    calls.refuseCalls(GateRefusal.TARGET_LEAVING);
                     report();
-                    told.countDown();
+                    announced.countDown();
                 });
-        await(told);
+        await(announced);
         waitWhile(calls::hasActiveCalls, settings.drainTimeout());
         waitWhile(() -> calls.unacknowledgedCalls() > 0, settings.drainLinger());
     }
 
-    private void note(DecisionAction action, String reason) {
-        Map<String, String> figures =
+    private void recordDecision(DecisionAction action, String reason) {
+        Map<String, String> details =
                 Map.of(
                         "target", settings.target().name(),
-                        "running", String.valueOf(calls.running()));
-        decisions.record(action, settings.instance(), reason, figures);
+                        "running", String.valueOf(calls.runningCalls()));
+        decisions.record(action, settings.instance(), reason, details);
     }
 
     private static void await(CountDownLatch latch) {
@@ -247,8 +251,8 @@
         }
     }
 
-    private static void waitWhile(BooleanSupplier condition, Duration longest) {
-        long deadline = System.nanoTime() + longest.toNanos();
+    private static void waitWhile(BooleanSupplier condition, Duration timeout) {
+        long deadline = System.nanoTime() + timeout.toNanos();
         while (condition.getAsBoolean() && System.nanoTime() - deadline < 0) {
             LockSupport.parkNanos(DRAIN_POLL_NANOS);
         }
@@ -259,9 +263,9 @@
         peer.close();
         operators.close();
         control.close();
-        explaining.close();
+        explainThread.close();
         telemetry.close();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
     private Hello hello() {
@@ -282,7 +286,7 @@
                 : TlsFiles.open(settings.peerTls().get()).server();
     }
 
-    private OrderGuard guard(HttpClient client, CompanionSettings.Address platform) {
+    private OrderGuard createOrderGuard(HttpClient client, CompanionSettings.Address platform) {
         return new OrderGuard(
                 HttpObjectStore.create(
                         client, platform.host(), platform.port(), settings.platformTimeout()),
@@ -295,85 +299,87 @@
 
     private void onFrame(FrameConnection connection, Frame frame) {
         if (frame.getSetField() == Frame._Fields.ORDER) {
-            order(connection, frame.getOrder());
+            onOrder(connection, frame.getOrder());
         } else if (frame.isSetExplainQuery()) {
-            explaining.execute(() -> explain(connection, frame.getExplainQuery()));
+            explainThread.execute(() -> onExplainQuery(connection, frame.getExplainQuery()));
         } else {
             calls.onFrame(connection, frame);
         }
     }
 
-    private void explain(FrameConnection connection, ExplainQuery query) {
+    private void onExplainQuery(FrameConnection connection, ExplainQuery query) {
         connection.send(DecisionFrames.answer(query, settings.instance(), log));
     }
 
-    private void order(FrameConnection connection, Order order) {
-        if (orders.isEmpty()) {
-            String detail = "this companion has no platform in its settings; set it";
+    private void onOrder(FrameConnection connection, Order order) {
+        if (orderGuard.isEmpty()) {
+            String detail = "this companion can't execute orders; set platform in its settings";
             OrderResult refused =
                     new OrderResult(order.getExchange(), false, 0, detail).setPassedOn(false);
             connection.send(Frame.orderResult(refused));
             return;
         }
-        orders.get().take(order, result -> connection.send(Frame.orderResult(result)));
+        orderGuard.get().submit(order, result -> connection.send(Frame.orderResult(result)));
     }
 
-    private void onModels() {
+    private void onModelsChanged() {
         reporter.reportIfChanged();
     }
 
-    private void onBroken() {
+    private void onConnectionFailed() {
         health.onConnectionFailed();
-        probe.ask();
+        probe.probeNow();
     }
 
     private void onProbe(TargetProbe.Result result) {
-        boolean changed = health.onProbe(result.answered(), calls.running());
-        targetUp = health.isUp();
+        boolean changed = health.onProbe(result.isAnswered(), calls.runningCalls());
+        isTargetUp = health.isUp();
         if (changed) {
             Logger.warn(
                     "Target {} is {}; {}",
                     settings.target().name(),
                     health.isUp() ? "up" : "down",
-                    health.isUp() ? "it takes calls" : "its calls are refused until it answers");
-            note(
+                    health.isUp()
+                            ? "it accepts calls"
+                            : "its calls are refused until it answers a probe");
+            recordDecision(
                     health.isUp() ? DecisionAction.LET_IN : DecisionAction.LEFT_OUT,
                     health.isUp() ? "the target answers" : "the target does not answer");
-            target.incarnation(health.incarnation());
+            target.setIncarnation(health.incarnation());
             if (!health.isUp()) {
-                calls.close(GateRefusal.TARGET_DOWN);
-            } else if (!leaving) {
-                calls.open();
+                calls.refuseCalls(GateRefusal.TARGET_DOWN);
+            } else if (!isLeaving) {
+                calls.acceptCalls();
             }
             report();
         }
         result.load().ifPresent(calls::onTargetLoad);
-        reporter.compare();
+        reporter.scheduleIfChanged();
     }
 
-    private void onLoadChange() {
-        reporter.onChange();
+    private void onCallsChanged() {
+        reporter.onCallsChanged();
     }
 
     private void report() {
-        reporter.report();
+        reporter.reportNow();
     }
 
-    private LoadReport load() {
-        LoadedModels shown = models.availableModels();
+    private LoadReport currentLoad() {
+        LoadedModels available = models.availableModels();
         LoadReport report =
                 new LoadReport()
                         .setTarget(settings.target().name())
                         .setTargetIncarnation(health.incarnation())
                         .setServiceName(settings.target().service())
                         .setZone(settings.zone())
-                        .setModels(shown.models())
-                        .setVersions(shown.versions())
-                        .setRole(shown.role())
-                        .setFence(orders.map(OrderGuard::highestFence).orElse(0L))
-                        .setLeaving(leaving)
+                        .setModels(available.models())
+                        .setVersions(available.versions())
+                        .setRole(available.role())
+                        .setFence(orderGuard.map(OrderGuard::highestFence).orElse(0L))
+                        .setLeaving(isLeaving)
                         .setHealthy(health.isUp());
-        calls.describe(report);
+        calls.fillLoadReport(report);
         return report;
     }
 }
--- a/companion/src/main/java/org/sardinelift/companion/CompanionSettings.java
+++ b/companion/src/main/java/org/sardinelift/companion/CompanionSettings.java
@@ -16,24 +16,24 @@
  *
  * @param instance unique name of this instance
  * @param zone availability zone
- * @param peer where entries connect
+ * @param peer address that entries connect to
  * @param peerTls certificates for entries' connections, or empty for plaintext
- * @param operators where operators read health and metrics
- * @param target the target beside this instance
- * @param platform the platform's object API, or empty where no orders are taken
- * @param platformTimeout longest silence of the platform
- * @param modelsInterval time between two questions for the models loaded
- * @param maxOrders orders that may wait
- * @param orderTries tries to keep a fencing number before an order is refused
- * @param timings heartbeat and silence of connections
- * @param limits bounds of connections
- * @param calls bounds of calls
- * @param reportInterval shortest time between two load reports while calls come and go
+ * @param operators address of the operators' HTTP interface
+ * @param target the target that this instance serves
+ * @param platform address of the platform's object API, or empty if no orders are accepted
+ * @param platformTimeout maximum time without any byte from the platform
+ * @param modelsInterval time between polls of the loaded models
+ * @param maxOrders maximum number of waiting orders
+ * @param orderTries attempts to store a fencing number before an order is refused
+ * @param timings heartbeat interval and silence timeout of connections
+ * @param limits limits of connections
+ * @param calls limits of calls
+ * @param reportInterval minimum time between load reports while calls arrive and end
  * @param reportRefresh time after which an unchanged load is reported again
- * @param drainTimeout longest time that running calls are given to finish
- * @param drainLinger longest time that entries are given to acknowledge the last answers
- * @param explainEntries decisions that are kept
- * @param traces where spans go
+ * @param drainTimeout maximum time to wait for running calls during a drain
+ * @param drainLinger maximum time to wait then for entries to acknowledge the last responses
+ * @param explainEntries number of decisions kept
+ * @param traces destinations of spans
  */
 public record CompanionSettings(
         String instance,
@@ -69,10 +69,10 @@
     private static final int MAX_EXPLAIN_ENTRIES = 10_000_000;
 
     /**
-     * Reads and checks the settings of a companion.
+     * Reads and validates the settings of a companion.
      *
      * @param node the root object of the settings file
-     * @return the settings; errors are recorded at the node
+     * @return the settings; errors are recorded on the node
      */
     public static CompanionSettings read(SettingsNode node) {
         node.choice("role", "companion");
@@ -107,7 +107,7 @@
         return settings;
     }
 
-    /** Companions open no connection to another process, so they take no backoff. */
+    /** Companions open no connections to other processes, so they have no backoff settings. */
     private static LinkTimings readTimings(SettingsNode node) {
         LinkTimings defaults = LinkTimings.defaults();
         return new LinkTimings(
@@ -126,10 +126,10 @@
     }
 
     /**
-     * An address to bind or to reach.
+     * An address to bind or to connect to.
      *
      * @param host IP address
-     * @param port port, 0 to bind any
+     * @param port port, 0 to bind a free one
      */
     public record Address(String host, int port) {
         static Address read(SettingsNode node) {
@@ -137,18 +137,18 @@
                     node.text("host", "127.0.0.1"), node.integer("port", 0, 0, MAX_PORT));
         }
 
-        /** Reads an address to reach, whose port has no default. */
+        /** Reads an address to connect to, whose port has no default. */
         static Address readRemote(SettingsNode node) {
             return new Address(node.text("host", "127.0.0.1"), node.integer("port", 1, MAX_PORT));
         }
     }
 
     /**
-     * Where spans go.
+     * Destinations of spans.
      *
      * @param file file that gets one JSON line for each span, or empty for none
      * @param otlpEndpoint URL of an OTLP collector, or empty for none
-     * @param sampleRatio share of new traces that are recorded, 0 to 1
+     * @param sampleRatio fraction of new traces that are recorded, 0 to 1
      */
     public record Traces(Optional<Path> file, Optional<String> otlpEndpoint, double sampleRatio) {
         static Traces read(SettingsNode node) {
--- a/companion/src/main/java/org/sardinelift/companion/LoadMetrics.java
+++ b/companion/src/main/java/org/sardinelift/companion/LoadMetrics.java
@@ -3,12 +3,12 @@
 import io.prometheus.metrics.core.metrics.Gauge;
 import org.sardinelift.protocol.generated.LoadReport;
 
-/** Gauges of the target's load, as the entries are told it. */
+/** Gauges of the target's load as last reported to the entries. */
 final class LoadMetrics {
     private static final Gauge SLOTS =
             Gauge.builder()
                     .name("sardinelift_companion_slots")
-                    .help("Calls that the target runs at once.")
+                    .help("Calls that the target runs concurrently.")
                     .register();
     private static final Gauge RUNNING =
             Gauge.builder()
@@ -24,7 +24,7 @@
     private static final Gauge TARGET_UP =
             Gauge.builder()
                     .name("sardinelift_companion_target_up")
-                    .help("1 while the target answers, else 0.")
+                    .help("1 while the target answers probes, else 0.")
                     .register();
 
     private LoadMetrics() {}
--- a/companion/src/main/java/org/sardinelift/companion/OperatorRoutes.java
+++ b/companion/src/main/java/org/sardinelift/companion/OperatorRoutes.java
@@ -10,7 +10,7 @@
 import org.sardinelift.http.HttpHandler;
 import org.sardinelift.runtime.Metrics;
 
-/** What operators read and do over HTTP, under the same paths as at an entry. */
+/** HTTP routes for operators, under the same paths as at an entry. */
 final class OperatorRoutes implements HttpHandler {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int OK = 200;
@@ -18,11 +18,11 @@
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
 
-    private final Supplier<Optional<String>> notReady;
+    private final Supplier<Optional<String>> notReadyReason;
     private final Map<String, Consumer<HttpExchange>> routes;
 
-    private OperatorRoutes(Supplier<Optional<String>> notReady, Runnable drain) {
-        this.notReady = notReady;
+    private OperatorRoutes(Supplier<Optional<String>> notReadyReason, Runnable drain) {
+        this.notReadyReason = notReadyReason;
         this.routes =
                 Map.of(
                         "GET /healthz",
@@ -36,33 +36,33 @@
     }
 
     /**
-     * Makes the routes.
+     * Creates the routes.
      *
-     * @param notReady why the target gets no new call here, or empty
+     * @param notReadyReason reason why this companion accepts no new calls, or empty if it does
      * @param drain starts the drain; must not block
      * @return the routes
      */
-    static OperatorRoutes of(Supplier<Optional<String>> notReady, Runnable drain) {
-        return new OperatorRoutes(notReady, drain);
+    static OperatorRoutes of(Supplier<Optional<String>> notReadyReason, Runnable drain) {
+        return new OperatorRoutes(notReadyReason, drain);
     }
 
     @Override
     public void handle(HttpExchange exchange) {
         Consumer<HttpExchange> route = routes.get(exchange.method() + " " + exchange.path());
         if (route == null) {
-            ObjectNode answer = MAPPER.createObjectNode().put("error", "there is no such route");
-            routes.keySet().stream().sorted().forEach(answer.putArray("routes")::add);
-            exchange.respondJson(NOT_FOUND, answer.toString());
+            ObjectNode response = MAPPER.createObjectNode().put("error", "there is no such route");
+            routes.keySet().stream().sorted().forEach(response.putArray("routes")::add);
+            exchange.respondJson(NOT_FOUND, response.toString());
             return;
         }
         route.accept(exchange);
     }
 
     private void ready(HttpExchange exchange) {
-        Optional<String> reason = notReady.get();
-        ObjectNode answer = MAPPER.createObjectNode().put("ready", reason.isEmpty());
-        reason.ifPresent(text -> answer.put("reason", text));
-        exchange.respondJson(reason.isEmpty() ? OK : UNAVAILABLE, answer.toString());
+        Optional<String> reason = notReadyReason.get();
+        ObjectNode response = MAPPER.createObjectNode().put("ready", reason.isEmpty());
+        reason.ifPresent(text -> response.put("reason", text));
+        exchange.respondJson(reason.isEmpty() ? OK : UNAVAILABLE, response.toString());
     }
 
     private static void metrics(HttpExchange exchange) {
--- a/companion/src/main/java/org/sardinelift/companion/call/Attempt.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/Attempt.java
@@ -12,31 +12,36 @@
 import org.sardinelift.protocol.generated.Start;
 import org.sardinelift.runtime.Telemetry;
 
-/** One attempt at a call, from its Start to its Finish. Owned by the control thread. */
+/** One attempt at a call, from its Start frame to its Finish frame. Owned by the control thread. */
 final class Attempt {
     private static final long NOT_ORPHANED = Long.MAX_VALUE;
 
     private final AttemptId id;
     private final Start start;
-    private final Answer answer;
+    private final ResponseBuffer response;
     private final long receivedMs;
     private final Telemetry telemetry;
     private final Span span;
-    private Span stage;
+    private Span currentStage;
     private @Nullable Runnable abort;
     private boolean wasSentToTarget;
     private boolean isAcknowledged;
     private long orphanedMs = NOT_ORPHANED;
 
-    Attempt(AttemptId id, Start start, Answer answer, long receivedMs, Telemetry telemetry) {
+    Attempt(
+            AttemptId id,
+            Start start,
+            ResponseBuffer response,
+            long receivedMs,
+            Telemetry telemetry) {
         this.id = id;
         this.start = start;
-        this.answer = answer;
+        this.response = response;
         this.receivedMs = receivedMs;
         this.telemetry = telemetry;
         String parent = start.getTraceparent() == null ? "" : start.getTraceparent();
         span = telemetry.hop("companion.call", SpanKind.SERVER, parent);
-        stage = telemetry.hop("companion.queue", SpanKind.INTERNAL, traceparent());
+        currentStage = telemetry.hop("companion.queue", SpanKind.INTERNAL, traceparent());
     }
 
     AttemptId id() {
@@ -47,8 +52,8 @@
         return start;
     }
 
-    Answer answer() {
-        return answer;
+    ResponseBuffer response() {
+        return response;
     }
 
     Lane lane() {
@@ -63,7 +68,7 @@
         return receivedMs;
     }
 
-    /** The deadline counts from the receipt, on the clock of this process. */
+    /** The deadline counts from the receipt of the call, on this process's clock. */
     long deadlineMs() {
         return receivedMs + start.getDeadlineMs();
     }
@@ -83,22 +88,22 @@
                 start.isSuspect());
     }
 
-    /** The call is at the target from now on. */
-    void begin(Runnable aborting) {
+    /** Notes that the call was sent to the target. */
+    void markSent(Runnable abortAction) {
         wasSentToTarget = true;
-        abort = aborting;
+        abort = abortAction;
     }
 
-    /** Starts the span of the call at the target; gives its trace context. */
+    /** Starts the span of the call at the target and returns its trace context. */
     String startTargetSpan() {
-        stage.end();
-        stage = telemetry.hop("companion.target", SpanKind.CLIENT, traceparent());
-        return Telemetry.traceparent(stage);
+        currentStage.end();
+        currentStage = telemetry.hop("companion.target", SpanKind.CLIENT, traceparent());
+        return Telemetry.traceparent(currentStage);
     }
 
-    /** Cuts the call at the target; what it sends from now on is dropped. */
+    /** Aborts the call at the target; anything the target still sends is dropped. */
     void abortAtTarget() {
-        answer.source(null);
+        response.setSource(null);
         if (abort != null) {
             abort.run();
             abort = null;
@@ -130,12 +135,12 @@
     }
 
     void endSpans(String failure) {
-        stage.end();
+        currentStage.end();
         span.setAttribute("failure", failure).end();
     }
 
-    /** The end of an attempt that the target did not answer to the end. */
-    Finish failed(FailureKind failure, String detail) {
+    /** Creates the Finish of an attempt without a complete response from the target. */
+    Finish failureFinish(FailureKind failure, String detail) {
         return newFinish(failure, outcome()).setDetail(detail);
     }
 
@@ -148,7 +153,7 @@
     }
 
     private RunOutcome outcome() {
-        if (answer.isStarted()) {
+        if (response.isStarted()) {
             return RunOutcome.RUN;
         }
         return wasSentToTarget ? RunOutcome.UNKNOWN : RunOutcome.NOT_RUN;
--- a/companion/src/main/java/org/sardinelift/companion/call/CallDecisionRecorder.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallDecisionRecorder.java
@@ -6,7 +6,7 @@
 import org.sardinelift.core.explain.DecisionRecorder;
 import org.sardinelift.core.gate.SlotGate;
 
-/** Notes what the gate decided about calls, with the figures that it went by. */
+/** Records the slot gate's decisions about calls, with the figures behind them. */
 public final class CallDecisionRecorder {
     private final DecisionRecorder decisions;
 
@@ -15,35 +15,37 @@
     }
 
     /**
-     * Makes a record.
+     * Creates a recorder.
      *
-     * @param decisions notes the decisions
-     * @return the record
+     * @param decisions stores the decisions
+     * @return the recorder
      */
     public static CallDecisionRecorder of(DecisionRecorder decisions) {
         return new CallDecisionRecorder(decisions);
     }
 
     void recordStart(Attempt attempt, long waitedMs) {
-        note(
+        recordDecision(
                 DecisionAction.STARTED,
                 attempt,
-                attempt.wasSentToTarget() ? "it goes on where it was cut" : "a slot was free",
+                attempt.wasSentToTarget()
+                        ? "the call resumes after a preemption"
+                        : "a slot was free",
                 Map.of("waitedMs", String.valueOf(waitedMs)));
     }
 
-    void recordPreemption(Attempt attempt, boolean waits, SlotGate gate) {
-        note(
+    void recordPreemption(Attempt attempt, boolean isRequeued, SlotGate gate) {
+        recordDecision(
                 DecisionAction.CUT,
                 attempt,
-                waits
-                        ? "an online call took the slot; it goes on in the next free one"
+                isRequeued
+                        ? "an online call took the slot; the call resumes in the next free one"
                         : "an online call took the slot",
                 figures(gate));
     }
 
     void recordRefusal(Attempt attempt, String reason, SlotGate gate) {
-        note(DecisionAction.REFUSED, attempt, reason, figures(gate));
+        recordDecision(DecisionAction.REFUSED, attempt, reason, figures(gate));
     }
 
     private static Map<String, String> figures(SlotGate gate) {
@@ -54,12 +56,12 @@
                 "batchRunning", String.valueOf(gate.batchRunning()));
     }
 
-    private void note(
+    private void recordDecision(
             DecisionAction action, Attempt attempt, String reason, Map<String, String> figures) {
-        Map<String, String> all = new HashMap<>(figures);
-        all.put("attempt", String.valueOf(attempt.id().attempt()));
-        all.put("lane", attempt.lane().name());
-        all.put("team", attempt.gateCall(false).team());
-        decisions.record(action, attempt.id().requestId(), reason, Map.copyOf(all));
+        Map<String, String> allFigures = new HashMap<>(figures);
+        allFigures.put("attempt", String.valueOf(attempt.id().attempt()));
+        allFigures.put("lane", attempt.lane().name());
+        allFigures.put("team", attempt.gateCall(false).team());
+        decisions.record(action, attempt.id().requestId(), reason, Map.copyOf(allFigures));
     }
 }
--- a/companion/src/main/java/org/sardinelift/companion/call/CallManager.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallManager.java
@@ -28,36 +28,39 @@
 import org.sardinelift.runtime.Telemetry;
 import org.tinylog.Logger;
 
-/** Calls that wait for the target, run there, or ended lately. Owned by the control thread. */
+/**
+ * Manages the calls to the target: queues them at the slot gate, runs them, and keeps recently
+ * ended ones until their entries acknowledge them. Owned by the control thread.
+ */
 public final class CallManager {
     private final ControlThread control;
     private final TargetClient target;
     private final CallSettings settings;
     private final Telemetry telemetry;
     private final CallDecisionRecorder decisions;
-    private final Runnable onBroken;
-    private final Runnable onLoadChange;
-    private final OneShotTimer ticks;
+    private final Runnable onConnectionFailed;
+    private final Runnable onCallsChanged;
+    private final OneShotTimer tickTimer;
     private final SlotGate gate;
     private final OutcomeTable outcomes;
     private final Map<AttemptId, Attempt> attempts = new HashMap<>();
     private final Map<String, Attempt> active = new HashMap<>();
-    private final ArrayDeque<GateAction> todo = new ArrayDeque<>();
-    private boolean performing;
-    private long lastMs = System.nanoTime() / TimeUnit.MILLISECONDS.toNanos(1);
+    private final ArrayDeque<GateAction> pendingActions = new ArrayDeque<>();
+    private boolean isPerforming;
+    private long lastTimeMs = System.nanoTime() / TimeUnit.MILLISECONDS.toNanos(1);
     private volatile boolean hasActiveCalls;
     private volatile int unacknowledgedCalls;
 
     /**
-     * Makes an empty desk.
+     * Creates a manager without calls.
      *
-     * @param control owner of the state
-     * @param target the target
-     * @param settings bounds
-     * @param telemetry takes the spans
-     * @param decisions notes what the gate decides
-     * @param onBroken runs when a connection to the target could not be opened or broke
-     * @param onLoadChange runs when a call came, started or ended
+     * @param control thread that owns the state
+     * @param target sends calls to the target
+     * @param settings limits of calls
+     * @param telemetry creates the spans
+     * @param decisions records the gate's decisions
+     * @param onConnectionFailed runs when a connection to the target can't be opened or is lost
+     * @param onCallsChanged runs when a call arrived, started or ended
      */
     public CallManager(
             ControlThread control,
@@ -65,24 +68,24 @@
             CallSettings settings,
             Telemetry telemetry,
             CallDecisionRecorder decisions,
-            Runnable onBroken,
-            Runnable onLoadChange) {
+            Runnable onConnectionFailed,
+            Runnable onCallsChanged) {
         this.control = control;
         this.target = target;
         this.settings = settings;
         this.telemetry = telemetry;
         this.decisions = decisions;
-        this.onBroken = onBroken;
-        this.onLoadChange = onLoadChange;
-        this.ticks = OneShotTimer.of(control, this::tick);
+        this.onConnectionFailed = onConnectionFailed;
+        this.onCallsChanged = onCallsChanged;
+        this.tickTimer = OneShotTimer.of(control, this::tick);
         this.gate = SlotGate.create(settings.gate());
         this.outcomes = OutcomeTable.create(settings.outcomes());
     }
 
     /**
-     * Takes a frame from an entry.
+     * Processes a frame from an entry.
      *
-     * @param connection where it came from
+     * @param connection connection that received it
      * @param frame the frame
      */
     public void onFrame(FrameConnection connection, Frame frame) {
@@ -94,32 +97,39 @@
                     acknowledge(
                             new AttemptId(
                                     frame.getAck().getRequestId(), frame.getAck().getAttempt()));
-            default -> Logger.warn("A {} frame is not for a target; dropped", frame.getSetField());
+            default ->
+                    Logger.warn(
+                            "Dropped a {} frame: companions don't accept this kind",
+                            frame.getSetField());
         }
     }
 
     /**
-     * A connection is lost: its calls run on, and are cut if their entry does not come back.
+     * Called when a connection is lost. Its calls continue, but are cancelled if their entry does
+     * not reconnect within the grace period.
      *
-     * @param connection the connection
+     * @param connection the lost connection
      */
-    public void onDown(FrameConnection connection) {
+    public void onConnectionLost(FrameConnection connection) {
         long now = now();
         active.values().stream()
-                .filter(attempt -> attempt.answer().on(connection))
+                .filter(attempt -> attempt.response().isAttachedTo(connection))
                 .forEach(attempt -> attempt.markOrphaned(now));
     }
 
-    /** Checks deadlines and forgets old outcomes, often while there are calls. */
+    /** Checks deadlines and expires old outcomes; runs more often while there are calls. */
     public void tick() {
-        ticks.within(active.isEmpty() ? settings.idleTickInterval() : settings.tick());
+        tickTimer.within(active.isEmpty() ? settings.idleTickInterval() : settings.tickInterval());
         long now = now();
         for (Attempt attempt : List.copyOf(active.values())) {
-            gate.recordProgress(attempt.key(), attempt.answer().length());
+            gate.recordProgress(attempt.key(), attempt.response().length());
             if (attempt.wasSentToTarget() && now >= attempt.deadlineMs()) {
                 fail(attempt, FailureKind.DEADLINE_EXCEEDED, "the call's deadline has passed");
             } else if (attempt.wasOrphanedBefore(now - settings.orphanGrace().toMillis())) {
-                fail(attempt, FailureKind.CANCELLED, "the entry went away and did not come back");
+                fail(
+                        attempt,
+                        FailureKind.CANCELLED,
+                        "the entry disconnected and did not reconnect within the grace period");
             }
         }
         outcomes.expire(now).forEach(attempts::remove);
@@ -127,34 +137,34 @@
     }
 
     /**
-     * Starts no call any more; those that wait are refused.
+     * Refuses waiting calls, and new ones until {@link #acceptCalls}.
      *
-     * @param reason why
+     * @param reason reason of the refusals
      */
-    public void close(GateRefusal reason) {
+    public void refuseCalls(GateRefusal reason) {
         perform(gate.close(reason));
     }
 
-    /** Starts calls again. */
-    public void open() {
+    /** Accepts new calls again. */
+    public void acceptCalls() {
         gate.open();
     }
 
     /**
-     * The target has reported its load.
+     * Called when the target has reported its load.
      *
-     * @param load the report
+     * @param load the reported load
      */
     public void onTargetLoad(EngineLoad load) {
         perform(gate.onLoadReport(now(), load));
     }
 
     /**
-     * Fills in the figures that the gate knows.
+     * Sets the slot gate's figures in a load report.
      *
      * @param report the report to fill in
      */
-    public void describe(LoadReport report) {
+    public void fillLoadReport(LoadReport report) {
         report.setSlots(gate.slots())
                 .setOnlineRunning(gate.onlineRunning())
                 .setOnlineQueued(gate.onlineQueued())
@@ -163,27 +173,28 @@
     }
 
     /**
-     * Calls at the target now.
+     * Number of calls that run at the target.
      *
-     * @return their number
+     * @return number of calls
      */
-    public int running() {
+    public int runningCalls() {
         return gate.onlineRunning() + gate.batchRunning();
     }
 
     /**
      * Whether any call waits or runs. May be called from any thread.
      *
-     * @return true while there is one
+     * @return true while there is a call
      */
     public boolean hasActiveCalls() {
         return hasActiveCalls;
     }
 
     /**
-     * Ended calls that their entries have not acknowledged. May be called from any thread.
+     * Number of ended calls that their entries have not acknowledged. May be called from any
+     * thread.
      *
-     * @return their number
+     * @return number of calls
      */
     public int unacknowledgedCalls() {
         return unacknowledgedCalls;
@@ -192,18 +203,18 @@
     private void start(FrameConnection connection, Start start) {
         long now = now();
         AttemptId id = new AttemptId(start.getRequestId(), start.getAttempt());
-        Answer answer = new Answer(id, connection, settings.maxAnswerBytes());
+        ResponseBuffer response = new ResponseBuffer(id, connection, settings.maxAnswerBytes());
         Admission admission = outcomes.admit(id, entry(connection));
         if (admission != Admission.NEW) {
-            Logger.warn("The start of {} is {}; it is not run again", id, admission);
+            Logger.warn("Ignored the Start frame of {}: admission is {}", id, admission);
             return;
         }
-        Attempt attempt = new Attempt(id, start, answer, now, telemetry);
+        Attempt attempt = new Attempt(id, start, response, now, telemetry);
         attempts.put(id, attempt);
         active.put(attempt.key(), attempt);
         hasActiveCalls = true;
-        ticks.within(settings.tick());
-        onLoadChange.run();
+        tickTimer.within(settings.tickInterval());
+        onCallsChanged.run();
         perform(gate.submit(now, attempt.gateCall(target.canResume())));
     }
 
@@ -218,27 +229,27 @@
         AttemptId id = new AttemptId(query.getRequestId(), query.getAttempt());
         Attempt attempt = attempts.get(id);
         RequestState state = outcomes.query(id, entry(connection));
-        if (attempt != null && !attempt.answer().canReplayFrom(query.getOffset())) {
+        if (attempt != null && !attempt.response().canReplayFrom(query.getOffset())) {
             Logger.warn(
-                    "The answer of {} is no longer kept from byte {}; its outcome is unknown",
+                    "The response of {} is no longer kept from byte {}; its outcome is unknown",
                     id,
                     query.getOffset());
             state = RequestState.UNKNOWN;
             attempt = null;
         }
-        long length = attempt == null ? 0 : attempt.answer().length();
+        long length = attempt == null ? 0 : attempt.response().length();
         QueryAnswer answer = new QueryAnswer(id.requestId(), id.attempt(), state, length);
         connection.send(Frame.queryAnswer(answer));
         if (attempt != null) {
             attempt.clearOrphaned();
-            attempt.answer().attach(connection, query.getOffset());
+            attempt.response().attach(connection, query.getOffset());
         }
     }
 
     private void acknowledge(AttemptId id) {
         Attempt attempt = attempts.get(id);
         if (attempt != null && active.containsKey(attempt.key())) {
-            // The entry has the whole answer before this thread has heard of its end.
+            // The acknowledgement arrived before this thread was notified of the call's end.
             attempt.markAcknowledged();
             return;
         }
@@ -247,23 +258,25 @@
         unacknowledgedCalls = outcomes.unacknowledgedCount();
     }
 
-    /** Does what the gate says; what that leads to comes after it. */
+    /** Executes the gate's actions; actions that result from them are queued behind them. */
     private void perform(List<GateAction> actions) {
-        todo.addAll(actions);
-        if (performing || todo.isEmpty()) {
+        pendingActions.addAll(actions);
+        if (isPerforming || pendingActions.isEmpty()) {
             return;
         }
-        onLoadChange.run();
-        performing = true;
+        onCallsChanged.run();
+        isPerforming = true;
         try {
-            for (GateAction next = todo.poll(); next != null; next = todo.poll()) {
+            for (GateAction next = pendingActions.poll();
+                    next != null;
+                    next = pendingActions.poll()) {
                 Attempt attempt = active.get(next.id());
                 if (attempt != null) {
                     perform(next, attempt);
                 }
             }
         } finally {
-            performing = false;
+            isPerforming = false;
         }
     }
 
@@ -279,91 +292,96 @@
         }
     }
 
-    private void preempt(Attempt attempt, boolean waits) {
+    private void preempt(Attempt attempt, boolean isRequeued) {
         attempt.abortAtTarget();
-        if (attempt.answer().isFinished()) {
-            // It had ended before this thread heard of it; no work is lost.
-            settle(attempt, TargetResponseRelay.End.WHOLE.name());
+        if (attempt.response().isFinished()) {
+            // The call ended before this thread was notified; no work is lost.
+            complete(attempt, TargetResponseRelay.End.WHOLE.name());
             return;
         }
         CallMetrics.recordPreemption();
-        decisions.recordPreemption(attempt, waits, gate);
-        if (!waits) {
-            CallMetrics.lost(attempt.answer().length());
+        decisions.recordPreemption(attempt, isRequeued, gate);
+        if (!isRequeued) {
+            CallMetrics.recordLostBytes(attempt.response().length());
             end(attempt, FailureKind.PREEMPTED, "an online call took the slot");
         }
     }
 
     private void run(Attempt attempt) {
         if (attempt.isOrphaned() && !attempt.start().isIdempotent() && !attempt.wasSentToTarget()) {
-            fail(attempt, FailureKind.TARGET_UNREACHABLE, "its connection was lost as it waited");
+            fail(
+                    attempt,
+                    FailureKind.TARGET_UNREACHABLE,
+                    "the entry's connection was lost while the call waited");
             return;
         }
-        CallMetrics.recordWait(attempt.lane().name(), lastMs - attempt.receivedMs());
-        decisions.recordStart(attempt, lastMs - attempt.receivedMs());
-        boolean resuming = attempt.wasSentToTarget();
+        CallMetrics.recordWait(attempt.lane().name(), lastTimeMs - attempt.receivedMs());
+        decisions.recordStart(attempt, lastTimeMs - attempt.receivedMs());
+        boolean isResuming = attempt.wasSentToTarget();
         TargetResponseRelay[] relay = new TargetResponseRelay[1];
         relay[0] =
                 new TargetResponseRelay(
                         attempt,
                         target.incarnation(),
-                        resuming,
+                        isResuming,
                         end -> control.execute(() -> onTargetEnd(attempt, relay[0], end)));
-        attempt.answer().source(relay[0]);
+        attempt.response().setSource(relay[0]);
         String traceparent = attempt.startTargetSpan();
-        if (resuming) {
+        if (isResuming) {
             CallMetrics.recordResume();
             String id = attempt.id().requestId();
-            attempt.begin(target.resume(id, attempt.answer().length(), traceparent, relay[0]));
+            attempt.markSent(target.resume(id, attempt.response().length(), traceparent, relay[0]));
         } else {
-            attempt.begin(target.send(attempt.start(), traceparent, relay[0]));
+            attempt.markSent(target.send(attempt.start(), traceparent, relay[0]));
         }
     }
 
     private void onTargetEnd(
             Attempt attempt, TargetResponseRelay relay, TargetResponseRelay.End end) {
-        boolean current = attempt.answer().from(relay) && active.containsKey(attempt.key());
-        if (!current) {
+        boolean isCurrent =
+                attempt.response().isCurrentSource(relay) && active.containsKey(attempt.key());
+        if (!isCurrent) {
             return;
         }
         if (end == TargetResponseRelay.End.NOT_RESUMED) {
-            CallMetrics.lost(attempt.answer().length());
-            fail(attempt, FailureKind.PREEMPTED, "the target could not go on with the call");
+            CallMetrics.recordLostBytes(attempt.response().length());
+            fail(attempt, FailureKind.PREEMPTED, "the target could not resume the call");
             return;
         }
-        settle(attempt, end.name());
+        complete(attempt, end.name());
         if (end == TargetResponseRelay.End.UNREACHABLE || end == TargetResponseRelay.End.BROKEN) {
-            onBroken.run();
+            onConnectionFailed.run();
         }
     }
 
-    /** Ends a call from outside the gate: it gives its slot or its place back. */
+    /** Ends a call that the gate did not end, and releases its slot or queue position. */
     private void fail(Attempt attempt, FailureKind failure, String detail) {
         if (!active.containsKey(attempt.key())) {
             return;
         }
         attempt.abortAtTarget();
         end(attempt, failure, detail);
-        perform(gate.release(lastMs, attempt.key()));
+        perform(gate.release(lastTimeMs, attempt.key()));
     }
 
     private void end(Attempt attempt, FailureKind failure, String detail) {
-        Finish finish = attempt.failed(failure, detail);
-        attempt.answer().finish(finish.setTargetIncarnation(target.incarnation()));
-        leave(attempt, failure.name());
+        Finish finish = attempt.failureFinish(failure, detail);
+        attempt.response().finish(finish.setTargetIncarnation(target.incarnation()));
+        removeActive(attempt, failure.name());
     }
 
-    private void settle(Attempt attempt, String how) {
-        leave(attempt, how);
+    private void complete(Attempt attempt, String outcome) {
+        removeActive(attempt, outcome);
         perform(gate.release(now(), attempt.key()));
     }
 
-    private void leave(Attempt attempt, String how) {
+    private void removeActive(Attempt attempt, String outcome) {
         active.remove(attempt.key());
-        onLoadChange.run();
-        attempt.endSpans(how);
-        CallMetrics.ended(attempt.lane().name(), how);
-        outcomes.end(attempt.id(), attempt.answer().length(), lastMs).forEach(attempts::remove);
+        onCallsChanged.run();
+        attempt.endSpans(outcome);
+        CallMetrics.recordEnd(attempt.lane().name(), outcome);
+        outcomes.recordEnd(attempt.id(), attempt.response().length(), lastTimeMs)
+                .forEach(attempts::remove);
         if (attempt.isAcknowledged()) {
             attempts.remove(attempt.id());
             outcomes.acknowledge(attempt.id());
@@ -372,15 +390,19 @@
         hasActiveCalls = !active.isEmpty();
     }
 
-    /** After a pause of this process, calls that wait count as lost until their entry asks. */
+    /**
+     * Current time, milliseconds. After a pause of this process all calls count as orphaned until
+     * their entry queries them.
+     */
     private long now() {
         long now = System.nanoTime() / TimeUnit.MILLISECONDS.toNanos(1);
-        if (now - lastMs > settings.pauseBound().toMillis()) {
+        if (now - lastTimeMs > settings.pauseThreshold().toMillis()) {
             Logger.warn(
-                    "This process was paused for {} ms; calls await their entries", now - lastMs);
+                    "This process was paused for {} ms; calls await queries of their entries",
+                    now - lastTimeMs);
             active.values().forEach(attempt -> attempt.markOrphaned(now));
         }
-        lastMs = now;
+        lastTimeMs = now;
         return now;
     }
 
--- a/companion/src/main/java/org/sardinelift/companion/call/CallMetrics.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallMetrics.java
@@ -3,7 +3,7 @@
 import io.prometheus.metrics.core.metrics.Counter;
 import io.prometheus.metrics.core.metrics.Histogram;
 
-/** Counts calls at the target. */
+/** Metrics of calls at the target. */
 final class CallMetrics {
     private static final Counter ENDED =
             Counter.builder()
@@ -14,17 +14,17 @@
     private static final Counter PREEMPTED =
             Counter.builder()
                     .name("sardinelift_companion_preempted_total")
-                    .help("Batch calls that were cut for an online call")
+                    .help("Batch calls that an online call preempted")
                     .register();
     private static final Counter RESUMED =
             Counter.builder()
                     .name("sardinelift_companion_resumed_total")
-                    .help("Batch calls that went on where they were cut")
+                    .help("Batch calls that were resumed after a preemption")
                     .register();
     private static final Counter LOST_BYTES =
             Counter.builder()
                     .name("sardinelift_companion_lost_bytes_total")
-                    .help("Bytes of answers thrown away because their batch call was cut")
+                    .help("Response bytes dropped because their batch call was preempted")
                     .register();
     private static final Histogram WAITED =
             Histogram.builder()
@@ -35,7 +35,7 @@
 
     private CallMetrics() {}
 
-    static void ended(String lane, String failure) {
+    static void recordEnd(String lane, String failure) {
         ENDED.labelValues(lane, failure).inc();
     }
 
@@ -47,7 +47,7 @@
         RESUMED.inc();
     }
 
-    static void lost(long bytes) {
+    static void recordLostBytes(long bytes) {
         LOST_BYTES.inc(bytes);
     }
 
--- a/companion/src/main/java/org/sardinelift/companion/call/Answer.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/ResponseBuffer.java
@@ -13,39 +13,39 @@
 import org.sardinelift.protocol.generated.Head;
 
 /**
- * The answer of one attempt: passed on as it comes, and kept so that it can be passed on again over
- * another connection. Only the newest source may add to it. Safe for use by several threads.
+ * Response of one attempt: forwarded to the entry as it arrives, and kept so that it can be
+ * replayed over another connection. Only the latest source may add to it. Thread-safe.
  */
-final class Answer {
+final class ResponseBuffer {
     private final AttemptId id;
     private final long maxKeptBytes;
     private final List<byte[]> parts = new ArrayList<>();
     private @Nullable FrameConnection connection;
     private @Nullable Object source;
-    private @Nullable Frame writeHead;
+    private @Nullable Frame head;
     private @Nullable Frame finish;
-    private boolean kept = true;
+    private boolean isKept = true;
     private long length;
 
-    Answer(AttemptId id, FrameConnection connection, long maxKeptBytes) {
+    ResponseBuffer(AttemptId id, FrameConnection connection, long maxKeptBytes) {
         this.id = id;
         this.connection = connection;
         this.maxKeptBytes = maxKeptBytes;
     }
 
-    /** From now on only this source may add; null for none. */
-    synchronized void source(@Nullable Object newest) {
-        source = newest;
+    /** Sets the only source that may add to the response; null for none. */
+    synchronized void setSource(@Nullable Object latest) {
+        source = latest;
     }
 
-    synchronized boolean from(Object other) {
-        return source == other;
+    synchronized boolean isCurrentSource(Object candidate) {
+        return source == candidate;
     }
 
     synchronized void writeHead(Object from, int status, Map<String, String> headers) {
-        if (from == source && writeHead == null && finish == null) {
-            writeHead = Frame.head(new Head(id.requestId(), id.attempt(), status, headers));
-            send(writeHead);
+        if (from == source && head == null && finish == null) {
+            head = Frame.head(new Head(id.requestId(), id.attempt(), status, headers));
+            send(head);
         }
     }
 
@@ -55,20 +55,20 @@
         }
         send(dataFrame(length, part));
         length += part.length;
-        if (kept && length <= maxKeptBytes) {
+        if (isKept && length <= maxKeptBytes) {
             parts.add(part);
         } else {
-            kept = false;
+            isKept = false;
             parts.clear();
         }
     }
 
-    /** Ends the answer where the source is still the newest; only the first end counts. */
+    /** Ends the response if the source is still the latest; only the first end counts. */
     synchronized boolean finish(Object from, Finish end) {
         return from == source && finish(end);
     }
 
-    /** Ends the answer whatever its source; only the first end counts. */
+    /** Ends the response regardless of its source; only the first end counts. */
     synchronized boolean finish(Finish end) {
         if (finish != null) {
             return false;
@@ -78,16 +78,16 @@
         return true;
     }
 
-    /** Whether the body can be passed on from an offset. */
+    /** Whether the body from the offset on is still available. */
     synchronized boolean canReplayFrom(long offset) {
-        return offset <= length && (kept || offset == length);
+        return offset <= length && (isKept || offset == length);
     }
 
-    /** Goes on over another connection, whose entry holds the body up to an offset. */
+    /** Continues over another connection, to an entry that has the body up to the offset. */
     synchronized void attach(FrameConnection next, long offset) {
         connection = next;
-        if (writeHead != null) {
-            send(writeHead);
+        if (head != null) {
+            send(head);
         }
         long at = 0;
         for (byte[] part : parts) {
@@ -102,8 +102,8 @@
         }
     }
 
-    synchronized boolean on(FrameConnection other) {
-        return connection == other;
+    synchronized boolean isAttachedTo(FrameConnection candidate) {
+        return connection == candidate;
     }
 
     synchronized long length() {
@@ -115,7 +115,7 @@
     }
 
     synchronized boolean isStarted() {
-        return writeHead != null;
+        return head != null;
     }
 
     private void send(Frame frame) {
--- a/companion/src/main/java/org/sardinelift/companion/call/package-info.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/package-info.java
@@ -1,4 +1,4 @@
-/** Calls under way at the target and their answers. */
+/** Calls in progress at the target and their responses. */
 @NullMarked
 package org.sardinelift.companion.call;
 
--- a/companion/src/main/java/org/sardinelift/companion/link/EntryConnections.java
+++ b/companion/src/main/java/org/sardinelift/companion/link/EntryConnections.java
@@ -12,63 +12,63 @@
 import org.sardinelift.runtime.ControlThread;
 
 /**
- * Connections from entries, one for each lane. A new connection of the same entry and lane takes
- * the place of the old one, which is closed. State is owned by the control thread.
+ * Connections from entries, one per entry and lane. A new connection for the same entry and lane
+ * replaces the old one, which is closed. State is owned by the control thread.
  */
 public final class EntryConnections implements FrameListener {
     private final ControlThread control;
     private final BiConsumer<FrameConnection, Frame> onFrame;
     private final Consumer<FrameConnection> onLost;
-    private final Runnable onControlUp;
-    private final Map<Key, FrameConnection> open = new HashMap<>();
+    private final Runnable onControlConnected;
+    private final Map<Key, FrameConnection> connections = new HashMap<>();
 
     private record Key(String instance, Lane lane) {}
 
     /**
-     * Makes the set of connections, empty.
+     * Creates an empty set of connections.
      *
-     * @param control owner of the state
-     * @param onFrame takes each frame, on the control thread
-     * @param onLost hears of each connection that is lost, on the control thread
-     * @param onControlUp runs when an entry's control connection is up, on the control thread
+     * @param control thread that owns the state
+     * @param onFrame receives each frame, on the control thread
+     * @param onLost receives each lost connection, on the control thread
+     * @param onControlConnected runs on the control thread when an entry's control connection opens
      */
     public EntryConnections(
             ControlThread control,
             BiConsumer<FrameConnection, Frame> onFrame,
             Consumer<FrameConnection> onLost,
-            Runnable onControlUp) {
+            Runnable onControlConnected) {
         this.control = control;
         this.onFrame = onFrame;
         this.onLost = onLost;
-        this.onControlUp = onControlUp;
+        this.onControlConnected = onControlConnected;
     }
 
     @Override
     public void onUp(FrameConnection connection) {
-        control.execute(() -> up(connection));
+        control.execute(() -> register(connection));
     }
 
     @Override
     public void onFrame(FrameConnection connection, Frame frame) {
-        control.execute(() -> frame(connection, frame));
+        control.execute(() -> receive(connection, frame));
     }
 
     @Override
     public void onDown(FrameConnection connection, String reason) {
         control.execute(
                 () -> {
-                    open.remove(key(connection), connection);
+                    connections.remove(key(connection), connection);
                     onLost.accept(connection);
                 });
     }
 
     /**
-     * Sends a frame to every entry on its control connection.
+     * Sends a frame to every entry over its control connection.
      *
      * @param frame the frame
      */
     public void broadcast(Frame frame) {
-        open.forEach(
+        connections.forEach(
                 (key, connection) -> {
                     if (key.lane() == Lane.CONTROL) {
                         connection.send(frame);
@@ -76,22 +76,20 @@
                 });
     }
 
-    /**
-     * A connection that was replaced counts for nothing: its entry asks what became of its calls.
-     */
-    private void frame(FrameConnection connection, Frame frame) {
-        if (open.get(key(connection)) == connection) {
+    /** Drops frames of a replaced connection: its entry queries the state of its calls. */
+    private void receive(FrameConnection connection, Frame frame) {
+        if (connections.get(key(connection)) == connection) {
             onFrame.accept(connection, frame);
         }
     }
 
-    private void up(FrameConnection connection) {
-        FrameConnection previous = open.put(key(connection), connection);
+    private void register(FrameConnection connection) {
+        FrameConnection previous = connections.put(key(connection), connection);
         if (previous != null) {
             previous.close("the entry opened another connection for this lane");
         }
         if (connection.peer().getLane() == Lane.CONTROL) {
-            onControlUp.run();
+            onControlConnected.run();
         }
     }
 
--- a/companion/src/main/java/org/sardinelift/companion/link/LoadReporter.java
+++ b/companion/src/main/java/org/sardinelift/companion/link/LoadReporter.java
@@ -9,67 +9,67 @@
 import org.sardinelift.runtime.ControlThread;
 import org.sardinelift.runtime.OneShotTimer;
 
-/** Tells entries the load when its pace says so. Owned by the control thread. */
+/** Reports the load to entries when a report is due. Owned by the control thread. */
 public final class LoadReporter {
-    private final ReportPacer pace;
+    private final ReportPacer pacer;
     private final Supplier<LoadReport> load;
     private final Consumer<LoadReport> send;
-    private final OneShotTimer alarm;
-    private @Nullable LoadReport last;
+    private final OneShotTimer timer;
+    private @Nullable LoadReport lastReported;
 
     /**
-     * Makes a reporter that has reported nothing yet.
+     * Creates a reporter that has sent no report yet.
      *
-     * @param control owner of the state
-     * @param pace when a report is due
-     * @param load gives the load as it is
+     * @param control thread that owns the state
+     * @param pacer determines when a report is due
+     * @param load supplies the current load
      * @param send sends a report to all entries
      */
     public LoadReporter(
             ControlThread control,
-            ReportPacer pace,
+            ReportPacer pacer,
             Supplier<LoadReport> load,
             Consumer<LoadReport> send) {
-        this.pace = pace;
+        this.pacer = pacer;
         this.load = load;
         this.send = send;
-        this.alarm = OneShotTimer.of(control, this::report);
+        this.timer = OneShotTimer.of(control, this::reportNow);
     }
 
-    /** A call came, started or ended: entries count on a report after it, whatever its figures. */
-    public void onChange() {
-        pace.onChange();
-        setAlarm();
+    /** A call arrived, started or ended: entries expect a report after it, changed or not. */
+    public void onCallsChanged() {
+        pacer.onChange();
+        scheduleNext();
     }
 
-    /** Looks whether the load is another than the one last told. */
-    public void compare() {
-        if (isOther()) {
-            onChange();
+    /** Schedules a report if the load differs from the last one reported. */
+    public void scheduleIfChanged() {
+        if (hasChanged()) {
+            onCallsChanged();
         }
     }
 
-    /** Sends a report at once where the load is another than the one last told. */
+    /** Sends a report immediately if the load differs from the last one reported. */
     public void reportIfChanged() {
-        if (isOther()) {
-            report();
+        if (hasChanged()) {
+            reportNow();
         }
     }
 
-    /** Sends a report at once. */
-    public void report() {
+    /** Sends a report immediately. */
+    public void reportNow() {
         LoadReport next = load.get();
-        last = next;
-        pace.onReportSent(System.nanoTime());
-        setAlarm();
+        lastReported = next;
+        pacer.onReportSent(System.nanoTime());
+        scheduleNext();
         send.accept(next);
     }
 
-    private boolean isOther() {
-        return !load.get().equals(last);
+    private boolean hasChanged() {
+        return !load.get().equals(lastReported);
     }
 
-    private void setAlarm() {
-        alarm.within(Duration.ofNanos(pace.nanosUntilDue(System.nanoTime())));
+    private void scheduleNext() {
+        timer.within(Duration.ofNanos(pacer.nanosUntilDue(System.nanoTime())));
     }
 }
--- a/companion/src/main/java/org/sardinelift/companion/order/OrderExecutor.java
+++ b/companion/src/main/java/org/sardinelift/companion/order/OrderExecutor.java
@@ -3,23 +3,23 @@
 import java.util.concurrent.CompletableFuture;
 import org.sardinelift.protocol.generated.Order;
 
-/** Carries out orders. */
+/** Executes orders at a target. */
 @FunctionalInterface
 public interface OrderExecutor {
 
     /**
-     * Carries out an order.
+     * Executes an order.
      *
      * @param order the order, with its fencing number
-     * @return what became of it; never fails
+     * @return its result; never completes exceptionally
      */
     CompletableFuture<Result> execute(Order order);
 
     /**
-     * What became of an order at the target.
+     * Result of an order at the target.
      *
-     * @param isAccepted whether the target took it
-     * @param detail what the target said
+     * @param isAccepted whether the target accepted it
+     * @param detail the target's response text, or why there is none
      */
     record Result(boolean isAccepted, String detail) {}
 }
--- a/companion/src/main/java/org/sardinelift/companion/order/OrderGuard.java
+++ b/companion/src/main/java/org/sardinelift/companion/order/OrderGuard.java
@@ -14,10 +14,10 @@
 import org.tinylog.Logger;
 
 /**
- * Lets only orders through whose fencing number is not below the highest one seen for the target.
- * The highest is kept by the platform and raised there, by a conditional write, before an order is
- * passed on: so neither a restart of this process nor a twin of it lets an older order through.
- * Orders are taken one at a time. Owned by the control thread.
+ * Passes on only orders whose fencing number is not below the highest one seen for the target. The
+ * platform stores the highest number; it is raised there by a conditional write before an order is
+ * passed on, so that neither a restart nor a second companion for the same target lets an older
+ * order through. Orders are processed one at a time. Owned by the control thread.
  */
 public final class OrderGuard {
     private static final String KIND = "order-state";
@@ -30,20 +30,20 @@
     private final int maxWaiting;
     private final int maxTries;
     private final ArrayDeque<Pending> waiting = new ArrayDeque<>();
-    private boolean taking;
+    private boolean isProcessing;
     private long highestFence;
 
-    private record Pending(Order order, Consumer<OrderResult> answer) {}
+    private record Pending(Order order, Consumer<OrderResult> onResult) {}
 
     /**
-     * Makes a guard that has seen no order.
+     * Creates a guard that has seen no order.
      *
-     * @param store keeps the highest fencing number
+     * @param store stores the highest fencing number
      * @param targetName name of the target
-     * @param target carries orders out
-     * @param control runs what follows an answer
-     * @param maxWaiting orders that may wait
-     * @param maxTries tries to raise the fencing number before an order is refused
+     * @param target executes the orders
+     * @param control executor of the control thread
+     * @param maxWaiting maximum number of waiting orders
+     * @param maxTries attempts to store the fencing number before an order is refused
      */
     public OrderGuard(
             ObjectStore store,
@@ -61,40 +61,41 @@
     }
 
     /**
-     * Takes an order.
+     * Submits an order.
      *
      * @param order the order
-     * @param answer takes what became of it
+     * @param onResult receives its result
      */
-    public void take(Order order, Consumer<OrderResult> answer) {
+    public void submit(Order order, Consumer<OrderResult> onResult) {
         if (waiting.size() >= maxWaiting) {
-            answer.accept(result(order, false, false, "too many orders wait; send it again later"));
+            onResult.accept(
+                    result(order, false, false, "too many orders are waiting; retry later"));
             return;
         }
-        waiting.add(new Pending(order, answer));
-        next();
+        waiting.add(new Pending(order, onResult));
+        processNext();
     }
 
     /**
-     * The highest fencing number seen.
+     * Highest fencing number seen.
      *
-     * @return 0 before the first order
+     * @return the number, 0 before the first order
      */
     public long highestFence() {
         return highestFence;
     }
 
-    private void next() {
-        if (taking || waiting.isEmpty()) {
+    private void processNext() {
+        if (isProcessing || waiting.isEmpty()) {
             return;
         }
-        taking = true;
+        isProcessing = true;
         check(waiting.poll(), maxTries);
     }
 
     private void check(Pending pending, int tries) {
         if (tries == 0) {
-            refuse(pending, "the platform did not keep the fencing number; send it again");
+            refuse(pending, "the platform did not store the fencing number; retry the order");
             return;
         }
         store.read(key).thenAcceptAsync(read -> onRead(pending, tries, read), control);
@@ -109,7 +110,7 @@
         } else {
             refuse(
                     pending,
-                    "the highest fencing number can't be read from the platform; send it again");
+                    "the highest fencing number can't be read from the platform; retry the order");
         }
     }
 
@@ -117,7 +118,7 @@
         long fence = pending.order().getFence();
         if (fence < highestFence) {
             Logger.warn(
-                    "Order {} {} of {} has fencing number {}, below {}; it is refused",
+                    "Refused order {} {} of {}: fencing number {} is below the highest one, {}",
                     pending.order().getAction(),
                     pending.order().getSubject(),
                     pending.order().getHolder(),
@@ -125,10 +126,10 @@
                     highestFence);
             refuse(
                     pending,
-                    "the fencing number is below " + highestFence + "; take the lease anew");
+                    "the fencing number is below " + highestFence + "; acquire the lease again");
             return;
         }
-        // Written even where it is equal: the condition proves that the read was not stale.
+        // Written even if equal: the conditional write proves that the read was not stale.
         store.write(key, version, "{\"fence\":" + fence + "}")
                 .thenAcceptAsync(written -> onWritten(pending, tries, written), control);
     }
@@ -141,18 +142,18 @@
         highestFence = Math.max(highestFence, pending.order().getFence());
         target.execute(pending.order())
                 .thenAcceptAsync(
-                        verdict -> end(pending, verdict.isAccepted(), true, verdict.detail()),
+                        result -> complete(pending, result.isAccepted(), true, result.detail()),
                         control);
     }
 
     private void refuse(Pending pending, String detail) {
-        end(pending, false, false, detail);
+        complete(pending, false, false, detail);
     }
 
-    private void end(Pending pending, boolean accepted, boolean passedOn, String detail) {
-        taking = false;
-        pending.answer().accept(result(pending.order(), accepted, passedOn, detail));
-        next();
+    private void complete(Pending pending, boolean accepted, boolean passedOn, String detail) {
+        isProcessing = false;
+        pending.onResult().accept(result(pending.order(), accepted, passedOn, detail));
+        processNext();
     }
 
     private OrderResult result(Order order, boolean accepted, boolean passedOn, String detail) {
--- a/companion/src/main/java/org/sardinelift/companion/order/package-info.java
+++ b/companion/src/main/java/org/sardinelift/companion/order/package-info.java
@@ -1,4 +1,4 @@
-/** Orders to the target, held in line by their fencing numbers. */
+/** Orders to the target, checked against their fencing numbers. */
 @NullMarked
 package org.sardinelift.companion.order;
 
--- a/companion/src/main/java/org/sardinelift/companion/outcome/Admission.java
+++ b/companion/src/main/java/org/sardinelift/companion/outcome/Admission.java
@@ -6,6 +6,6 @@
     NEW,
     /** It was started before. */
     DUPLICATE,
-    /** Its entry was told that it was not started; that must stay true. */
+    /** Its entry was told that it was not started, so it must not start any more. */
     TOO_LATE
 }
--- a/companion/src/main/java/org/sardinelift/companion/outcome/AttemptId.java
+++ b/companion/src/main/java/org/sardinelift/companion/outcome/AttemptId.java
@@ -1,9 +1,9 @@
 package org.sardinelift.companion.outcome;
 
 /**
- * Names one attempt at a request.
+ * Identifies one attempt at a request.
  *
- * @param requestId unique over the fleet
+ * @param requestId id that is unique in the fleet
  * @param attempt number of the attempt
  */
 public record AttemptId(String requestId, int attempt) {}
--- a/companion/src/main/java/org/sardinelift/companion/outcome/OutcomeTable.java
+++ b/companion/src/main/java/org/sardinelift/companion/outcome/OutcomeTable.java
@@ -12,41 +12,42 @@
 import org.sardinelift.protocol.generated.RequestState;
 
 /**
- * What became of each attempt, in bounded time and memory. "Not started" is said only of an attempt
- * that never came, and from then on it is refused. An entry that lost the outcome of any attempt is
- * told "unknown" of every attempt that is not on record. Not safe for use by several threads.
+ * Outcomes of attempts, limited in time and memory. A query returns "not started" only for an
+ * attempt that never arrived, and that attempt is refused from then on. Once an outcome of an
+ * entry's attempt has been dropped, that entry gets "unknown" for every attempt not on record. Not
+ * thread-safe.
  */
 public final class OutcomeTable {
-    private final OutcomeLimits bounds;
+    private final OutcomeBounds limits;
     private final Map<AttemptId, String> running = new HashMap<>();
     private final LinkedHashMap<AttemptId, Ended> ended = new LinkedHashMap<>();
     private final LinkedHashSet<AttemptId> tombstones = new LinkedHashSet<>();
-    private final Set<String> forgetful = new HashSet<>();
-    private boolean allForgetful;
+    private final Set<String> entriesWithLostOutcomes = new HashSet<>();
+    private boolean hasEveryEntryLostOutcomes;
     private long endedBytes;
 
     private record Ended(String entry, long bytes, long atMs) {}
 
-    private OutcomeTable(OutcomeLimits bounds) {
-        this.bounds = bounds;
+    private OutcomeTable(OutcomeBounds limits) {
+        this.limits = limits;
     }
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
-     * @param bounds its bounds
+     * @param limits its limits
      * @return the table
      */
-    public static OutcomeTable create(OutcomeLimits bounds) {
-        return new OutcomeTable(bounds);
+    public static OutcomeTable create(OutcomeBounds limits) {
+        return new OutcomeTable(limits);
     }
 
     /**
-     * An attempt has come.
+     * Admits an attempt unless it is a duplicate or was declared not started.
      *
      * @param id the attempt
      * @param entry incarnation of the entry that sent it
-     * @return whether it may be started; if new, it counts as running from now on
+     * @return whether it may be started; a new one counts as running from now on
      */
     public Admission admit(AttemptId id, String entry) {
         if (tombstones.contains(id)) {
@@ -60,14 +61,14 @@
     }
 
     /**
-     * An attempt has ended; its answer is kept.
+     * Records the end of an attempt; its outcome is kept.
      *
      * @param id the attempt
-     * @param bytes length of its answer, bytes
+     * @param bytes length of its response, bytes
      * @param nowMs time, milliseconds
-     * @return attempts that are forgotten now
+     * @return attempts whose outcomes were dropped
      */
-    public List<AttemptId> end(AttemptId id, long bytes, long nowMs) {
+    public List<AttemptId> recordEnd(AttemptId id, long bytes, long nowMs) {
         String entry = running.remove(id);
         if (entry != null) {
             ended.put(id, new Ended(entry, bytes, nowMs));
@@ -77,7 +78,7 @@
     }
 
     /**
-     * The entry has the whole answer and will not ask any more.
+     * Removes an attempt whose entry has the complete response and won't query it again.
      *
      * @param id the attempt
      */
@@ -89,11 +90,11 @@
     }
 
     /**
-     * An entry asks what became of an attempt.
+     * Answers an entry's query for the state of an attempt.
      *
      * @param id the attempt
      * @param entry incarnation of the entry
-     * @return its state; an attempt that was not started never will be
+     * @return its state; an attempt reported as not started will never be started
      */
     public RequestState query(AttemptId id, String entry) {
         if (running.containsKey(id)) {
@@ -102,62 +103,64 @@
         if (ended.containsKey(id)) {
             return RequestState.FINISHED;
         }
-        if (allForgetful || forgetful.contains(entry)) {
+        if (hasEveryEntryLostOutcomes || entriesWithLostOutcomes.contains(entry)) {
             return RequestState.UNKNOWN;
         }
-        bury(id);
+        addTombstone(id);
         return RequestState.NOT_STARTED;
     }
 
     /**
-     * Forgets what is past its time or over the bounds.
+     * Drops outcomes that are past their retention or over the limits.
      *
      * @param nowMs time, milliseconds
-     * @return attempts that are forgotten now
+     * @return attempts whose outcomes were dropped
      */
     public List<AttemptId> expire(long nowMs) {
-        List<AttemptId> forgotten = new ArrayList<>();
+        List<AttemptId> dropped = new ArrayList<>();
         Iterator<Map.Entry<AttemptId, Ended>> oldest = ended.entrySet().iterator();
         while (oldest.hasNext()) {
             Map.Entry<AttemptId, Ended> next = oldest.next();
-            boolean late = nowMs - next.getValue().atMs() >= bounds.retention().toMillis();
-            if (!late && ended.size() <= bounds.maxRecords() && endedBytes <= bounds.maxBytes()) {
+            boolean isExpired = nowMs - next.getValue().atMs() >= limits.retention().toMillis();
+            if (!isExpired
+                    && ended.size() <= limits.maxRecords()
+                    && endedBytes <= limits.maxBytes()) {
                 break;
             }
             oldest.remove();
             endedBytes -= next.getValue().bytes();
-            forget(next.getValue().entry());
-            forgotten.add(next.getKey());
+            recordLostOutcome(next.getValue().entry());
+            dropped.add(next.getKey());
         }
-        return forgotten;
+        return dropped;
     }
 
     /**
-     * Ended attempts that their entries have not acknowledged.
+     * Number of ended attempts that their entries have not acknowledged.
      *
-     * @return their number
+     * @return number of attempts
      */
     public int unacknowledgedCount() {
         return ended.size();
     }
 
-    private void bury(AttemptId id) {
+    private void addTombstone(AttemptId id) {
         tombstones.add(id);
-        if (tombstones.size() > bounds.maxTombstones()) {
-            // The connection that could still bring the attempt was closed before the query came.
+        if (tombstones.size() > limits.maxTombstones()) {
+            // Safe: the connection that could still deliver it was closed before the query came.
             Iterator<AttemptId> oldest = tombstones.iterator();
             oldest.next();
             oldest.remove();
         }
     }
 
-    private void forget(String entry) {
-        if (forgetful.size() >= bounds.maxEntriesWithLostOutcomes()) {
-            allForgetful = true;
-            forgetful.clear();
+    private void recordLostOutcome(String entry) {
+        if (entriesWithLostOutcomes.size() >= limits.maxEntriesWithLostOutcomes()) {
+            hasEveryEntryLostOutcomes = true;
+            entriesWithLostOutcomes.clear();
         }
-        if (!allForgetful) {
-            forgetful.add(entry);
+        if (!hasEveryEntryLostOutcomes) {
+            entriesWithLostOutcomes.add(entry);
         }
     }
 }
--- a/companion/src/main/java/org/sardinelift/companion/outcome/package-info.java
+++ b/companion/src/main/java/org/sardinelift/companion/outcome/package-info.java
@@ -1,4 +1,4 @@
-/** What became of each attempt, kept until its entry has the whole answer. */
+/** Outcome of each attempt, kept until its entry has the complete response. */
 @NullMarked
 package org.sardinelift.companion.outcome;
 
--- a/companion/src/main/java/org/sardinelift/companion/package-info.java
+++ b/companion/src/main/java/org/sardinelift/companion/package-info.java
@@ -1,4 +1,4 @@
-/** The companion role: the only way to the target beside it. */
+/** The companion role: a process beside a target through which all calls to it pass. */
 @NullMarked
 package org.sardinelift.companion;
 
--- a/companion/src/main/java/org/sardinelift/companion/target/LoadedModels.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/LoadedModels.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * What a target says of itself.
+ * Models and role that a target reports.
  *
- * @param models names of the models and adapters loaded
- * @param versions version of each model, for those that the target tells
- * @param role its role, empty where it tells none
+ * @param models names of the loaded models and adapters
+ * @param versions versions by model name, only for models whose version is reported
+ * @param role its role, empty if none is reported
  */
 public record LoadedModels(List<String> models, Map<String, String> versions, String role) {
 
     /**
-     * What is known of a target that does not tell.
+     * Creates the value for a target that reports no versions and no role.
      *
-     * @param models names of the settings
+     * @param models names of the models
      * @return these models, without versions
      */
     public static LoadedModels ofNames(List<String> models) {
@@ -23,10 +23,10 @@
     }
 
     /**
-     * The same without models that are not to be called now.
+     * Copy without the models that must not be called now.
      *
-     * @param hidden whether a model is left out
-     * @return the rest, all versions kept
+     * @param hidden selects the models to leave out
+     * @return the remaining models, with all versions
      */
     LoadedModels excluding(java.util.function.Predicate<String> hidden) {
         return new LoadedModels(models.stream().filter(hidden.negate()).toList(), versions, role);
--- a/companion/src/main/java/org/sardinelift/companion/target/ModelTracker.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/ModelTracker.java
@@ -8,9 +8,9 @@
 import org.sardinelift.protocol.generated.Order;
 
 /**
- * Knows what the target has loaded. While an order is carried out, the model that it concerns is
- * not shown, so that entries send new calls elsewhere; an order for a role hides all models. What
- * is shown is new before an order's verdict is given. Owned by the control thread.
+ * Tracks the models that the target has loaded. While an order is executed, its model is hidden, so
+ * that entries send new calls elsewhere; an order for a role hides all models. The list is
+ * refreshed before an order's result is returned. Owned by the control thread.
  */
 public final class ModelTracker implements OrderExecutor {
     private static final String ROLE_ACTION = "role";
@@ -18,18 +18,18 @@
     private final TargetControlClient target;
     private final Executor control;
     private final Runnable onChange;
-    private final List<Order> running = new ArrayList<>();
+    private final List<Order> ordersInProgress = new ArrayList<>();
     private LoadedModels loaded;
-    private long asked;
-    private long applied;
+    private long lastRequest;
+    private long lastApplied;
 
     /**
-     * Makes a watch that takes the settings' models to be loaded.
+     * Creates a tracker that initially assumes the given models.
      *
-     * @param target carries orders out and tells what is loaded
-     * @param models models that are taken to be loaded at first
-     * @param control runs what follows an answer
-     * @param onChange called when something else is shown
+     * @param target executes orders and lists the loaded models
+     * @param models models assumed to be loaded until the first poll
+     * @param control executor of the control thread
+     * @param onChange called when the available models may have changed
      */
     public ModelTracker(
             TargetControlClient target, List<String> models, Executor control, Runnable onChange) {
@@ -40,48 +40,49 @@
     }
 
     /**
-     * What entries may call now.
+     * Models that entries may call now.
      *
-     * @return the models shown
+     * @return the loaded models without those hidden by an order
      */
     public LoadedModels availableModels() {
-        return loaded.excluding(this::hidden);
+        return loaded.excluding(this::isHidden);
     }
 
-    /** Asks the target; an answer that another question has overtaken is dropped. */
-    public void ask() {
+    /** Polls the target; a response that is older than the one last applied is dropped. */
+    public void poll() {
         refresh();
     }
 
     @Override
     public CompletableFuture<Result> execute(Order order) {
-        running.add(order);
+        ordersInProgress.add(order);
         onChange.run();
         return target.execute(order)
                 .thenComposeAsync(
-                        verdict -> {
-                            running.remove(order);
-                            return refresh().thenApply(done -> verdict);
+                        result -> {
+                            ordersInProgress.remove(order);
+                            return refresh().thenApply(done -> result);
                         },
                         control);
     }
 
     private CompletableFuture<Void> refresh() {
-        long question = ++asked;
-        return target.models().thenAcceptAsync(answer -> onAnswer(question, answer), control);
+        long request = ++lastRequest;
+        return target.fetchModels()
+                .thenAcceptAsync(models -> onModelsFetched(request, models), control);
     }
 
-    private void onAnswer(long question, LoadedModels answer) {
-        if (question <= applied) {
+    private void onModelsFetched(long request, LoadedModels models) {
+        if (request <= lastApplied) {
             return;
         }
-        applied = question;
-        loaded = answer;
+        lastApplied = request;
+        loaded = models;
         onChange.run();
     }
 
-    private boolean hidden(String model) {
-        return running.stream()
+    private boolean isHidden(String model) {
+        return ordersInProgress.stream()
                 .anyMatch(
                         order ->
                                 order.getAction().equals(ROLE_ACTION)
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetClient.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetClient.java
@@ -11,9 +11,9 @@
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.protocol.generated.Start;
 
-/** Sends calls to the target. */
+/** HTTP client that sends calls to the target and resumes interrupted ones. */
 public final class TargetClient {
-    private static final Set<String> HOP_HEADERS =
+    private static final Set<String> HOP_BY_HOP_HEADERS =
             Set.of(
                     "authorization",
                     "proxy-authorization",
@@ -34,11 +34,11 @@
     private volatile String incarnation;
 
     /**
-     * Makes a link to a target.
+     * Creates a client for one target.
      *
      * @param client HTTP client
-     * @param settings the target
-     * @param incarnation names the target's life
+     * @param settings settings of the target
+     * @param incarnation id of the target's current incarnation
      */
     public TargetClient(HttpClient client, TargetSettings settings, String incarnation) {
         this.client = client;
@@ -47,27 +47,27 @@
     }
 
     /**
-     * The target has recovered.
+     * Sets the incarnation after the target has recovered.
      *
-     * @param next names the target's life from now on
+     * @param next id of the new incarnation
      */
-    public void incarnation(String next) {
+    public void setIncarnation(String next) {
         incarnation = next;
     }
 
     /**
-     * Whether the target goes on with calls that were cut.
+     * Whether the target can resume an interrupted call.
      *
-     * @return true where it does
+     * @return true if it can
      */
     public boolean canResume() {
-        return settings.isModelEngine() && settings.resume();
+        return settings.isModelEngine() && settings.canResume();
     }
 
     /**
-     * Names the target since its last recovery.
+     * Identifies the current incarnation of the target.
      *
-     * @return another text after each recovery
+     * @return an id that changes with each recovery
      */
     public String incarnation() {
         return incarnation;
@@ -77,37 +77,37 @@
      * Sends a call.
      *
      * @param start the call
-     * @param traceparent W3C trace context of the hop, empty for none
-     * @param listener receives the answer
+     * @param traceparent W3C trace context of the span, empty for none
+     * @param listener receives the response
      * @return cancels the call when run
      */
     public Runnable send(Start start, String traceparent, HttpAnswerListener listener) {
         byte[] body = start.getBody() == null ? new byte[0] : start.getBody();
         Map<String, String> headers = headers(start);
-        trace(headers, traceparent);
+        addTraceparent(headers, traceparent);
         return client.send(call(start.getMethod(), start.getPath(), headers, body), listener);
     }
 
     /**
-     * Goes on with a call that was cut.
+     * Resumes an interrupted call.
      *
-     * @param requestId the call
-     * @param offset body bytes that are here already
-     * @param traceparent W3C trace context of the hop, empty for none
-     * @param listener receives the rest of the answer
+     * @param requestId id of the call
+     * @param offset number of body bytes already received
+     * @param traceparent W3C trace context of the span, empty for none
+     * @param listener receives the rest of the response
      * @return cancels the call when run
      */
     public Runnable resume(
             String requestId, long offset, String traceparent, HttpAnswerListener listener) {
         String id = URLEncoder.encode(requestId, StandardCharsets.UTF_8);
         Map<String, String> headers = new HashMap<>(Map.of(REQUEST_ID, requestId));
-        trace(headers, traceparent);
+        addTraceparent(headers, traceparent);
         return client.send(
                 call("POST", "/resume/" + id + "?offset=" + offset, headers, new byte[0]),
                 listener);
     }
 
-    private static void trace(Map<String, String> headers, String traceparent) {
+    private static void addTraceparent(Map<String, String> headers, String traceparent) {
         if (!traceparent.isEmpty()) {
             headers.put("traceparent", traceparent);
         }
@@ -115,7 +115,13 @@
 
     private HttpCall call(String method, String uri, Map<String, String> headers, byte[] body) {
         return HttpCall.of(
-                settings.host(), settings.port(), method, uri, headers, body, settings.silence());
+                settings.host(),
+                settings.port(),
+                method,
+                uri,
+                headers,
+                body,
+                settings.silenceTimeout());
     }
 
     private static Map<String, String> headers(Start start) {
@@ -124,7 +130,7 @@
             start.getHeaders()
                     .forEach(
                             (name, value) -> {
-                                if (!HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT))) {
+                                if (!HOP_BY_HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT))) {
                                     headers.put(name.toLowerCase(Locale.ROOT), value);
                                 }
                             });
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetControlClient.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetControlClient.java
@@ -16,7 +16,7 @@
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.protocol.generated.Order;
 
-/** Orders to the target over HTTP, and the models that it has loaded. */
+/** HTTP client that sends orders to the target and fetches the list of its loaded models. */
 public final class TargetControlClient implements OrderExecutor {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int OK = 200;
@@ -26,10 +26,10 @@
     private final TargetSettings settings;
 
     /**
-     * Makes a way for orders.
+     * Creates a client for one target.
      *
      * @param client HTTP client
-     * @param settings the target
+     * @param settings settings of the target
      */
     public TargetControlClient(HttpClient client, TargetSettings settings) {
         this.client = client;
@@ -51,31 +51,36 @@
         }
         return client.call(call("POST", "/orders", headers, body.getBytes(StandardCharsets.UTF_8)))
                 .handle(
-                        (answer, error) ->
+                        (response, error) ->
                                 error == null
-                                        ? new Result(answer.status() == OK, answer.text())
-                                        : new Result(false, "no answer: " + error.getMessage()));
+                                        ? new Result(response.status() == OK, response.text())
+                                        : new Result(
+                                                false,
+                                                "no response from the target: "
+                                                        + error.getMessage()));
     }
 
     /**
-     * Asks which models and adapters are loaded, in which versions, and the role.
+     * Fetches the loaded models and adapters, their versions, and the target's role.
      *
-     * @return what the target says; the settings' models where it does not tell
+     * @return the target's response; the configured models without versions if there is none
      */
-    public CompletableFuture<LoadedModels> models() {
-        LoadedModels untold = LoadedModels.ofNames(settings.models());
+    public CompletableFuture<LoadedModels> fetchModels() {
+        LoadedModels configured = LoadedModels.ofNames(settings.models());
         if (!settings.isModelEngine()) {
-            return CompletableFuture.completedFuture(untold);
+            return CompletableFuture.completedFuture(configured);
         }
         return client.call(call("GET", "/v1/models", Map.of(), NO_BODY))
                 .handle(
-                        (answer, error) ->
-                                error == null && answer.status() == OK ? read(answer) : untold);
+                        (response, error) ->
+                                error == null && response.status() == OK
+                                        ? read(response)
+                                        : configured);
     }
 
-    private LoadedModels read(HttpAnswer answer) {
+    private LoadedModels read(HttpAnswer response) {
         try {
-            JsonNode body = MAPPER.readTree(answer.text());
+            JsonNode body = MAPPER.readTree(response.text());
             Map<String, String> versions = new TreeMap<>();
             List<String> names = new ArrayList<>();
             body.path("data")
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetHealth.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetHealth.java
@@ -3,69 +3,70 @@
 import java.util.function.Supplier;
 
 /**
- * Whether the target lives, from probes and from calls that broke. A broken call is looked into by
- * a probe at once; one probe that is answered lets a target that was down back in. Not safe for use
- * by several threads.
+ * Health of the target, derived from probes and from failed connections of calls. A failed
+ * connection is followed by a probe at once, and that one probe decides; otherwise several probes
+ * must fail in a row to mark the target down. One answered probe marks it up again. Not
+ * thread-safe.
  */
 public final class TargetHealth {
-    private final int failuresToDown;
+    private final int failureThreshold;
     private final Supplier<String> incarnations;
     private String incarnation;
     private boolean isUp = true;
-    private boolean broken;
-    private int failures;
+    private boolean hasConnectionFailed;
+    private int consecutiveFailures;
 
-    private TargetHealth(int failuresToDown, Supplier<String> incarnations) {
-        this.failuresToDown = failuresToDown;
+    private TargetHealth(int failureThreshold, Supplier<String> incarnations) {
+        this.failureThreshold = failureThreshold;
         this.incarnations = incarnations;
         this.incarnation = incarnations.get();
     }
 
     /**
-     * A target that counts as up until something else is seen.
+     * Creates the health of a target that counts as up initially.
      *
-     * @param failuresToDown failed probes in a row after which the target is down
-     * @param incarnations gives a new name for each life of the target
-     * @return its health
+     * @param failureThreshold consecutive failed probes after which the target is down
+     * @param incarnations generates an id for each incarnation of the target
+     * @return the health
      */
-    public static TargetHealth create(int failuresToDown, Supplier<String> incarnations) {
-        return new TargetHealth(failuresToDown, incarnations);
+    public static TargetHealth create(int failureThreshold, Supplier<String> incarnations) {
+        return new TargetHealth(failureThreshold, incarnations);
     }
 
-    /** A connection of a call could not be opened or broke. */
+    /** Called when a connection of a call could not be opened or was lost. */
     public void onConnectionFailed() {
-        broken = true;
+        hasConnectionFailed = true;
     }
 
     /**
-     * A probe has ended.
+     * Called when a probe has ended.
      *
      * @param answered whether the target answered
-     * @param callsRunning calls at the target whose connections stand
-     * @return whether the target is another life of itself, or down, since the last probe
+     * @param callsRunning calls at the target whose connections are open
+     * @return whether the target's state or incarnation has changed since the last probe
      */
     public boolean onProbe(boolean answered, int callsRunning) {
         boolean wasUp = isUp;
-        String before = incarnation;
+        String previous = incarnation;
         if (answered) {
-            boolean restarted = broken && callsRunning == 0;
+            boolean restarted = hasConnectionFailed && callsRunning == 0;
             if (!isUp || restarted) {
                 incarnation = incarnations.get();
             }
             isUp = true;
-            failures = 0;
+            consecutiveFailures = 0;
         } else {
-            failures++;
-            if (broken || failures >= failuresToDown) {
+            consecutiveFailures++;
+            if (hasConnectionFailed || consecutiveFailures >= failureThreshold) {
                 isUp = false;
             }
         }
-        broken = false;
-        return wasUp != isUp || !before.equals(incarnation);
+        hasConnectionFailed = false;
+        return wasUp != isUp || !previous.equals(incarnation);
     }
 
     /**
-     * Whether the target takes calls.
+     * Whether the target accepts calls.
      *
      * @return false while it is down
      */
@@ -74,9 +75,9 @@
     }
 
     /**
-     * Names this life of the target.
+     * Identifies the current incarnation of the target.
      *
-     * @return another text after each recovery
+     * @return an id that changes with each recovery
      */
     public String incarnation() {
         return incarnation;
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetProbe.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetProbe.java
@@ -12,7 +12,7 @@
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.runtime.ControlThread;
 
-/** Asks the target for its load, one question at a time. Owned by the control thread. */
+/** Probes the target for its load, one request at a time. Owned by the control thread. */
 public final class TargetProbe {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int OK = 200;
@@ -21,23 +21,23 @@
     private final HttpClient client;
     private final TargetSettings settings;
     private final Consumer<Result> onResult;
-    private boolean asking;
+    private boolean isProbing;
 
     /**
-     * What a probe found.
+     * Result of a probe.
      *
-     * @param answered whether the target answered at all
-     * @param load its load, where it reports one
+     * @param isAnswered whether the target sent any response
+     * @param load its load, if it reports one
      */
-    public record Result(boolean answered, Optional<EngineLoad> load) {}
+    public record Result(boolean isAnswered, Optional<EngineLoad> load) {}
 
     /**
-     * Makes a probe that has asked nothing yet.
+     * Creates a probe.
      *
-     * @param control owner of the state
+     * @param control thread that owns the state
      * @param client HTTP client
-     * @param settings the target
-     * @param onResult takes each result, on the control thread
+     * @param settings settings of the target
+     * @param onResult receives each result, on the control thread
      */
     public TargetProbe(
             ControlThread control,
@@ -50,12 +50,12 @@
         this.onResult = onResult;
     }
 
-    /** Asks now, unless a question is open. */
-    public void ask() {
-        if (asking) {
+    /** Sends a probe, unless one is still in flight. */
+    public void probeNow() {
+        if (isProbing) {
             return;
         }
-        asking = true;
+        isProbing = true;
         HttpCall call =
                 HttpCall.of(
                         settings.host(),
@@ -66,22 +66,25 @@
                         new byte[0],
                         settings.probeTimeout());
         client.call(call)
-                .whenComplete((answer, error) -> control.execute(() -> end(result(answer, error))));
+                .whenComplete(
+                        (response, error) ->
+                                control.execute(() -> onProbeEnded(result(response, error))));
     }
 
-    private void end(Result result) {
-        asking = false;
+    private void onProbeEnded(Result result) {
+        isProbing = false;
         onResult.accept(result);
     }
 
-    private Result result(HttpAnswer answer, Throwable error) {
-        if (error != null || answer == null) {
+    private Result result(HttpAnswer response, Throwable error) {
+        if (error != null || response == null) {
             return new Result(false, Optional.empty());
         }
-        return new Result(true, answer.status() == OK ? load(answer.text()) : Optional.empty());
+        return new Result(
+                true, response.status() == OK ? parseLoad(response.text()) : Optional.empty());
     }
 
-    private static Optional<EngineLoad> load(String json) {
+    private static Optional<EngineLoad> parseLoad(String json) {
         try {
             JsonNode node = MAPPER.readTree(json);
             return Optional.of(
--- a/companion/src/main/java/org/sardinelift/companion/target/package-info.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/package-info.java
@@ -1,4 +1,4 @@
-/** Calls to the target and what is known of it. */
+/** Client of the target, with its health and its loaded models. */
 @NullMarked
 package org.sardinelift.companion.target;
 
--- a/companion/src/test/java/org/sardinelift/companion/CompanionProcessTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/CompanionProcessTest.java
@@ -32,104 +32,105 @@
     }
 
     @Test
-    void passesACallToTheTargetAndItsStreamBack() {
+    void passesACallToTheTargetAndStreamsItsResponseBack() {
         rig.online.start(FakeEntry.call("r1", Lane.ONLINE));
-        await().until(() -> rig.target.has("r1"));
+        await().until(() -> rig.target.hasReceived("r1"));
         assertEquals("/v1/completions", rig.target.call("r1").path());
-        rig.target.begin("r1");
-        rig.target.write("r1", "data: 1\n\n");
-        await().until(() -> rig.online.body("r1").equals("data: 1\n\n"));
-        rig.target.write("r1", "data: 2\n\n");
-        rig.target.end("r1");
-        await().until(() -> rig.online.finish("r1").isPresent());
-        assertEquals("data: 1\n\ndata: 2\n\n", rig.online.body("r1"));
-        assertEquals(FailureKind.NONE, rig.online.finish("r1").get().getFailure());
-        assertEquals(18, rig.online.finish("r1").get().getLength());
+        rig.target.startResponse("r1");
+        rig.target.writeData("r1", "data: 1\n\n");
+        await().until(() -> rig.online.bodyOf("r1").equals("data: 1\n\n"));
+        rig.target.writeData("r1", "data: 2\n\n");
+        rig.target.endResponse("r1");
+        await().until(() -> rig.online.finishOf("r1").isPresent());
+        assertEquals("data: 1\n\ndata: 2\n\n", rig.online.bodyOf("r1"));
+        assertEquals(FailureKind.NONE, rig.online.finishOf("r1").get().getFailure());
+        assertEquals(18, rig.online.finishOf("r1").get().getLength());
     }
 
     @Test
-    void noCallerKeyReachesTheTarget() {
+    void callerKeysAreNotSentToTheTarget() {
         rig.online.start(
                 FakeEntry.call("r1", Lane.ONLINE)
                         .setHeaders(Map.of("Authorization", "Bearer sl_1_x", "X-Api-Key", "y")));
-        await().until(() -> rig.target.has("r1"));
+        await().until(() -> rig.target.hasReceived("r1"));
         assertNull(rig.target.call("r1").header("authorization"));
         assertNull(rig.target.call("r1").header("x-api-key"));
     }
 
     @Test
-    void aTargetGetsNoTraceContextWhereNoSpanIsRecorded() {
+    void noTraceContextIsSentWhenNoSpanIsRecorded() {
         rig.online.start(FakeEntry.call("r1", Lane.ONLINE));
-        await().until(() -> rig.target.has("r1"));
+        await().until(() -> rig.target.hasReceived("r1"));
         assertNull(rig.target.call("r1").header("traceparent"));
     }
 
     @Test
-    void cancelClosesTheTargetsConnectionAtOnce() {
+    void cancelClosesTheTargetsConnection() {
         rig.online.start(FakeEntry.call("r1", Lane.ONLINE));
-        await().until(() -> rig.target.has("r1"));
+        await().until(() -> rig.target.hasReceived("r1"));
         rig.online.cancel("r1");
         await().until(() -> !rig.target.call("r1").open());
-        await().until(() -> rig.online.finish("r1").isPresent());
-        assertEquals(FailureKind.CANCELLED, rig.online.finish("r1").get().getFailure());
-        assertEquals(RunOutcome.UNKNOWN, rig.online.finish("r1").get().getOutcome());
+        await().until(() -> rig.online.finishOf("r1").isPresent());
+        assertEquals(FailureKind.CANCELLED, rig.online.finishOf("r1").get().getFailure());
+        assertEquals(RunOutcome.UNKNOWN, rig.online.finishOf("r1").get().getOutcome());
     }
 
     @Test
-    void goesOnFromTheOffsetOverANewConnection() {
+    void resumesFromTheOffsetOverANewConnection() {
         rig.online.start(FakeEntry.call("r1", Lane.ONLINE));
-        await().until(() -> rig.target.has("r1"));
-        rig.target.begin("r1");
-        rig.target.write("r1", "abcdef");
-        await().until(() -> rig.online.body("r1").equals("abcdef"));
-        rig.online.cut();
-        rig.target.write("r1", "ghi");
-        await().until(rig.online::connected);
+        await().until(() -> rig.target.hasReceived("r1"));
+        rig.target.startResponse("r1");
+        rig.target.writeData("r1", "abcdef");
+        await().until(() -> rig.online.bodyOf("r1").equals("abcdef"));
+        rig.online.dropConnection();
+        rig.target.writeData("r1", "ghi");
+        await().until(rig.online::isConnected);
         rig.online.frames.clear();
         rig.online.query("r1", 4);
-        await().until(() -> rig.online.answer("r1").isPresent());
-        assertEquals(RequestState.RUNNING, rig.online.answer("r1").get().getState());
-        rig.target.end("r1");
-        await().until(() -> rig.online.finish("r1").isPresent());
-        assertEquals("efghi", rig.online.body("r1"));
+        await().until(() -> rig.online.queryAnswer("r1").isPresent());
+        assertEquals(RequestState.RUNNING, rig.online.queryAnswer("r1").get().getState());
+        rig.target.endResponse("r1");
+        await().until(() -> rig.online.finishOf("r1").isPresent());
+        assertEquals("efghi", rig.online.bodyOf("r1"));
     }
 
     @Test
-    void drainSaysSoAtOnceRefusesNewCallsAndLetsRunningOnesFinish() {
+    void drainIsReportedRefusesNewCallsAndLetsRunningOnesFinish() {
         rig.online.start(FakeEntry.call("r1", Lane.ONLINE));
-        await().until(() -> rig.target.has("r1"));
+        await().until(() -> rig.target.hasReceived("r1"));
         CompletableFuture<Void> drained = CompletableFuture.runAsync(rig.companion::drain);
-        await().until(() -> rig.control.report().map(LoadReport::isLeaving).orElse(false));
+        await().until(() -> rig.control.lastReport().map(LoadReport::isLeaving).orElse(false));
         rig.online.start(FakeEntry.call("r2", Lane.ONLINE));
-        await().until(() -> rig.online.finish("r2").isPresent());
-        assertEquals(FailureKind.TARGET_LEAVING, rig.online.finish("r2").get().getFailure());
-        assertEquals(RunOutcome.NOT_RUN, rig.online.finish("r2").get().getOutcome());
+        await().until(() -> rig.online.finishOf("r2").isPresent());
+        assertEquals(FailureKind.TARGET_LEAVING, rig.online.finishOf("r2").get().getFailure());
+        assertEquals(RunOutcome.NOT_RUN, rig.online.finishOf("r2").get().getOutcome());
         assertFalse(drained.isDone());
-        rig.target.begin("r1");
-        rig.target.end("r1");
+        rig.target.startResponse("r1");
+        rig.target.endResponse("r1");
         await().until(drained::isDone);
-        assertEquals(FailureKind.NONE, rig.online.finish("r1").get().getFailure());
-        assertFalse(rig.target.has("r2"));
+        assertEquals(FailureKind.NONE, rig.online.finishOf("r1").get().getFailure());
+        assertFalse(rig.target.hasReceived("r2"));
     }
 
     @Test
-    void aTargetThatCannotBeReachedDidNotRunTheCall() {
-        rig.target.die();
+    void callToAnUnreachableTargetIsReportedAsNotRun() {
+        rig.target.stop();
         rig.online.start(FakeEntry.call("r1", Lane.ONLINE));
-        await().until(() -> rig.online.finish("r1").isPresent());
-        assertEquals(RunOutcome.NOT_RUN, rig.online.finish("r1").get().getOutcome());
+        await().until(() -> rig.online.finishOf("r1").isPresent());
+        assertEquals(RunOutcome.NOT_RUN, rig.online.finishOf("r1").get().getOutcome());
     }
 
     @Test
-    void reportsItsLoadOnTheControlLane() {
+    void reportsItsLoadOnTheControlLaneOnly() {
         rig.online.start(FakeEntry.call("r1", Lane.ONLINE));
         await().until(
                         () ->
                                 rig.control
-                                        .report()
+                                        .lastReport()
                                         .filter(report -> report.getOnlineRunning() == 1)
                                         .isPresent());
-        assertEquals("registry", rig.control.report().get().getServiceName());
-        assertTrue(rig.online.of(Frame._Fields.LOAD_REPORT, Frame::getLoadReport).count() == 0);
+        assertEquals("registry", rig.control.lastReport().get().getServiceName());
+        assertTrue(
+                rig.online.framesOf(Frame._Fields.LOAD_REPORT, Frame::getLoadReport).count() == 0);
     }
 }
--- a/companion/src/test/java/org/sardinelift/companion/CompanionRig.java
+++ b/companion/src/test/java/org/sardinelift/companion/CompanionRig.java
@@ -12,7 +12,7 @@
 import org.sardinelift.settings.SettingsFile;
 import org.sardinelift.settings.SettingsResult;
 
-/** A companion with a target of two slots and one entry connected on all lanes. */
+/** A companion with a fake target of two slots and a fake entry connected on all lanes. */
 final class CompanionRig implements AutoCloseable {
     final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     final FakeTarget target;
@@ -41,7 +41,7 @@
     FakeEntry connect(String name, Lane lane) {
         FakeEntry entry = FakeEntry.connect(group, name, companion.peerPort(), lane);
         entries.add(entry);
-        await().until(entry::connected);
+        await().until(entry::isConnected);
         return entry;
     }
 
@@ -56,8 +56,8 @@
                         .formatted(extraSettings, target.port(), extraTarget);
         SettingsResult<CompanionSettings> result =
                 SettingsFile.parse(text, CompanionSettings::read);
-        if (result instanceof SettingsResult.Valid<CompanionSettings> sound) {
-            return sound.settings();
+        if (result instanceof SettingsResult.Valid<CompanionSettings> valid) {
+            return valid.settings();
         }
         throw new IllegalArgumentException(result.toString());
     }
--- a/companion/src/test/java/org/sardinelift/companion/CompanionSettingsTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/CompanionSettingsTest.java
@@ -23,18 +23,18 @@
     }
 
     @Test
-    void aPlaintextPeerPortBeyondLoopbackIsAnError() {
-        var unsound =
+    void plaintextPeerPortBeyondLoopbackIsAnError() {
+        var invalid =
                 assertInstanceOf(SettingsResult.Invalid.class, parse("{\"host\":\"10.0.0.7\"}"));
-        assertEquals(1, unsound.errors().size(), unsound.errors().toString());
-        SettingsError error = (SettingsError) unsound.errors().get(0);
+        assertEquals(1, invalid.errors().size(), invalid.errors().toString());
+        SettingsError error = (SettingsError) invalid.errors().get(0);
         assertEquals("/peer/tls", error.path());
         assertTrue(error.expected().contains("10.0.0.7"), error.expected());
         assertTrue(error.remedy().contains("127.0.0.1"), error.remedy());
     }
 
     @Test
-    void aPeerPortOnLoopbackOrWithTlsIsSound() {
+    void peerPortOnLoopbackOrWithTlsIsValid() {
         assertInstanceOf(SettingsResult.Valid.class, parse("{\"host\":\"127.0.0.1\"}"));
         assertInstanceOf(
                 SettingsResult.Valid.class,
@@ -43,38 +43,40 @@
                                 + "\"trust\":\"t\"}}"));
     }
 
-    private static SettingsResult<CompanionSettings> parseFields(String target, String more) {
+    private static SettingsResult<CompanionSettings> parseFields(
+            String target, String extraSettings) {
         String text =
                 """
                 {"instance": "c1", "zone": "z1", "target": {"name": "t1", "service": "s"%s}%s}
                 """
-                        .formatted(target, more);
+                        .formatted(target, extraSettings);
         return SettingsFile.parse(text, CompanionSettings::read);
     }
 
-    private static String onlyError(String target, String more) {
-        var unsound = assertInstanceOf(SettingsResult.Invalid.class, parseFields(target, more));
-        assertEquals(1, unsound.errors().size(), unsound.errors().toString());
-        return ((SettingsError) unsound.errors().get(0)).path();
+    private static String onlyError(String target, String extraSettings) {
+        var invalid =
+                assertInstanceOf(SettingsResult.Invalid.class, parseFields(target, extraSettings));
+        assertEquals(1, invalid.errors().size(), invalid.errors().toString());
+        return ((SettingsError) invalid.errors().get(0)).path();
     }
 
     @Test
-    void thePortOfTheTargetAndThePlatformMustBeSet() {
+    void portsOfTheTargetAndThePlatformAreRequired() {
         assertEquals("/target/port", onlyError("", ""));
         assertEquals("/platform/port", onlyError(", \"port\": 9", ", \"platform\": {}"));
         assertInstanceOf(SettingsResult.Valid.class, parseFields(", \"port\": 9", ""));
     }
 
     @Test
-    void aBackoffIsRefusedSinceCompanionsOpenNoConnection() {
+    void backoffSettingIsRefusedSinceCompanionsOpenNoConnections() {
         assertEquals(
                 "/links/reconnectMinMs",
                 onlyError(", \"port\": 9", ", \"links\": {\"reconnectMinMs\": 10}"));
     }
 
     @Test
-    void theShareOfTracesHasTheDefaultOfTheEntries() {
-        var sound = assertInstanceOf(SettingsResult.Valid.class, parseFields(", \"port\": 9", ""));
-        assertEquals(0.01, ((CompanionSettings) sound.settings()).traces().sampleRatio());
+    void traceSampleRatioHasTheDefaultOfTheEntries() {
+        var valid = assertInstanceOf(SettingsResult.Valid.class, parseFields(", \"port\": 9", ""));
+        assertEquals(0.01, ((CompanionSettings) valid.settings()).traces().sampleRatio());
     }
 }
--- a/companion/src/test/java/org/sardinelift/companion/FakeEntry.java
+++ b/companion/src/test/java/org/sardinelift/companion/FakeEntry.java
@@ -27,7 +27,7 @@
 import org.sardinelift.protocol.generated.QueryAnswer;
 import org.sardinelift.protocol.generated.Start;
 
-/** One lane of an entry, driven by the test. */
+/** One lane of an entry, controlled by the test. */
 final class FakeEntry implements FrameListener, AutoCloseable {
     private static final LinkTimings TIMINGS =
             new LinkTimings(
@@ -60,7 +60,7 @@
         return entry;
     }
 
-    boolean connected() {
+    boolean isConnected() {
         return connection != null;
     }
 
@@ -80,8 +80,8 @@
         send(Frame.query(new Query(requestId, 1, offset)));
     }
 
-    /** Loses the connection; the link opens another. */
-    void cut() {
+    /** Drops the connection; the link then opens a new one. */
+    void dropConnection() {
         FrameConnection lost = connection;
         connection = null;
         lost.close("cut by the test");
@@ -106,36 +106,37 @@
                 .setPrefixKey("");
     }
 
-    String body(String requestId) {
+    String bodyOf(String requestId) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        of(Frame._Fields.DATA, Frame::getData)
+        framesOf(Frame._Fields.DATA, Frame::getData)
                 .filter(data -> data.getRequestId().equals(requestId))
                 .map(Data::getBody)
                 .forEach(body::writeBytes);
         return body.toString(StandardCharsets.UTF_8);
     }
 
-    Optional<Finish> finish(String requestId) {
-        return of(Frame._Fields.FINISH, Frame::getFinish)
+    Optional<Finish> finishOf(String requestId) {
+        return framesOf(Frame._Fields.FINISH, Frame::getFinish)
                 .filter(finish -> finish.getRequestId().equals(requestId))
                 .findFirst();
     }
 
-    Optional<ExplainResult> explained() {
-        return of(Frame._Fields.EXPLAIN_RESULT, Frame::getExplainResult).findFirst();
+    Optional<ExplainResult> explainResult() {
+        return framesOf(Frame._Fields.EXPLAIN_RESULT, Frame::getExplainResult).findFirst();
     }
 
-    Optional<QueryAnswer> answer(String requestId) {
-        return of(Frame._Fields.QUERY_ANSWER, Frame::getQueryAnswer)
+    Optional<QueryAnswer> queryAnswer(String requestId) {
+        return framesOf(Frame._Fields.QUERY_ANSWER, Frame::getQueryAnswer)
                 .filter(answer -> answer.getRequestId().equals(requestId))
                 .reduce((first, last) -> last);
     }
 
-    Optional<LoadReport> report() {
-        return of(Frame._Fields.LOAD_REPORT, Frame::getLoadReport).reduce((first, last) -> last);
+    Optional<LoadReport> lastReport() {
+        return framesOf(Frame._Fields.LOAD_REPORT, Frame::getLoadReport)
+                .reduce((first, last) -> last);
     }
 
-    <T> Stream<T> of(Frame._Fields field, Function<Frame, T> value) {
+    <T> Stream<T> framesOf(Frame._Fields field, Function<Frame, T> value) {
         return frames.stream().filter(frame -> frame.getSetField() == field).map(value);
     }
 
--- a/companion/src/test/java/org/sardinelift/companion/FakeTarget.java
+++ b/companion/src/test/java/org/sardinelift/companion/FakeTarget.java
@@ -9,7 +9,7 @@
 import org.sardinelift.http.HttpLimits;
 import org.sardinelift.http.HttpServer;
 
-/** A target whose answers are given by the test; counts the calls that reached it. */
+/** A target whose responses the test controls; records the calls that it received. */
 final class FakeTarget implements AutoCloseable {
     final List<HttpExchange> calls = new CopyOnWriteArrayList<>();
     final List<HttpExchange> orders = new CopyOnWriteArrayList<>();
@@ -23,7 +23,7 @@
 
     static FakeTarget start(EventLoopGroup group) throws Exception {
         FakeTarget target = new FakeTarget(group);
-        target.up();
+        target.listen();
         target.port = target.server.port();
         return target;
     }
@@ -32,19 +32,19 @@
         return port;
     }
 
-    /** Binds the port again after {@link #die}. */
-    void up() throws Exception {
+    /** Binds the port, again after {@link #stop}. */
+    void listen() throws Exception {
         server =
                 HttpServer.start(
                         group, "127.0.0.1", port, HttpLimits.defaults(), null, this::handle);
     }
 
     /** Resets every connection and refuses new ones. */
-    void die() {
+    void stop() {
         server.close();
     }
 
-    /** The call of a request id that reached the target, open or not. */
+    /** The received call with a request id, open or ended, or null. */
     HttpExchange call(String requestId) {
         return calls.stream()
                 .filter(call -> requestId.equals(call.header("x-request-id")))
@@ -52,27 +52,27 @@
                 .orElse(null);
     }
 
-    /** The request to go on with a call, or null. */
-    HttpExchange resumed(String requestId) {
+    /** The received request to resume a call, or null. */
+    HttpExchange resumeRequest(String requestId) {
         return calls.stream()
                 .filter(call -> call.path().equals("/resume/" + requestId))
                 .findFirst()
                 .orElse(null);
     }
 
-    boolean has(String requestId) {
+    boolean hasReceived(String requestId) {
         return call(requestId) != null;
     }
 
-    void begin(String requestId) {
+    void startResponse(String requestId) {
         call(requestId).start(200, Map.of("content-type", "text/event-stream"));
     }
 
-    void write(String requestId, String text) {
+    void writeData(String requestId, String text) {
         call(requestId).write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    void end(String requestId) {
+    void endResponse(String requestId) {
         call(requestId).end();
     }
 
--- a/companion/src/test/java/org/sardinelift/companion/OperatorRoutesTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/OperatorRoutesTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void readinessGoesWithTheTarget() throws Exception {
+    void readinessFollowsTheTarget() throws Exception {
         assertEquals("{\"ok\":true}", send("GET", "/healthz").text());
         assertEquals("{\"ready\":true}", send("GET", "/readyz").text());
         rig.target.close();
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void metricsShowTheJavaMachineAndTheTargetsLoad() throws Exception {
+    void metricsIncludeTheJvmAndTheTargetsLoad() throws Exception {
         await().until(() -> send("GET", "/metrics").text().contains("companion_slots 2.0"));
         String text = send("GET", "/metrics").text();
         assertTrue(text.contains("jvm_memory_used_bytes"), text);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aDrainIsAskedForByPostOnly() throws Exception {
+    void drainIsRequestedByPostOnly() throws Exception {
         assertEquals(404, send("GET", "/drain").status());
         assertFalse(rig.companion.drainRequested().isDone());
         assertEquals(202, send("POST", "/drain").status());
--- a/companion/src/test/java/org/sardinelift/companion/SilentPathTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/SilentPathTest.java
@@ -14,7 +14,7 @@
 import org.sardinelift.protocol.generated.RequestState;
 import org.sardinelift.testkit.SilentRelay;
 
-/** Paths between an entry and a companion that go silent without a reset. */
+/** Network paths between an entry and a companion that drop all bytes without a reset. */
 class SilentPathTest {
     private static final LinkTimings TIMINGS =
             new LinkTimings(
@@ -32,7 +32,7 @@
         rig = CompanionRig.start("\"links\": {\"heartbeatMs\": 50, \"silenceMs\": 500},", "");
         relay = SilentRelay.start(rig.companion.peerPort());
         entry = FakeEntry.connect(rig.group, "e2", relay.port(), Lane.ONLINE, TIMINGS);
-        await().until(entry::connected);
+        await().until(entry::isConnected);
     }
 
     @AfterEach
@@ -47,32 +47,32 @@
     }
 
     @Test
-    void aStreamGoesOnOverANewConnectionWithNothingLost() {
+    void streamContinuesOverANewConnectionWithoutLoss() {
         entry.start(FakeEntry.call("r1", Lane.ONLINE).setIdempotent(false));
-        await().until(() -> rig.target.has("r1"));
-        rig.target.begin("r1");
-        rig.target.write("r1", "abc");
-        await().until(() -> entry.body("r1").equals("abc"));
+        await().until(() -> rig.target.hasReceived("r1"));
+        rig.target.startResponse("r1");
+        rig.target.writeData("r1", "abc");
+        await().until(() -> entry.bodyOf("r1").equals("abc"));
         relay.silenceToClient();
-        rig.target.write("r1", "def");
+        rig.target.writeData("r1", "def");
         awaitNewConnection();
         entry.query("r1", 3);
-        rig.target.write("r1", "ghi");
-        rig.target.end("r1");
-        await().until(() -> entry.finish("r1").isPresent());
-        assertEquals("abcdefghi", entry.body("r1"));
-        assertEquals(FailureKind.NONE, entry.finish("r1").get().getFailure());
+        rig.target.writeData("r1", "ghi");
+        rig.target.endResponse("r1");
+        await().until(() -> entry.finishOf("r1").isPresent());
+        assertEquals("abcdefghi", entry.bodyOf("r1"));
+        assertEquals(FailureKind.NONE, entry.finishOf("r1").get().getFailure());
         assertEquals(1, rig.target.calls.size());
     }
 
     @Test
-    void aStartThatWasSwallowedCountsAsNotStarted() {
+    void startFrameLostOnTheWayCountsAsNotStarted() {
         relay.silenceToServer();
         entry.start(FakeEntry.call("r1", Lane.ONLINE).setIdempotent(false));
         awaitNewConnection();
         entry.query("r1", 0);
-        await().until(() -> entry.answer("r1").isPresent());
-        assertEquals(RequestState.NOT_STARTED, entry.answer("r1").get().getState());
-        assertFalse(rig.target.has("r1"));
+        await().until(() -> entry.queryAnswer("r1").isPresent());
+        assertEquals(RequestState.NOT_STARTED, entry.queryAnswer("r1").get().getState());
+        assertFalse(rig.target.hasReceived("r1"));
     }
 }
--- a/companion/src/test/java/org/sardinelift/companion/TraceTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/TraceTest.java
@@ -18,22 +18,22 @@
     @TempDir private Path folder;
 
     @Test
-    void everyHopIsASpanOfTheCallersTrace() throws Exception {
+    void everyHopHasASpanInTheCallersTrace() throws Exception {
         Path file = folder.resolve("spans.jsonl");
         try (CompanionRig rig =
                 CompanionRig.start("\"traces\": {\"file\": \"" + file + "\"},", "")) {
             rig.online.start(FakeEntry.call("r1", Lane.ONLINE).setTraceparent(PARENT));
-            await().until(() -> rig.target.has("r1"));
-            String passedOn = rig.target.call("r1").header("traceparent");
-            assertTrue(passedOn.startsWith("00-" + TRACE + "-"), passedOn);
-            rig.target.begin("r1");
-            rig.target.end("r1");
-            await().until(() -> rig.online.finish("r1").isPresent());
+            await().until(() -> rig.target.hasReceived("r1"));
+            String forwarded = rig.target.call("r1").header("traceparent");
+            assertTrue(forwarded.startsWith("00-" + TRACE + "-"), forwarded);
+            rig.target.startResponse("r1");
+            rig.target.endResponse("r1");
+            await().until(() -> rig.online.finishOf("r1").isPresent());
             rig.control.frames.clear();
             await().until(
                             () ->
                                     rig.control
-                                            .report()
+                                            .lastReport()
                                             .filter(r -> r.getOnlineRunning() == 0)
                                             .isPresent());
         }
--- a/companion/src/test/java/org/sardinelift/companion/order/OrderGuardTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/order/OrderGuardTest.java
@@ -14,7 +14,7 @@
 
 class OrderGuardTest {
     private final FakeObjectStore store = new FakeObjectStore();
-    private final List<Long> carriedOut = new ArrayList<>();
+    private final List<Long> executed = new ArrayList<>();
     private final List<OrderResult> results = new ArrayList<>();
 
     private OrderGuard guard() {
@@ -22,7 +22,7 @@
                 store,
                 "t1",
                 order -> {
-                    carriedOut.add(order.getFence());
+                    executed.add(order.getFence());
                     return CompletableFuture.completedFuture(
                             new OrderExecutor.Result(true, "loaded"));
                 },
@@ -31,53 +31,53 @@
                 3);
     }
 
-    private boolean take(OrderGuard guard, long fence) {
-        guard.take(new Order(1, fence, "load", "tags", "2", "e1"), results::add);
+    private boolean submit(OrderGuard guard, long fence) {
+        guard.submit(new Order(1, fence, "load", "tags", "2", "e1"), results::add);
         return results.get(results.size() - 1).isAccepted();
     }
 
     @Test
-    void anOrderBelowTheHighestFencingNumberIsRefused() {
+    void orderBelowTheHighestFencingNumberIsRefused() {
         OrderGuard guard = guard();
-        assertTrue(take(guard, 7));
-        assertFalse(take(guard, 6));
-        assertTrue(take(guard, 7));
-        assertTrue(take(guard, 8));
-        assertEquals(List.of(7L, 7L, 8L), carriedOut);
+        assertTrue(submit(guard, 7));
+        assertFalse(submit(guard, 6));
+        assertTrue(submit(guard, 7));
+        assertTrue(submit(guard, 8));
+        assertEquals(List.of(7L, 7L, 8L), executed);
         assertEquals(8, guard.highestFence());
     }
 
     @Test
-    void aRestartDoesNotForgetTheHighestFencingNumber() {
-        take(guard(), 7);
-        assertFalse(take(guard(), 6));
+    void highestFencingNumberSurvivesARestart() {
+        submit(guard(), 7);
+        assertFalse(submit(guard(), 6));
         assertEquals(7, results.get(1).getHighestFence());
     }
 
     @Test
-    void noOrderIsServedWhileThePlatformIsAway() {
+    void noOrderIsExecutedWhileThePlatformIsUnavailable() {
         store.down(true);
-        assertFalse(take(guard(), 7));
-        assertTrue(carriedOut.isEmpty());
+        assertFalse(submit(guard(), 7));
+        assertTrue(executed.isEmpty());
         assertFalse(results.get(0).isPassedOn());
         store.down(false);
-        assertTrue(take(guard(), 7));
+        assertTrue(submit(guard(), 7));
         assertTrue(results.get(1).isPassedOn());
     }
 
     @Test
-    void aStaleReadLetsNoOldOrderThrough() {
-        take(guard(), 7);
-        take(guard(), 9);
+    void staleReadDoesNotLetAnOldOrderThrough() {
+        submit(guard(), 7);
+        submit(guard(), 9);
         store.stale(true);
-        assertFalse(take(guard(), 8));
-        assertEquals(List.of(7L, 9L), carriedOut);
+        assertFalse(submit(guard(), 8));
+        assertEquals(List.of(7L, 9L), executed);
     }
 
     @Test
-    void aLostAnswerOfTheWriteIsMadeUpForByReadingAgain() {
+    void lostResponseOfAWriteIsRecoveredByReadingAgain() {
         store.loseAnswers(1);
-        assertTrue(take(guard(), 7));
-        assertEquals(List.of(7L), carriedOut);
+        assertTrue(submit(guard(), 7));
+        assertEquals(List.of(7L), executed);
     }
 }
--- a/companion/src/test/java/org/sardinelift/companion/target/ModelWatchTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/target/ModelTrackerTest.java
@@ -29,15 +29,15 @@
 import org.sardinelift.settings.SettingsFile;
 import org.sardinelift.settings.SettingsResult;
 
-/** A target that answers an order when the test says so. */
-class ModelWatchTest {
+/** Hiding of models while an order is executed; the target answers when the test says so. */
+class ModelTrackerTest {
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ControlThread control = ControlThread.start("test-control");
     private final List<HttpExchange> orders = new CopyOnWriteArrayList<>();
     private volatile String version = "1";
     private HttpServer server;
-    private ModelTracker watch;
+    private ModelTracker tracker;
 
     @BeforeEach
     void start() throws Exception {
@@ -49,7 +49,7 @@
         SettingsResult<TargetSettings> settings = SettingsFile.parse(text, TargetSettings::read);
         TargetSettings target = ((SettingsResult.Valid<TargetSettings>) settings).settings();
         HttpClient client = HttpClient.create(group, Duration.ofSeconds(5), null);
-        watch =
+        tracker =
                 new ModelTracker(
                         new TargetControlClient(client, target),
                         target.models(),
@@ -82,42 +82,42 @@
         return done.join();
     }
 
-    private CompletableFuture<OrderExecutor.Result> begin(Order order) {
+    private CompletableFuture<OrderExecutor.Result> startOrder(Order order) {
         int before = orders.size();
-        CompletableFuture<OrderExecutor.Result> verdict = new CompletableFuture<>();
-        control.execute(() -> watch.execute(order).thenAccept(verdict::complete));
+        CompletableFuture<OrderExecutor.Result> result = new CompletableFuture<>();
+        control.execute(() -> tracker.execute(order).thenAccept(result::complete));
         await().until(() -> orders.size() > before);
-        return verdict;
+        return result;
     }
 
     @Test
-    void aModelUnderOrderIsNotShownAndItsNewVersionIsThereWithTheVerdict() {
-        CompletableFuture<OrderExecutor.Result> verdict =
-                begin(new Order(1, 7, "load", "m", "2", "e1"));
-        assertEquals(List.of("n"), onControl(watch::availableModels).models());
+    void modelIsHiddenDuringItsOrderAndShownWithItsNewVersionAtTheResult() {
+        CompletableFuture<OrderExecutor.Result> result =
+                startOrder(new Order(1, 7, "load", "m", "2", "e1"));
+        assertEquals(List.of("n"), onControl(tracker::availableModels).models());
         version = "2";
         orders.get(0).respondJson(200, "{}");
-        assertTrue(verdict.join().isAccepted());
+        assertTrue(result.join().isAccepted());
         assertEquals(
                 new LoadedModels(List.of("m", "n"), Map.of("m", "2"), "decode"),
-                onControl(watch::availableModels));
+                onControl(tracker::availableModels));
     }
 
     @Test
-    void anOrderForARoleHidesAllModelsAndARefusalShowsThemAgain() {
-        CompletableFuture<OrderExecutor.Result> verdict =
-                begin(new Order(1, 7, "role", "prefill", "", "e1"));
-        assertEquals(List.of(), onControl(watch::availableModels).models());
+    void roleOrderHidesAllModelsUntilItIsRefused() {
+        CompletableFuture<OrderExecutor.Result> result =
+                startOrder(new Order(1, 7, "role", "prefill", "", "e1"));
+        assertEquals(List.of(), onControl(tracker::availableModels).models());
         orders.get(0).respondJson(500, "{}");
-        assertFalse(verdict.join().isAccepted());
-        assertEquals(List.of("m", "n"), onControl(watch::availableModels).models());
+        assertFalse(result.join().isAccepted());
+        assertEquals(List.of("m", "n"), onControl(tracker::availableModels).models());
     }
 
     @Test
-    void onlyATargetThatChecksGetsTheNumber() {
-        begin(new Order(1, 7, "load", "m", "2", "e1").setChecksFence(true));
+    void onlyATargetThatChecksFencesGetsTheFencingNumber() {
+        startOrder(new Order(1, 7, "load", "m", "2", "e1").setChecksFence(true));
         assertEquals("7", orders.get(0).header("Fence"));
-        begin(new Order(2, 8, "load", "m", "3", "e1").setChecksFence(false));
+        startOrder(new Order(2, 8, "load", "m", "3", "e1").setChecksFence(false));
         assertNull(orders.get(1).header("Fence"));
     }
 }
--- a/companion/src/test/java/org/sardinelift/companion/target/TargetHealthTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/target/TargetHealthTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 class TargetHealthTest {
-    private int lives;
-    private final TargetHealth health = TargetHealth.create(3, () -> "life" + ++lives);
+    private int incarnations;
+    private final TargetHealth health = TargetHealth.create(3, () -> "life" + ++incarnations);
 
     @Test
-    void isDownAfterSeveralSilentProbesAndBackAfterOneAnswer() {
+    void isDownAfterConsecutiveFailedProbesAndUpAfterOneAnswer() {
         assertFalse(health.onProbe(false, 0));
         assertFalse(health.onProbe(false, 0));
         assertTrue(health.isUp());
@@ -23,21 +23,21 @@
     }
 
     @Test
-    void isDownAtOnceWhereACallBrokeAndTheProbeFails() {
+    void isDownAfterOneFailedProbeIfAConnectionFailed() {
         health.onConnectionFailed();
         assertTrue(health.onProbe(false, 0));
         assertFalse(health.isUp());
     }
 
     @Test
-    void aRestartBetweenTwoProbesIsAnotherLife() {
+    void restartBetweenTwoProbesChangesTheIncarnation() {
         health.onConnectionFailed();
         assertTrue(health.onProbe(true, 0));
         assertEquals("life2", health.incarnation());
     }
 
     @Test
-    void oneBrokenCallAmongOthersThatStandIsNoRestart() {
+    void oneFailedConnectionAmongOpenOnesIsNoRestart() {
         health.onConnectionFailed();
         assertFalse(health.onProbe(true, 1));
         assertEquals("life1", health.incarnation());
