--- a/protocol/src/main/java/org/sardinelift/protocol/Backoff.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/Backoff.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** Jittered exponential backoff. */
+/** Exponential backoff with jitter. */
 final class Backoff {
     private final long minNanos;
     private final long maxNanos;
     private final RandomGenerator random;
-    private long nextNanos;
+    private long boundNanos;
 
     private Backoff(long minNanos, long maxNanos, RandomGenerator random) {
         this.minNanos = minNanos;
         this.maxNanos = maxNanos;
         this.random = random;
-        this.nextNanos = minNanos;
+        this.boundNanos = minNanos;
     }
 
     static Backoff of(LinkTimings timings, RandomGenerator random) {
@@ -22,14 +22,14 @@
         return new Backoff(min, Math.max(min, timings.reconnectMax().toNanos()), random);
     }
 
-    /** Between half and all of a bound that doubles with each call. */
+    /** Random delay between half of a bound and the bound, which doubles with each call. */
     Duration nextDelay() {
-        long bound = nextNanos;
-        nextNanos = Math.min(maxNanos, bound * 2);
+        long bound = boundNanos;
+        boundNanos = Math.min(maxNanos, bound * 2);
         return Duration.ofNanos(bound / 2 + random.nextLong(bound / 2 + 1));
     }
 
     void reset() {
-        nextNanos = minNanos;
+        boundNanos = minNanos;
     }
 }
--- a/protocol/src/main/java/org/sardinelift/protocol/ChannelConnection.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ChannelConnection.java
@@ -17,53 +17,63 @@
 import org.tinylog.Logger;
 
 /**
- * One channel: says hello, lets its path be watched, and closes it when it is silent. A channel on
- * which bytes arrive after longer than the bound counts as silent too: what it brings may be long
- * out of date, so none of it is passed on.
+ * Connection over one channel: exchanges hellos and heartbeats, and closes the channel after the
+ * silence timeout. Bytes that arrive after the timeout are dropped, and the channel is closed too,
+ * since they may be out of date.
  */
 final class ChannelConnection extends ChannelInboundHandlerAdapter implements FrameConnection {
     private final Channel channel;
-    private final Supplier<Hello> self;
+    private final Supplier<Hello> localHello;
     private final FrameListener listener;
     private volatile @Nullable Hello peer;
-    private volatile boolean closing;
-    private boolean up;
+    private volatile boolean isClosing;
+    private boolean isUp;
     private String reason = "closed by the peer";
-    private final HeartbeatMonitor watch;
+    private final HeartbeatMonitor monitor;
 
     private ChannelConnection(
-            Channel channel, Supplier<Hello> self, HeartbeatMonitor watch, FrameListener listener) {
+            Channel channel,
+            Supplier<Hello> localHello,
+            HeartbeatMonitor monitor,
+            FrameListener listener) {
         this.channel = channel;
-        this.self = self;
-        this.watch = watch;
+        this.localHello = localHello;
+        this.monitor = monitor;
         this.listener = listener;
     }
 
-    /** The end that opened the channel: it sends the heartbeats. */
+    /** Creates the end that opened the channel; it sends the heartbeats. */
     static ChannelConnection ofOpener(
-            Channel channel, Supplier<Hello> self, LinkTimings timings, FrameListener listener) {
-        HeartbeatMonitor watch =
+            Channel channel,
+            Supplier<Hello> localHello,
+            LinkTimings timings,
+            FrameListener listener) {
+        HeartbeatMonitor monitor =
                 HeartbeatMonitor.ofOpener(
                         timings.heartbeat(), timings.silence(), System.nanoTime());
-        return new ChannelConnection(channel, self, watch, listener);
+        return new ChannelConnection(channel, localHello, monitor, listener);
     }
 
-    /** The end that accepted the channel: it answers the heartbeats. */
+    /** Creates the end that accepted the channel; it answers the heartbeats. */
     static ChannelConnection ofAcceptor(
-            Channel channel, Supplier<Hello> self, LinkTimings timings, FrameListener listener) {
-        HeartbeatMonitor watch = HeartbeatMonitor.ofAcceptor(timings.silence(), System.nanoTime());
-        return new ChannelConnection(channel, self, watch, listener);
+            Channel channel,
+            Supplier<Hello> localHello,
+            LinkTimings timings,
+            FrameListener listener) {
+        HeartbeatMonitor monitor =
+                HeartbeatMonitor.ofAcceptor(timings.silence(), System.nanoTime());
+        return new ChannelConnection(channel, localHello, monitor, listener);
     }
 
-    /** Watches the raw bytes, so that a large frame on its way does not count as silence. */
+    /** Monitors raw bytes, so that a large frame in transit doesn't count as silence. */
     ChannelInboundHandlerAdapter byteMonitor() {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) {
-                if (message instanceof ByteBuf && !watch.onBytesReceived(System.nanoTime())) {
-                    shut("bytes came after a silence");
+                if (message instanceof ByteBuf && !monitor.onBytesReceived(System.nanoTime())) {
+                    closeChannel("bytes arrived after the silence timeout");
                 }
-                if (closing) {
+                if (isClosing) {
                     ReferenceCountUtil.release(message);
                     return;
                 }
@@ -74,27 +84,27 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        channel.writeAndFlush(Frame.hello(self.get()));
-        scheduleCheck();
+        channel.writeAndFlush(Frame.hello(localHello.get()));
+        scheduleHeartbeatCheck();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (closing || !(message instanceof Frame frame) || frame.getSetField() == null) {
+        if (isClosing || !(message instanceof Frame frame) || frame.getSetField() == null) {
             return;
         }
-        if (!up) {
-            greet(frame);
+        if (!isUp) {
+            onHello(frame);
             return;
         }
         switch (frame.getSetField()) {
-            case HELLO -> shut("a second hello came");
+            case HELLO -> closeChannel("a second hello frame arrived");
             case HEARTBEAT ->
                     channel.writeAndFlush(
                             Frame.heartbeatAck(
                                     new HeartbeatAck(frame.getHeartbeat().getSequence())));
             case HEARTBEAT_ACK ->
-                    watch.onHeartbeatAnswered(
+                    monitor.onHeartbeatAnswered(
                             frame.getHeartbeatAck().getSequence(), System.nanoTime());
             default -> listener.onFrame(this, frame);
         }
@@ -102,9 +112,9 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        closing = true;
-        if (up) {
-            up = false;
+        isClosing = true;
+        if (isUp) {
+            isUp = false;
             listener.onDown(this, reason);
         }
     }
@@ -112,25 +122,27 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (!channel.isWritable()) {
-            shut("the peer reads too slowly; the bound on unsent bytes is reached");
+            closeChannel("the peer reads too slowly; unsent bytes reached maxUnsentBytes");
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        shut(String.valueOf(cause.getMessage()));
+        closeChannel(String.valueOf(cause.getMessage()));
     }
 
     @Override
     public boolean send(Frame frame) {
-        if (closing || !channel.isActive()) {
+        if (isClosing || !channel.isActive()) {
             return false;
         }
         channel.writeAndFlush(frame)
                 .addListener(
                         future -> {
                             if (!future.isSuccess()) {
-                                shut("a frame could not be sent: " + future.cause().getMessage());
+                                closeChannel(
+                                        "a frame could not be sent: "
+                                                + future.cause().getMessage());
                             }
                         });
         return true;
@@ -140,83 +152,83 @@
     public Hello peer() {
         Hello hello = peer;
         if (hello == null) {
-            throw new IllegalStateException("the peer has not said hello");
+            throw new IllegalStateException("the peer has not sent its hello");
         }
         return hello;
     }
 
     @Override
-    public void close(String why) {
-        closing = true;
-        channel.eventLoop().execute(() -> shut(why));
+    public void close(String closeReason) {
+        isClosing = true;
+        channel.eventLoop().execute(() -> closeChannel(closeReason));
     }
 
-    private void greet(Frame frame) {
+    private void onHello(Frame frame) {
         if (frame.getSetField() != Frame._Fields.HELLO) {
-            shut("the first frame was not a hello");
+            closeChannel("the first frame was not a hello frame");
             return;
         }
         Hello hello = frame.getHello();
-        int version = self.get().getProtocolVersion();
+        int version = localHello.get().getProtocolVersion();
         if (hello.getProtocolVersion() != version) {
             Logger.error(
-                    "{} speaks protocol version {}, this process {}; its connection is refused."
+                    "Refused the connection of {}: it has protocol version {}, this process {}."
                             + " Upgrade the older one",
                     hello.getInstance(),
                     hello.getProtocolVersion(),
                     version);
-            shut("protocol version " + hello.getProtocolVersion() + " is not " + version);
+            closeChannel("protocol version " + hello.getProtocolVersion() + " is not " + version);
             return;
         }
         peer = hello;
-        up = true;
+        isUp = true;
         listener.onUp(this);
     }
 
-    private void scheduleCheck() {
+    private void scheduleHeartbeatCheck() {
         channel.eventLoop()
                 .schedule(
-                        this::check,
-                        watch.nextCheckInNanos(System.nanoTime()),
+                        this::checkHeartbeat,
+                        monitor.nextCheckInNanos(System.nanoTime()),
                         TimeUnit.NANOSECONDS);
     }
 
-    private void check() {
-        if (closing || !channel.isActive()) {
+    private void checkHeartbeat() {
+        if (isClosing || !channel.isActive()) {
             return;
         }
-        HeartbeatAction step = watch.check(System.nanoTime());
-        if (step instanceof HeartbeatAction.Close silent) {
-            shut(silent.reason());
+        HeartbeatAction action = monitor.check(System.nanoTime());
+        if (action instanceof HeartbeatAction.Close close) {
+            closeChannel(close.reason());
             return;
         }
-        if (step instanceof HeartbeatAction.SendHeartbeat heartbeat && up) {
+        if (action instanceof HeartbeatAction.SendHeartbeat heartbeat && isUp) {
             sendHeartbeat(heartbeat.sequence());
         }
-        scheduleCheck();
+        scheduleHeartbeatCheck();
     }
 
     private void sendHeartbeat(long sequence) {
-        Heartbeat heartbeat = new Heartbeat(sequence, self.get().getConfigRevision());
+        Heartbeat heartbeat = new Heartbeat(sequence, localHello.get().getConfigRevision());
         channel.writeAndFlush(Frame.heartbeat(heartbeat))
                 .addListener(
                         future -> {
                             if (future.isSuccess()) {
-                                watch.onHeartbeatWritten(System.nanoTime());
+                                monitor.onHeartbeatWritten(System.nanoTime());
                             }
                         });
     }
 
-    private void shut(String why) {
-        if (channel.isActive() && (!closing || reason.equals("closed by the peer"))) {
-            reason = why;
+    private void closeChannel(String closeReason) {
+        if (channel.isActive() && (!isClosing || reason.equals("closed by the peer"))) {
+            reason = closeReason;
             Logger.warn(
-                    "Connection with {} at {}: {}; it is closed",
+                    "Closed the connection with {} at {}: {}",
                     peer == null ? "an unknown process" : peer.getInstance(),
                     channel.remoteAddress(),
-                    why);
+                    closeReason);
         }
-        closing = true;
+        isClosing = true;
         channel.close();
     }
 }
--- a/protocol/src/main/java/org/sardinelift/protocol/ConnectionLimits.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ConnectionLimits.java
@@ -1,12 +1,12 @@
 package org.sardinelift.protocol;
 
 /**
- * Bounds of a connection between two processes.
+ * Limits of connections between processes.
  *
- * @param maxFrameBytes largest frame, bytes; a peer that sends a larger one is disconnected
- * @param maxUnsentBytes bytes that may wait for a peer that reads slowly; past that it is
+ * @param maxFrameBytes maximum frame size, bytes; a peer that sends a larger one is disconnected
+ * @param maxUnsentBytes bytes that may wait for a peer that reads slowly; beyond it the peer is
  *     disconnected
- * @param maxConnections connections that a server holds at once; one more is closed at once
+ * @param maxConnections maximum open connections of a server; further ones are closed at once
  */
 public record ConnectionLimits(int maxFrameBytes, int maxUnsentBytes, int maxConnections) {
     private static final int DEFAULT_FRAME_BYTES = 72 * 1024 * 1024;
@@ -14,9 +14,9 @@
     private static final int DEFAULT_CONNECTIONS = 10_000;
 
     /**
-     * Bounds that let the largest request of a caller pass.
+     * Limits that let the largest request of a caller pass.
      *
-     * @return the default bounds
+     * @return the default limits
      */
     public static ConnectionLimits defaults() {
         return new ConnectionLimits(DEFAULT_FRAME_BYTES, DEFAULT_UNSENT_BYTES, DEFAULT_CONNECTIONS);
--- a/protocol/src/main/java/org/sardinelift/protocol/DecisionFrames.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/DecisionFrames.java
@@ -10,17 +10,17 @@
 import org.sardinelift.protocol.generated.ExplainResult;
 import org.sardinelift.protocol.generated.Frame;
 
-/** Decisions of an instance as they travel between processes. */
+/** Converts an instance's recorded decisions to frames. */
 public final class DecisionFrames {
-    /** Longest list of decisions that an instance sends. */
+    /** Maximum number of decisions that an instance sends. */
     public static final int MAX_DECISIONS = 10_000;
 
     private DecisionFrames() {}
 
     /**
-     * Answers a question for decisions.
+     * Answers a query for decisions.
      *
-     * @param query the question
+     * @param query the query
      * @param instance name of this instance
      * @param log its decisions
      * @return the frame to send back
@@ -38,17 +38,17 @@
      * @param log its decisions
      * @param instance its name
      * @param names names of a request, job, target or team; empty for all decisions
-     * @param limit longest list; the newest are kept
+     * @param limit maximum number of decisions; the newest are returned
      * @return the decisions, oldest first
      */
     public static List<Decision> find(
             DecisionLog log, String instance, Collection<String> names, int limit) {
         return log.find(names, Math.max(0, Math.min(MAX_DECISIONS, limit))).stream()
-                .map(record -> decision(instance, record))
+                .map(record -> toDecision(instance, record))
                 .toList();
     }
 
-    private static Decision decision(String instance, DecisionRecord record) {
+    private static Decision toDecision(String instance, DecisionRecord record) {
         return new Decision(
                 record.timeMs(),
                 instance,
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameCodec.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameCodec.java
@@ -16,7 +16,7 @@
 import org.apache.thrift.transport.TTransportException;
 import org.sardinelift.protocol.generated.Frame;
 
-/** Frames in the compact Thrift protocol, each after its length in four bytes. */
+/** Codec of frames in the compact Thrift protocol, each preceded by its length in four bytes. */
 final class FrameCodec {
     private static final int LENGTH_BYTES = 4;
     private static final int MAX_NESTING = 16;
@@ -27,7 +27,7 @@
         try {
             pipeline.addLast(new Decoder(maxFrameBytes)).addLast(new Encoder(maxFrameBytes));
         } catch (TTransportException e) {
-            throw new IllegalStateException("a codec over byte arrays needs no transport", e);
+            throw new IllegalStateException("a codec over byte arrays opens no transport", e);
         }
     }
 
@@ -36,14 +36,14 @@
 
         Decoder(int maxFrameBytes) throws TTransportException {
             super(maxFrameBytes, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
-            TConfiguration bounds = new TConfiguration(maxFrameBytes, maxFrameBytes, MAX_NESTING);
+            TConfiguration limits = new TConfiguration(maxFrameBytes, maxFrameBytes, MAX_NESTING);
             deserializer =
                     new TDeserializer(
                             transport -> {
                                 transport.getConfiguration().setMaxMessageSize(maxFrameBytes);
                                 transport
                                         .getConfiguration()
-                                        .setRecursionLimit(bounds.getRecursionLimit());
+                                        .setRecursionLimit(limits.getRecursionLimit());
                                 return new TCompactProtocol(
                                         transport, maxFrameBytes, maxFrameBytes);
                             });
@@ -51,16 +51,16 @@
 
         @Override
         protected Object decode(ChannelHandlerContext context, ByteBuf in) throws Exception {
-            ByteBuf whole = (ByteBuf) super.decode(context, in);
-            if (whole == null) {
+            ByteBuf encoded = (ByteBuf) super.decode(context, in);
+            if (encoded == null) {
                 return null;
             }
             try {
                 Frame frame = new Frame();
-                deserializer.deserialize(frame, ByteBufUtil.getBytes(whole));
+                deserializer.deserialize(frame, ByteBufUtil.getBytes(encoded));
                 return frame;
             } finally {
-                whole.release();
+                encoded.release();
             }
         }
     }
@@ -80,7 +80,10 @@
             byte[] body = serialize(frame);
             if (body.length > maxFrameBytes) {
                 throw new TooLongFrameException(
-                        "a frame of " + body.length + " bytes is over " + maxFrameBytes);
+                        "a frame of "
+                                + body.length
+                                + " bytes exceeds the limit of "
+                                + maxFrameBytes);
             }
             out.ensureWritable(LENGTH_BYTES + body.length);
             out.writeInt(body.length).writeBytes(body);
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameConnection.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameConnection.java
@@ -3,21 +3,21 @@
 import org.sardinelift.protocol.generated.Frame;
 import org.sardinelift.protocol.generated.Hello;
 
-/** An open connection to another process, past the exchange of {@link Hello}. */
+/** An open connection to another process, after the exchange of {@link Hello}. */
 public interface FrameConnection {
-    /** Version of the protocol that this build speaks; both ends of a connection must agree. */
+    /** Protocol version of this build; both ends of a connection must have the same. */
     int PROTOCOL_VERSION = 1;
 
     /**
      * Sends a frame; the order of frames is kept.
      *
      * @param frame the frame
-     * @return false where the connection is closed and the frame was certainly not sent
+     * @return false if the connection is closed and the frame was certainly not sent
      */
     boolean send(Frame frame);
 
     /**
-     * Who is at the other end.
+     * Hello of the peer, with its identity.
      *
      * @return the peer's hello
      */
@@ -26,7 +26,7 @@
     /**
      * Closes the connection.
      *
-     * @param reason for the log
+     * @param reason reason for the log
      */
     void close(String reason);
 }
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameLink.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameLink.java
@@ -17,12 +17,12 @@
 import org.sardinelift.protocol.generated.Frame;
 import org.sardinelift.protocol.generated.Hello;
 
-/** A connection to another process that is opened anew whenever it is lost. */
+/** A connection to another process that reconnects whenever it is lost. */
 public final class FrameLink implements AutoCloseable {
     private final EventLoopGroup group;
     private final Bootstrap bootstrap;
     private final Backoff backoff;
-    private volatile boolean closed;
+    private volatile boolean isClosed;
     private volatile @Nullable Channel channel;
 
     private FrameLink(EventLoopGroup group, Bootstrap bootstrap, Backoff backoff) {
@@ -32,15 +32,15 @@
     }
 
     /**
-     * Opens a link within the default bounds.
+     * Opens a link with the default limits.
      *
      * @param group event loops
      * @param host address of the other process
-     * @param port its port of the process protocol
-     * @param tls gives the certificates in force at each new connection, or null for plaintext
-     * @param self gives this process's hello at each new connection
-     * @param timings heartbeat, silence and backoff
-     * @param listener hears of connections and frames
+     * @param port its port of the frame protocol
+     * @param tls supplies the current certificates for each new connection, or null for plaintext
+     * @param localHello supplies this process's hello for each new connection
+     * @param timings heartbeat interval, silence timeout and backoff
+     * @param listener receives connections and frames
      * @return the link, connecting
      */
     public static FrameLink open(
@@ -48,10 +48,11 @@
             String host,
             int port,
             @Nullable Supplier<SslContext> tls,
-            Supplier<Hello> self,
+            Supplier<Hello> localHello,
             LinkTimings timings,
             FrameListener listener) {
-        return open(group, host, port, tls, self, timings, ConnectionLimits.defaults(), listener);
+        return open(
+                group, host, port, tls, localHello, timings, ConnectionLimits.defaults(), listener);
     }
 
     /**
@@ -59,12 +60,12 @@
      *
      * @param group event loops
      * @param host address of the other process
-     * @param port its port of the process protocol
-     * @param tls gives the certificates in force at each new connection, or null for plaintext
-     * @param self gives this process's hello at each new connection
-     * @param timings heartbeat, silence and backoff
-     * @param limits bounds
-     * @param listener hears of connections and frames
+     * @param port its port of the frame protocol
+     * @param tls supplies the current certificates for each new connection, or null for plaintext
+     * @param localHello supplies this process's hello for each new connection
+     * @param timings heartbeat interval, silence timeout and backoff
+     * @param limits limits of the connection
+     * @param listener receives connections and frames
      * @return the link, connecting
      */
     public static FrameLink open(
@@ -72,21 +73,22 @@
             String host,
             int port,
             @Nullable Supplier<SslContext> tls,
-            Supplier<Hello> self,
+            Supplier<Hello> localHello,
             LinkTimings timings,
             ConnectionLimits limits,
             FrameListener listener) {
         Backoff backoff = Backoff.of(timings, ThreadLocalRandom.current());
-        FrameListener resetting = new BackoffReset(backoff, listener);
+        FrameListener resettingListener = new BackoffResetListener(backoff, listener);
         ChannelInitializer<SocketChannel> initializer =
                 new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(SocketChannel opened) {
                         FramePipeline.install(
                                 opened,
-                                tls == null ? null : handler(tls.get(), opened, host, port),
+                                tls == null ? null : tlsHandler(tls.get(), opened, host, port),
                                 limits,
-                                ChannelConnection.ofOpener(opened, self, timings, resetting));
+                                ChannelConnection.ofOpener(
+                                        opened, localHello, timings, resettingListener));
                     }
                 };
         Bootstrap bootstrap =
@@ -104,22 +106,22 @@
         return link;
     }
 
-    /** Closes the connection and opens no other. */
+    /** Closes the connection and stops reconnecting. */
     @Override
     public void close() {
-        closed = true;
+        isClosed = true;
         Channel open = channel;
         if (open != null) {
             open.close();
         }
     }
 
-    private static SslHandler handler(SslContext tls, Channel channel, String host, int port) {
+    private static SslHandler tlsHandler(SslContext tls, Channel channel, String host, int port) {
         return tls.newHandler(channel.alloc(), host, port);
     }
 
     private void connect() {
-        if (closed) {
+        if (isClosed) {
             return;
         }
         ChannelFuture connecting = bootstrap.connect();
@@ -131,21 +133,22 @@
                         return;
                     }
                     connecting.channel().closeFuture().addListener(lost -> reconnect());
-                    if (closed) {
+                    if (isClosed) {
                         connecting.channel().close();
                     }
                 });
     }
 
     private void reconnect() {
-        if (closed || group.isShuttingDown()) {
+        if (isClosed || group.isShuttingDown()) {
             return;
         }
         group.schedule(this::connect, backoff.nextDelay().toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Lets the backoff start again from its shortest time once a connection is up. */
-    private record BackoffReset(Backoff backoff, FrameListener listener) implements FrameListener {
+    /** Resets the backoff once a connection is open. */
+    private record BackoffResetListener(Backoff backoff, FrameListener listener)
+            implements FrameListener {
         @Override
         public void onUp(FrameConnection connection) {
             backoff.reset();
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameListener.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameListener.java
@@ -2,18 +2,21 @@
 
 import org.sardinelift.protocol.generated.Frame;
 
-/** Hears of connections; the calls for one connection come in order, on its event loop. */
+/**
+ * Receives the events of connections. Calls for one connection are made in order, on its event
+ * loop.
+ */
 public interface FrameListener {
 
     /**
-     * A connection is open and both ends have said hello.
+     * Called when a connection is open and both ends have sent their hello.
      *
      * @param connection the connection
      */
     void onUp(FrameConnection connection);
 
     /**
-     * A frame has come. Hellos and heartbeats are not passed on.
+     * Called when a frame has arrived, except hellos and heartbeats.
      *
      * @param connection the connection
      * @param frame the frame
@@ -21,10 +24,10 @@
     void onFrame(FrameConnection connection, Frame frame);
 
     /**
-     * A connection is closed or has gone silent. No frame comes from it any more.
+     * Called when a connection is closed, also after a silence timeout. No more frames follow.
      *
      * @param connection the connection
-     * @param reason what was wrong
+     * @param reason why it was closed
      */
     void onDown(FrameConnection connection, String reason);
 }
--- a/protocol/src/main/java/org/sardinelift/protocol/FramePipeline.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FramePipeline.java
@@ -7,7 +7,7 @@
 import io.netty.handler.ssl.SslHandler;
 import org.jspecify.annotations.Nullable;
 
-/** The handlers of one channel, from the bytes up. */
+/** Installs the handlers of a channel, from raw bytes up to frames. */
 final class FramePipeline {
     private static final int FLUSH_AFTER_FRAMES = 64;
 
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameServer.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameServer.java
@@ -18,7 +18,7 @@
 import org.sardinelift.protocol.generated.Hello;
 import org.tinylog.Logger;
 
-/** A bound port of the process protocol. */
+/** Server that accepts connections of the frame protocol on a bound port. */
 public final class FrameServer implements AutoCloseable {
     private static final int BACKLOG = 1024;
 
@@ -31,28 +31,29 @@
     }
 
     /**
-     * Binds a port and serves it within the default bounds.
+     * Binds a port and serves it with the default limits.
      *
      * @param group event loops
      * @param host address to bind
-     * @param port port to bind, 0 for any
-     * @param tls gives the certificates in force at each new connection, or null for plaintext
-     * @param self gives this process's hello at each new connection
-     * @param timings heartbeat and silence
-     * @param listener hears of connections and frames
+     * @param port port to bind, 0 for a free one
+     * @param tls supplies the current certificates for each new connection, or null for plaintext
+     * @param localHello supplies this process's hello for each new connection
+     * @param timings heartbeat interval and silence timeout
+     * @param listener receives connections and frames
      * @return the bound server
-     * @throws BindException where the address is taken; choose another in the settings
+     * @throws BindException if the address is in use; choose another in the settings
      */
     public static FrameServer start(
             EventLoopGroup group,
             String host,
             int port,
             @Nullable Supplier<SslContext> tls,
-            Supplier<Hello> self,
+            Supplier<Hello> localHello,
             LinkTimings timings,
             FrameListener listener)
             throws BindException {
-        return start(group, host, port, tls, self, timings, ConnectionLimits.defaults(), listener);
+        return start(
+                group, host, port, tls, localHello, timings, ConnectionLimits.defaults(), listener);
     }
 
     /**
@@ -60,21 +61,21 @@
      *
      * @param group event loops
      * @param host address to bind
-     * @param port port to bind, 0 for any
-     * @param tls gives the certificates in force at each new connection, or null for plaintext
-     * @param self gives this process's hello at each new connection
-     * @param timings heartbeat and silence
-     * @param limits bounds
-     * @param listener hears of connections and frames
+     * @param port port to bind, 0 for a free one
+     * @param tls supplies the current certificates for each new connection, or null for plaintext
+     * @param localHello supplies this process's hello for each new connection
+     * @param timings heartbeat interval and silence timeout
+     * @param limits limits of connections
+     * @param listener receives connections and frames
      * @return the bound server
-     * @throws BindException where the address is taken; choose another in the settings
+     * @throws BindException if the address is in use; choose another in the settings
      */
     public static FrameServer start(
             EventLoopGroup group,
             String host,
             int port,
             @Nullable Supplier<SslContext> tls,
-            Supplier<Hello> self,
+            Supplier<Hello> localHello,
             LinkTimings timings,
             ConnectionLimits limits,
             FrameListener listener)
@@ -86,7 +87,7 @@
                     protected void initChannel(SocketChannel accepted) {
                         if (connections.size() >= limits.maxConnections()) {
                             Logger.warn(
-                                    "{} connections are open, the bound; {} is turned away",
+                                    "{} connections are open (maxConnections); refused one from {}",
                                     limits.maxConnections(),
                                     accepted.remoteAddress());
                             accepted.close();
@@ -97,7 +98,8 @@
                                 accepted,
                                 tls == null ? null : tls.get().newHandler(accepted.alloc()),
                                 limits,
-                                ChannelConnection.ofAcceptor(accepted, self, timings, listener));
+                                ChannelConnection.ofAcceptor(
+                                        accepted, localHello, timings, listener));
                     }
                 };
         var bound =
@@ -118,7 +120,7 @@
     }
 
     /**
-     * The port that was bound.
+     * Port that was bound.
      *
      * @return port number
      */
@@ -126,12 +128,12 @@
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Stops accepting connections; open ones go on. */
+    /** Stops accepting connections; open ones stay open. */
     public void stopAccepting() {
         channel.close().awaitUninterruptibly();
     }
 
-    /** Stops accepting and closes every connection. */
+    /** Stops accepting connections and closes all open ones. */
     @Override
     public void close() {
         channel.close().awaitUninterruptibly();
--- a/protocol/src/main/java/org/sardinelift/protocol/LinkTimings.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/LinkTimings.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * Times of a connection between two processes.
+ * Intervals and timeouts of a connection between two processes.
  *
- * @param heartbeat time between two heartbeats of the end that opened a connection
+ * @param heartbeat time between heartbeats, sent by the end that opened the connection
  * @param silence time without a byte after which a connection is closed
- * @param reconnectMin shortest backoff before a new connection is tried
- * @param reconnectMax longest backoff before a new connection is tried
+ * @param reconnectMin minimum backoff before a reconnect
+ * @param reconnectMax maximum backoff before a reconnect
  */
 public record LinkTimings(
         Duration heartbeat, Duration silence, Duration reconnectMin, Duration reconnectMax) {
@@ -18,9 +18,9 @@
     private static final int DEFAULT_RECONNECT_MAX_MS = 2_000;
 
     /**
-     * Times that suit one region.
+     * Defaults for connections within one region.
      *
-     * @return the default times
+     * @return the default values
      */
     public static LinkTimings defaults() {
         return new LinkTimings(
--- a/protocol/src/main/java/org/sardinelift/protocol/ReportChannel.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ReportChannel.java
@@ -23,23 +23,23 @@
 import org.tinylog.Logger;
 
 /**
- * Reports between instances, each in one datagram in the compact Thrift protocol. A report holds
- * the whole state that it speaks of, so that a lost one is made good by the next.
+ * UDP channel for reports between instances; each report is one datagram in the compact Thrift
+ * protocol. A report contains complete state, so that the next one makes up for a lost one.
  */
 public final class ReportChannel implements AutoCloseable {
-    /** Longest datagram, bytes: what UDP over IPv4 takes. */
-    private static final int MAX_BYTES = 60_000;
+    /** Fits into one datagram of UDP over IPv4. */
+    private static final int MAX_DATAGRAM_BYTES = 60_000;
 
     private final Channel channel;
     private final TSerializer serializer;
 
-    /** Takes reports, on the event loop. */
+    /** Receives reports, on the event loop. */
     public interface Listener {
         /**
-         * A report has come.
+         * Called when a report has arrived.
          *
          * @param report the report
-         * @param bytes the same as it came, to be passed on
+         * @param bytes the report as received, to be forwarded
          */
         void onReport(PeerReport report, byte[] bytes);
     }
@@ -50,14 +50,14 @@
     }
 
     /**
-     * Binds a port and takes reports.
+     * Binds a port and receives reports.
      *
      * @param group event loops
      * @param host address to bind
-     * @param port port to bind, 0 for any
-     * @param listener takes each report, on the event loop
+     * @param port port to bind, 0 for a free one
+     * @param listener receives each report, on the event loop
      * @return the bound channel
-     * @throws BindException where the address is taken; choose another in the settings
+     * @throws BindException if the address is in use; choose another in the settings
      */
     public static ReportChannel bind(EventLoopGroup group, String host, int port, Listener listener)
             throws BindException {
@@ -68,8 +68,8 @@
                             .channel(NioDatagramChannel.class)
                             .option(
                                     ChannelOption.RECVBUF_ALLOCATOR,
-                                    new FixedRecvByteBufAllocator(MAX_BYTES))
-                            .handler(new Receiver(listener))
+                                    new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
+                            .handler(new ReportHandler(listener))
                             .bind(host, port)
                             .awaitUninterruptibly();
             if (!bound.isSuccess()) {
@@ -79,12 +79,12 @@
             return new ReportChannel(
                     bound.channel(), new TSerializer(new TCompactProtocol.Factory()));
         } catch (TTransportException e) {
-            throw new IllegalStateException("a codec over byte arrays needs no transport", e);
+            throw new IllegalStateException("a codec over byte arrays opens no transport", e);
         }
     }
 
     /**
-     * The port that was bound.
+     * Port that was bound.
      *
      * @return port number
      */
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Serializes a report, to be sent to several instances.
+     * Serializes a report, so that it can be sent to several instances.
      *
      * @param report the report
      * @return its bytes
@@ -107,25 +107,25 @@
     }
 
     /**
-     * Sends a report; a failure is noticed by nobody but the missing report at the other end.
+     * Sends a report without any sign of a failure; the receiver detects missing reports.
      *
      * @param report serialized report
-     * @param to where to
+     * @param to address of the receiver
      */
     public void send(byte[] report, InetSocketAddress to) {
-        if (report.length > MAX_BYTES) {
+        if (report.length > MAX_DATAGRAM_BYTES) {
             Logger.error(
-                    "A report of {} bytes is too long for a datagram; not sent", report.length);
+                    "Dropped a report of {} bytes: it is too long for a datagram", report.length);
             return;
         }
         channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(report), to));
     }
 
     /**
-     * Reads a report that another instance passed on.
+     * Deserializes a report.
      *
      * @param bytes its bytes
-     * @return the report, or empty where they hold none
+     * @return the report, or empty if the bytes are not a valid report
      */
     public static Optional<PeerReport> read(byte[] bytes) {
         PeerReport report = new PeerReport();
@@ -133,7 +133,10 @@
             new TDeserializer(new TCompactProtocol.Factory()).deserialize(report, bytes);
             return Optional.of(report);
         } catch (TException e) {
-            Logger.warn("{} bytes are no report: {}; dropped", bytes.length, e.getMessage());
+            Logger.warn(
+                    "Dropped {} bytes that are not a valid report: {}",
+                    bytes.length,
+                    e.getMessage());
             return Optional.empty();
         }
     }
@@ -143,10 +146,10 @@
         channel.close().awaitUninterruptibly();
     }
 
-    private static final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
+    private static final class ReportHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         private final Listener listener;
 
-        Receiver(Listener listener) {
+        ReportHandler(Listener listener) {
             this.listener = listener;
         }
 
@@ -158,8 +161,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // An unreachable peer shows as an error of the socket; its missing reports tell more.
-            Logger.debug("Reports: {}", cause.toString());
+            // An unreachable peer causes socket errors; its missing reports show more.
+            Logger.debug("Report channel: {}", cause.toString());
         }
     }
 }
--- a/protocol/src/test/java/org/sardinelift/protocol/FrameLinkTest.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/FrameLinkTest.java
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void passesFramesInOrderBothWaysOnceBothEndsSaidHello() {
+    void deliversFramesInOrderBothWaysAfterTheHellos() {
         try (FrameLink link = link(bound.port())) {
-            await().until(() -> client.ups.size() == 1 && server.ups.size() == 1);
-            assertEquals("c1", client.ups.get(0).peer().getInstance());
-            assertEquals("e1", server.ups.get(0).peer().getInstance());
+            await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
+            assertEquals("c1", client.opened.get(0).peer().getInstance());
+            assertEquals("e1", server.opened.get(0).peer().getInstance());
             List<Frame> sent = IntStream.range(0, 500).mapToObj(FrameLinkTest::cancel).toList();
-            sent.forEach(client.ups.get(0)::send);
-            sent.forEach(server.ups.get(0)::send);
+            sent.forEach(client.opened.get(0)::send);
+            sent.forEach(server.opened.get(0)::send);
             await().until(() -> server.frames.size() == 500 && client.frames.size() == 500);
             assertEquals(sent, server.frames);
             assertEquals(sent, client.frames);
@@ -85,44 +85,44 @@
     @Test
     void heartbeatsKeepAnIdleConnectionOpen() {
         try (FrameLink link = link(bound.port())) {
-            await().until(() -> client.ups.size() == 1 && server.ups.size() == 1);
+            await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
             await().during(TIMINGS.silence().multipliedBy(3))
-                    .until(() -> client.downs.isEmpty() && server.downs.isEmpty());
+                    .until(() -> client.closeReasons.isEmpty() && server.closeReasons.isEmpty());
         }
     }
 
     @Test
-    void replacesAConnectionThatIsSilentTowardsTheServer() throws Exception {
+    void reconnectsWhenThePathToTheServerIsSilent() throws Exception {
         try (SilentRelay relay = SilentRelay.start(bound.port());
                 FrameLink link = link(relay.port())) {
-            await().until(() -> client.ups.size() == 1 && server.ups.size() == 1);
+            await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
             relay.silenceToServer();
-            await().until(() -> client.ups.size() == 2 && server.ups.size() == 2);
-            assertEquals(1, client.downs.size());
-            await().until(() -> server.downs.size() == 1);
-            assertFalse(client.ups.get(0).send(cancel(1)));
-            assertTrue(client.ups.get(1).send(cancel(2)));
+            await().until(() -> client.opened.size() == 2 && server.opened.size() == 2);
+            assertEquals(1, client.closeReasons.size());
+            await().until(() -> server.closeReasons.size() == 1);
+            assertFalse(client.opened.get(0).send(cancel(1)));
+            assertTrue(client.opened.get(1).send(cancel(2)));
             await().until(() -> server.frames.equals(List.of(cancel(2))));
         }
     }
 
     @Test
-    void replacesAConnectionThatIsSilentTowardsTheClient() throws Exception {
+    void reconnectsWhenThePathToTheClientIsSilent() throws Exception {
         try (SilentRelay relay = SilentRelay.start(bound.port());
                 FrameLink link = link(relay.port())) {
-            await().until(() -> client.ups.size() == 1 && server.ups.size() == 1);
+            await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
             relay.silenceToClient();
-            await().until(() -> client.ups.size() == 2 && server.downs.size() == 1);
+            await().until(() -> client.opened.size() == 2 && server.closeReasons.size() == 1);
         }
     }
 
     @Test
-    void framesThatWaitedThroughAPauseOfTheServerAreDropped() throws Exception {
-        EventLoopGroup paused = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        CountDownLatch wake = new CountDownLatch(1);
+    void framesReceivedAfterAPauseOfTheServerAreDropped() throws Exception {
+        EventLoopGroup pausedLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        CountDownLatch endPause = new CountDownLatch(1);
         try (FrameServer pausing =
                         FrameServer.start(
-                                paused,
+                                pausedLoops,
                                 "127.0.0.1",
                                 0,
                                 null,
@@ -130,23 +130,23 @@
                                 TIMINGS,
                                 server);
                 FrameLink link = link(pausing.port())) {
-            await().until(() -> client.ups.size() == 1 && server.ups.size() == 1);
-            FrameConnection stale = server.ups.get(0);
-            CountDownLatch asleep = new CountDownLatch(1);
-            paused.submit(
+            await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
+            FrameConnection stale = server.opened.get(0);
+            CountDownLatch loopPaused = new CountDownLatch(1);
+            pausedLoops.submit(
                     () -> {
-                        asleep.countDown();
-                        return wake.await(1, TimeUnit.MINUTES);
+                        loopPaused.countDown();
+                        return endPause.await(1, TimeUnit.MINUTES);
                     });
-            asleep.await();
-            client.ups.get(0).send(cancel(1));
+            loopPaused.await();
+            client.opened.get(0).send(cancel(1));
             await().pollDelay(TIMINGS.silence().multipliedBy(4))
-                    .until(() -> client.downs.size() == 1);
-            wake.countDown();
-            await().until(() -> server.closed.contains(stale) && client.ups.size() > 1);
+                    .until(() -> client.closeReasons.size() == 1);
+            endPause.countDown();
+            await().until(() -> server.closed.contains(stale) && client.opened.size() > 1);
             assertTrue(server.frames.isEmpty());
         } finally {
-            paused.shutdownGracefully(0, 0, TimeUnit.SECONDS).awaitUninterruptibly();
+            pausedLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS).awaitUninterruptibly();
         }
     }
 
@@ -157,7 +157,7 @@
         bound.close();
         try (FrameLink link = link(port)) {
             bound = serve(port);
-            await().until(() -> client.ups.size() == 1);
+            await().until(() -> client.opened.size() == 1);
         }
     }
 
@@ -172,8 +172,8 @@
                         () -> hello("e2", 2),
                         TIMINGS,
                         client)) {
-            await().during(Duration.ofMillis(300)).until(server.ups::isEmpty);
-            assertTrue(client.ups.isEmpty());
+            await().during(Duration.ofMillis(300)).until(server.opened::isEmpty);
+            assertTrue(client.opened.isEmpty());
         }
     }
 
@@ -191,10 +191,10 @@
                                 limits,
                                 server);
                 FrameLink link = link(small.port())) {
-            await().until(() -> client.ups.size() == 1);
+            await().until(() -> client.opened.size() == 1);
             Data data = new Data().setRequestId("r").setBody(new byte[2000]);
-            client.ups.get(0).send(Frame.data(data));
-            await().until(() -> server.downs.size() == 1);
+            client.opened.get(0).send(Frame.data(data));
+            await().until(() -> server.closeReasons.size() == 1);
             assertTrue(server.frames.isEmpty());
         }
     }
--- a/protocol/src/test/java/org/sardinelift/protocol/Recorder.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/Recorder.java
@@ -4,16 +4,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.sardinelift.protocol.generated.Frame;
 
-/** Records what a listener hears. */
+/** Records the events of connections. */
 final class Recorder implements FrameListener {
-    final List<FrameConnection> ups = new CopyOnWriteArrayList<>();
+    final List<FrameConnection> opened = new CopyOnWriteArrayList<>();
     final List<Frame> frames = new CopyOnWriteArrayList<>();
-    final List<String> downs = new CopyOnWriteArrayList<>();
+    final List<String> closeReasons = new CopyOnWriteArrayList<>();
     final List<FrameConnection> closed = new CopyOnWriteArrayList<>();
 
     @Override
     public void onUp(FrameConnection connection) {
-        ups.add(connection);
+        opened.add(connection);
     }
 
     @Override
@@ -24,6 +24,6 @@
     @Override
     public void onDown(FrameConnection connection, String reason) {
         closed.add(connection);
-        downs.add(reason);
+        closeReasons.add(reason);
     }
 }
--- a/protocol/src/test/java/org/sardinelift/protocol/ReportChannelTest.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/ReportChannelTest.java
@@ -53,9 +53,9 @@
         sender.send(bytes, new InetSocketAddress(HOST, receiver.port()));
     }
 
-    /** A report of a fleet of some hundred members; far longer than Netty reads by itself. */
+    /** A report with 700 members is longer than Netty's default receive buffer. */
     @Test
-    void aLongReportArrivesWhole() {
+    void longReportArrivesComplete() {
         PeerReport report = new PeerReport();
         report.setInstance("gateway-1");
         report.setMembers(
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void bytesThatAreNoReportAreDropped() {
+    void invalidBytesAreDropped() {
         PeerReport report = new PeerReport();
         report.setInstance("gateway-1");
 
--- a/protocol/src/test/java/org/sardinelift/protocol/TlsLinkTest.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/TlsLinkTest.java
@@ -90,53 +90,53 @@
     }
 
     @Test
-    void processesOfOneFleetAreConnected() throws Exception {
+    void processesWithCertificatesOfOneAuthorityConnect() throws Exception {
         try (FrameLink link = link(files("second", "fleet-ca", "client").client())) {
-            await().until(() -> client.ups.size() == 1 && server.ups.size() == 1);
+            await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
         }
     }
 
     @Test
-    void aClientOfAnotherAuthorityIsRefused() throws Exception {
+    void clientOfAnotherAuthorityIsRefused() throws Exception {
         try (FrameLink link = link(files("stranger", "fleet-ca", "client").client())) {
-            await().during(Duration.ofMillis(500)).until(server.ups::isEmpty);
-            assertTrue(client.ups.isEmpty());
+            await().during(Duration.ofMillis(500)).until(server.opened::isEmpty);
+            assertTrue(client.opened.isEmpty());
         }
     }
 
     @Test
-    void aServerOfAnotherAuthorityIsRefused() throws Exception {
+    void serverOfAnotherAuthorityIsRefused() throws Exception {
         try (FrameLink link = link(files("second", "other-ca", "client").client())) {
-            await().during(Duration.ofMillis(500)).until(server.ups::isEmpty);
-            assertTrue(client.ups.isEmpty());
+            await().during(Duration.ofMillis(500)).until(server.opened::isEmpty);
+            assertTrue(client.opened.isEmpty());
         }
     }
 
     @Test
-    void aClientWithoutTlsIsRefused() {
+    void clientWithoutTlsIsRefused() {
         try (FrameLink link = link(null)) {
-            await().during(Duration.ofMillis(500)).until(server.ups::isEmpty);
-            assertTrue(client.ups.isEmpty());
+            await().during(Duration.ofMillis(500)).until(server.opened::isEmpty);
+            assertTrue(client.opened.isEmpty());
         }
     }
 
     @Test
-    void changedFilesHoldFromTheNextConnection() throws Exception {
+    void changedFilesApplyFromTheNextConnection() throws Exception {
         try (FrameLink link = link(files("stranger", "fleet-ca", "client").client())) {
-            await().during(Duration.ofMillis(300)).until(server.ups::isEmpty);
+            await().during(Duration.ofMillis(300)).until(server.opened::isEmpty);
             copy("second", "fleet-ca", "client");
-            await().until(() -> server.ups.size() == 1);
+            await().until(() -> server.opened.size() == 1);
         }
     }
 
     @Test
-    void unreadableFilesAreNamedAtTheStartAndIgnoredLater() throws Exception {
+    void unreadableFilesFailTheStartAndAreIgnoredLater() throws Exception {
         TlsSettings settings = copy("second", "fleet-ca", "client");
         TlsFiles files = TlsFiles.open(settings);
         Files.writeString(settings.key(), "half a ke");
         assertThrows(IOException.class, () -> TlsFiles.open(settings));
         try (FrameLink link = link(files.client())) {
-            await().until(() -> server.ups.size() == 1);
+            await().until(() -> server.opened.size() == 1);
         }
     }
 }
