--- a/http/src/main/java/org/sardinelift/http/ClientConnection.java
+++ b/http/src/main/java/org/sardinelift/http/ClientConnection.java
@@ -11,43 +11,44 @@
 import io.netty.util.ReferenceCountUtil;
 import org.jspecify.annotations.Nullable;
 
-/** Reads the answers of one connection for the call that is on it. */
+/** Reads the responses of one connection and passes them to its current call. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    private @Nullable ClientExchange exchange;
-    private boolean interim;
+    private @Nullable ClientExchange currentExchange;
+    private boolean isInterim;
 
     void attach(ClientExchange next) {
-        exchange = next;
+        currentExchange = next;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            ClientExchange current = exchange;
+            ClientExchange current = currentExchange;
             if (current == null) {
-                // Bytes that no request asked for: whatever follows can't be told apart either.
+                // Bytes without a request: later responses could not be matched to requests either.
                 context.close();
             } else if (message instanceof HttpObject part && part.decoderResult().isFailure()) {
-                breakOff(context, part.decoderResult().cause());
+                failCall(context, part.decoderResult().cause());
             } else {
-                take(context, current, message);
+                readMessage(context, current, message);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void take(ChannelHandlerContext context, ClientExchange current, Object message) {
+    private void readMessage(
+            ChannelHandlerContext context, ClientExchange current, Object message) {
         if (message instanceof HttpResponse head) {
-            interim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (!interim) {
+            isInterim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+            if (!isInterim) {
                 current.onHead(head);
             }
         }
-        if (message instanceof HttpContent content && !interim) {
+        if (message instanceof HttpContent content && !isInterim) {
             current.onData(ByteBufUtil.getBytes(content.content()));
             if (content instanceof LastHttpContent) {
-                exchange = null;
+                currentExchange = null;
                 current.onEnd(context.channel());
             }
         }
@@ -55,21 +56,21 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        breakOff(context, ClientExchange.closed());
+        failCall(context, ClientExchange.closed());
     }
 
-    /** An answer without a length ends with its connection, but not with a reset of it. */
+    /** The end of a connection completes a response without a length, but a reset fails it. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        breakOff(context, cause);
+        failCall(context, cause);
     }
 
-    private void breakOff(ChannelHandlerContext context, Throwable cause) {
-        ClientExchange current = exchange;
-        exchange = null;
+    private void failCall(ChannelHandlerContext context, Throwable cause) {
+        ClientExchange current = currentExchange;
+        currentExchange = null;
         context.close();
         if (current != null) {
-            current.onBroken(cause);
+            current.onConnectionLost(cause);
         }
     }
 }
--- a/http/src/main/java/org/sardinelift/http/ClientExchange.java
+++ b/http/src/main/java/org/sardinelift/http/ClientExchange.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeoutException;
 import org.jspecify.annotations.Nullable;
 
-/** One call in flight; its callbacks run on the event loop of its connection. */
+/** One call in flight; its callbacks run on its connection's event loop. */
 final class ClientExchange {
     private static final String KEEP_ALIVE = "keep-alive";
 
@@ -23,13 +23,13 @@
     private final HttpCall call;
     private final HttpAnswerListener listener;
     private volatile @Nullable Channel channel;
-    private volatile boolean cancelled;
-    private boolean pooled;
-    private boolean answered;
-    private boolean keepAlive = true;
-    private boolean written;
-    private @Nullable String idleSeconds;
-    private boolean done;
+    private volatile boolean isCancelled;
+    private boolean isPooled;
+    private boolean isHeadReceived;
+    private boolean isKeepAlive = true;
+    private boolean isWritten;
+    private @Nullable String keepAliveHeader;
+    private boolean isDone;
     private long lastByteNanos;
     private @Nullable ScheduledFuture<?> silenceTimer;
 
@@ -49,10 +49,10 @@
     }
 
     private void write(Channel target, boolean fromPool) {
-        pooled = fromPool;
-        if (cancelled) {
+        isPooled = fromPool;
+        if (isCancelled) {
             target.close();
-            fail(new CancellationException("cancelled before it was sent"), false);
+            fail(new CancellationException("the call was cancelled before it was sent"), false);
             return;
         }
         if (fromPool && !target.isActive()) {
@@ -60,17 +60,17 @@
             return;
         }
         target.pipeline().get(ClientConnection.class).attach(this);
-        written = false;
+        isWritten = false;
         target.writeAndFlush(request())
                 .addListener(
                         future -> {
-                            written = future.isSuccess();
-                            if (!written) {
-                                onBroken(future.cause());
+                            isWritten = future.isSuccess();
+                            if (!isWritten) {
+                                onConnectionLost(future.cause());
                             }
                         });
         lastByteNanos = System.nanoTime();
-        watchSilence(target);
+        checkSilence(target);
     }
 
     private DefaultFullHttpRequest request() {
@@ -88,28 +88,31 @@
         return request;
     }
 
-    private void watchSilence(Channel target) {
+    private void checkSilence(Channel target) {
         long limitNanos = call.silence().toNanos();
         long silentNanos = System.nanoTime() - lastByteNanos;
-        if (done) {
+        if (isDone) {
             return;
         }
         if (silentNanos >= limitNanos) {
-            fail(new TimeoutException("no byte for " + call.silence().toMillis() + " ms"), true);
+            fail(
+                    new TimeoutException(
+                            "no byte received for " + call.silence().toMillis() + " ms"),
+                    true);
             target.close();
             return;
         }
         silenceTimer =
                 target.eventLoop()
                         .schedule(
-                                () -> watchSilence(target),
+                                () -> checkSilence(target),
                                 limitNanos - silentNanos + 1,
                                 TimeUnit.NANOSECONDS);
     }
 
-    /** A timer that outlives its call would hold the whole call in memory until it fires. */
+    /** Cancels the timer too: it would keep the call and its body in memory until it fires. */
     private void finish() {
-        done = true;
+        isDone = true;
         if (silenceTimer != null) {
             silenceTimer.cancel(false);
         }
@@ -117,9 +120,9 @@
 
     void onHead(HttpResponse head) {
         lastByteNanos = System.nanoTime();
-        answered = true;
-        keepAlive = HttpUtil.isKeepAlive(head);
-        idleSeconds = head.headers().get(KEEP_ALIVE);
+        isHeadReceived = true;
+        isKeepAlive = HttpUtil.isKeepAlive(head);
+        keepAliveHeader = head.headers().get(KEEP_ALIVE);
         listener.onHead(head.status().code(), head.headers().entries());
     }
 
@@ -132,34 +135,34 @@
 
     void onEnd(Channel source) {
         finish();
-        // A peer that answered early still takes what comes next for the rest of the body.
-        if (keepAlive && written && !cancelled) {
-            client.returnToPool(call, source, idleSeconds);
+        // A peer that responded early would read the next request as the rest of this body.
+        if (isKeepAlive && isWritten && !isCancelled) {
+            client.returnToPool(call, source, keepAliveHeader);
         } else {
             source.close();
         }
         listener.onEnd();
     }
 
-    /** The connection broke with this call on it; only a repeatable one is sent again. */
-    void onBroken(Throwable cause) {
-        if (done) {
+    /** Called when the connection is lost; retries the call only if its method is safe. */
+    void onConnectionLost(Throwable cause) {
+        if (isDone) {
             return;
         }
-        if (pooled && !answered && !cancelled && isSafe()) {
-            pooled = false;
+        if (isPooled && !isHeadReceived && !isCancelled && isMethodSafe()) {
+            isPooled = false;
             client.connect(call, this);
             return;
         }
         fail(cause, true);
     }
 
-    private boolean isSafe() {
+    private boolean isMethodSafe() {
         return call.method().equals("GET") || call.method().equals("HEAD");
     }
 
     void fail(Throwable cause, boolean mayHaveRun) {
-        if (done) {
+        if (isDone) {
             return;
         }
         finish();
@@ -167,7 +170,7 @@
     }
 
     void cancel() {
-        cancelled = true;
+        isCancelled = true;
         Channel open = channel;
         if (open == null) {
             return;
@@ -175,8 +178,8 @@
         open.eventLoop()
                 .execute(
                         () -> {
-                            if (!done) {
-                                fail(new CancellationException("cancelled"), true);
+                            if (!isDone) {
+                                fail(new CancellationException("the call was cancelled"), true);
                                 open.close();
                             }
                         });
--- a/http/src/main/java/org/sardinelift/http/HttpAnswer.java
+++ b/http/src/main/java/org/sardinelift/http/HttpAnswer.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A whole answer.
+ * A complete response.
  *
  * @param status HTTP status code
  * @param headers headers in order
@@ -18,7 +18,7 @@
      * First value of a header.
      *
      * @param name header name, any case
-     * @return its value, or null where it is absent
+     * @return its value, or null if it is absent
      */
     public @Nullable String header(String name) {
         return headers.stream()
--- a/http/src/main/java/org/sardinelift/http/HttpAnswerListener.java
+++ b/http/src/main/java/org/sardinelift/http/HttpAnswerListener.java
@@ -4,34 +4,34 @@
 import java.util.Map;
 
 /**
- * Receives an answer as it comes, on one event loop. Exactly one of {@link #onEnd} and {@link
+ * Receives a response as it arrives, on one event loop. Exactly one of {@link #onEnd} and {@link
  * #onFailure} comes last.
  */
 public interface HttpAnswerListener {
 
     /**
-     * Status and headers.
+     * Called with the status and headers.
      *
      * @param status HTTP status code
-     * @param headers answer headers in order
+     * @param headers response headers in order
      */
     void onHead(int status, List<Map.Entry<String, String>> headers);
 
     /**
-     * A part of the body.
+     * Called with a part of the body.
      *
      * @param part body bytes
      */
     void onData(byte[] part);
 
-    /** The whole answer has come. */
+    /** Called when the response is complete. */
     void onEnd();
 
     /**
-     * The call failed.
+     * Called when the call has failed.
      *
-     * @param cause what was wrong
-     * @param mayHaveRun false only where no byte of the request was written
+     * @param cause cause of the failure
+     * @param mayHaveRun false only if no byte of the request was written
      */
     void onFailure(Throwable cause, boolean mayHaveRun);
 }
--- a/http/src/main/java/org/sardinelift/http/HttpCall.java
+++ b/http/src/main/java/org/sardinelift/http/HttpCall.java
@@ -9,14 +9,13 @@
  *
  * @param host address
  * @param port port
- * @param method method name in capitals
+ * @param method method name in upper case
  * @param uri path and query
- * @param headers request headers in order; host, unless it is among them, and content-length are
- *     added
+ * @param headers request headers in order; content-length is added, and host if absent
  * @param body body bytes, empty for none
- * @param silence longest time without any byte of the answer before the call fails
- * @param freshConnection whether an idle connection must not be used, since its peer may be about
- *     to close it
+ * @param silence maximum time without any byte of the response before the call fails
+ * @param freshConnection whether a new connection must be used, since the peer may be about to
+ *     close an idle one
  */
 public record HttpCall(
         String host,
@@ -29,15 +28,15 @@
         boolean freshConnection) {
 
     /**
-     * A request that may go over an idle connection.
+     * Creates a request that may be sent over an idle connection.
      *
      * @param host address
      * @param port port
-     * @param method method name in capitals
+     * @param method method name in upper case
      * @param uri path and query
      * @param headers request headers
      * @param body body bytes, empty for none
-     * @param silence longest time without any byte of the answer before the call fails
+     * @param silence maximum time without any byte of the response before the call fails
      * @return the request
      */
     public static HttpCall of(
--- a/http/src/main/java/org/sardinelift/http/HttpClient.java
+++ b/http/src/main/java/org/sardinelift/http/HttpClient.java
@@ -29,35 +29,38 @@
     private static final int MAX_HEADER_BYTES = 64 * 1024;
     private static final int MAX_CHUNK_BYTES = 8 * 1024;
 
-    /** A peer that states when it closes idle connections is left this much of the time. */
-    private static final double USED_SHARE_OF_KEEP_ALIVE = 0.5;
+    /**
+     * Connections are reused only within this fraction of the idle timeout that the peer states.
+     */
+    private static final double USED_KEEP_ALIVE_FRACTION = 0.5;
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long UNBOUNDED_NANOS = Long.MAX_VALUE;
-    private static final Pattern TIMEOUT = Pattern.compile("(?:timeout=)?(\\d{1,6})");
+    private static final Pattern KEEP_ALIVE_TIMEOUT = Pattern.compile("(?:timeout=)?(\\d{1,6})");
 
     private final Bootstrap bootstrap;
-    private final long longestIdleNanos;
-    private final Map<String, ConcurrentLinkedDeque<Idle>> idle = new ConcurrentHashMap<>();
+    private final long maxIdleNanos;
+    private final Map<String, ConcurrentLinkedDeque<IdleConnection>> idleConnections =
+            new ConcurrentHashMap<>();
 
-    /** A connection without a call, and the time from which it must not be used any more. */
-    private record Idle(Channel channel, long sinceNanos, long longestNanos) {
+    /** An idle connection and how long it may stay idle before it must not be reused. */
+    private record IdleConnection(Channel channel, long idleSinceNanos, long idleLimitNanos) {
         boolean isUsable() {
-            return channel.isActive() && System.nanoTime() - sinceNanos < longestNanos;
+            return channel.isActive() && System.nanoTime() - idleSinceNanos < idleLimitNanos;
         }
     }
 
-    private HttpClient(Bootstrap bootstrap, long longestIdleNanos) {
+    private HttpClient(Bootstrap bootstrap, long maxIdleNanos) {
         this.bootstrap = bootstrap;
-        this.longestIdleNanos = longestIdleNanos;
+        this.maxIdleNanos = maxIdleNanos;
     }
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
      * @param group event loops
-     * @param connectTimeout longest time to connect
-     * @param tls gives the certificates in force at each new connection, or null for plaintext
+     * @param connectTimeout maximum time to connect
+     * @param tls supplies the current certificates for each new connection, or null for plaintext
      * @return the client
      */
     public static HttpClient create(
@@ -66,22 +69,22 @@
     }
 
     /**
-     * Makes a client for plaintext that uses no connection that was idle for long.
+     * Creates a client for plaintext that doesn't reuse connections after a maximum idle time.
      *
      * @param group event loops
-     * @param connectTimeout longest time to connect
-     * @param longestIdle longest time without a call after which a connection is used again
+     * @param connectTimeout maximum time to connect
+     * @param maxIdle maximum time without a call after which a connection is still reused
      * @return the client
      */
     public static HttpClient createPlaintext(
-            EventLoopGroup group, Duration connectTimeout, Duration longestIdle) {
-        return create(group, connectTimeout, longestIdle.toNanos(), null);
+            EventLoopGroup group, Duration connectTimeout, Duration maxIdle) {
+        return create(group, connectTimeout, maxIdle.toNanos(), null);
     }
 
     private static HttpClient create(
             EventLoopGroup group,
             Duration connectTimeout,
-            long longestIdleNanos,
+            long maxIdleNanos,
             @Nullable Supplier<SslContext> tls) {
         Bootstrap bootstrap =
                 new Bootstrap()
@@ -108,19 +111,19 @@
                                                 .addLast(new ClientConnection());
                                     }
                                 });
-        return new HttpClient(bootstrap, longestIdleNanos);
+        return new HttpClient(bootstrap, maxIdleNanos);
     }
 
     /**
-     * Sends a request and passes the answer on as it comes.
+     * Sends a request and streams the response to a listener.
      *
      * @param call the request
-     * @param listener receives the answer
+     * @param listener receives the response
      * @return cancels the call when run: its connection is closed
      */
     public Runnable send(HttpCall call, HttpAnswerListener listener) {
         ClientExchange exchange = new ClientExchange(this, call, listener);
-        Channel pooled = call.freshConnection() ? null : takeIdle(call);
+        Channel pooled = call.freshConnection() ? null : pollIdle(call);
         if (pooled != null) {
             exchange.sendOver(pooled, true);
         } else {
@@ -130,13 +133,13 @@
     }
 
     /**
-     * Sends a request and gathers the whole answer.
+     * Sends a request and buffers the complete response.
      *
      * @param call the request
-     * @return the answer; fails with {@link HttpFailure} where none came
+     * @return the response; fails with {@link HttpFailure} if there is none
      */
     public CompletableFuture<HttpAnswer> call(HttpCall call) {
-        CompletableFuture<HttpAnswer> whole = new CompletableFuture<>();
+        CompletableFuture<HttpAnswer> response = new CompletableFuture<>();
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         send(
                 call,
@@ -157,15 +160,15 @@
 
                     @Override
                     public void onEnd() {
-                        whole.complete(new HttpAnswer(status, headers, body.toByteArray()));
+                        response.complete(new HttpAnswer(status, headers, body.toByteArray()));
                     }
 
                     @Override
                     public void onFailure(Throwable cause, boolean mayHaveRun) {
-                        whole.completeExceptionally(new HttpFailure(cause, mayHaveRun));
+                        response.completeExceptionally(new HttpFailure(cause, mayHaveRun));
                     }
                 });
-        return whole;
+        return response;
     }
 
     void connect(HttpCall call, ClientExchange exchange) {
@@ -181,8 +184,9 @@
     }
 
     void returnToPool(HttpCall call, Channel channel, @Nullable String keepAlive) {
-        ConcurrentLinkedDeque<Idle> pool =
-                idle.computeIfAbsent(address(call), key -> new ConcurrentLinkedDeque<>());
+        ConcurrentLinkedDeque<IdleConnection> pool =
+                idleConnections.computeIfAbsent(
+                        address(call), key -> new ConcurrentLinkedDeque<>());
         if (pool.size() >= MAX_IDLE_PER_ADDRESS) {
             pool.removeIf(entry -> !entry.channel().isActive());
         }
@@ -190,21 +194,21 @@
             channel.close();
             return;
         }
-        pool.push(new Idle(channel, System.nanoTime(), longestIdle(keepAlive)));
+        pool.push(new IdleConnection(channel, System.nanoTime(), maxIdle(keepAlive)));
     }
 
-    private long longestIdle(@Nullable String keepAlive) {
-        Matcher stated = TIMEOUT.matcher(keepAlive == null ? "" : keepAlive);
-        if (!stated.find()) {
-            return longestIdleNanos;
+    private long maxIdle(@Nullable String keepAlive) {
+        Matcher timeout = KEEP_ALIVE_TIMEOUT.matcher(keepAlive == null ? "" : keepAlive);
+        if (!timeout.find()) {
+            return maxIdleNanos;
         }
-        double seconds = Integer.parseInt(stated.group(1)) * USED_SHARE_OF_KEEP_ALIVE;
-        return Math.min(longestIdleNanos, (long) (seconds * NANOS_PER_SECOND));
+        double seconds = Integer.parseInt(timeout.group(1)) * USED_KEEP_ALIVE_FRACTION;
+        return Math.min(maxIdleNanos, (long) (seconds * NANOS_PER_SECOND));
     }
 
-    private @Nullable Channel takeIdle(HttpCall call) {
-        ConcurrentLinkedDeque<Idle> pool = idle.get(address(call));
-        Idle entry = pool == null ? null : pool.poll();
+    private @Nullable Channel pollIdle(HttpCall call) {
+        ConcurrentLinkedDeque<IdleConnection> pool = idleConnections.get(address(call));
+        IdleConnection entry = pool == null ? null : pool.poll();
         while (entry != null && !entry.isUsable()) {
             entry.channel().close();
             entry = pool.poll();
@@ -219,7 +223,7 @@
      * @param port port
      */
     public void closeIdle(String host, int port) {
-        ConcurrentLinkedDeque<Idle> pool = idle.remove(host + ":" + port);
+        ConcurrentLinkedDeque<IdleConnection> pool = idleConnections.remove(host + ":" + port);
         if (pool != null) {
             List.copyOf(pool).forEach(entry -> entry.channel().close());
         }
--- a/http/src/main/java/org/sardinelift/http/HttpExchange.java
+++ b/http/src/main/java/org/sardinelift/http/HttpExchange.java
@@ -23,7 +23,7 @@
 import java.util.function.BooleanSupplier;
 import org.jspecify.annotations.Nullable;
 
-/** One request and its answer. All methods may be called from any thread. */
+/** One request and its response. All methods may be called from any thread. */
 public final class HttpExchange {
     private final Channel channel;
     private final HttpMethod method;
@@ -31,10 +31,10 @@
     private final HttpHeaders headers;
     private final byte[] body;
     private final BooleanSupplier keepAlive;
-    private final Runnable onDone;
+    private final Runnable onResponseWritten;
     private final AtomicBoolean started = new AtomicBoolean();
     private final AtomicBoolean ended = new AtomicBoolean();
-    private volatile boolean announcedClose;
+    private volatile boolean isCloseAnnounced;
     private final Queue<ChannelFutureListener> closeListeners = new ConcurrentLinkedQueue<>();
 
     HttpExchange(
@@ -44,27 +44,27 @@
             HttpHeaders headers,
             byte[] body,
             BooleanSupplier keepAlive,
-            Runnable onDone) {
+            Runnable onResponseWritten) {
         this.channel = channel;
         this.method = method;
         this.uri = uri;
         this.headers = headers;
         this.body = body;
         this.keepAlive = keepAlive;
-        this.onDone = onDone;
+        this.onResponseWritten = onResponseWritten;
     }
 
     /**
-     * The request method.
+     * Request method.
      *
-     * @return the method's name in capitals
+     * @return name of the method in upper case
      */
     public String method() {
         return method.name();
     }
 
     /**
-     * The request target as sent, query included.
+     * Request target as sent, with the query.
      *
      * @return path and query
      */
@@ -73,7 +73,7 @@
     }
 
     /**
-     * The decoded path.
+     * Decoded path.
      *
      * @return path without query
      */
@@ -82,7 +82,7 @@
     }
 
     /**
-     * The decoded query parameters.
+     * Decoded query parameters.
      *
      * @return values by name
      */
@@ -94,7 +94,7 @@
      * First value of a query parameter.
      *
      * @param name parameter name
-     * @return its value, or null where it is absent
+     * @return its value, or null if it is absent
      */
     public @Nullable String query(String name) {
         List<String> values = query().get(name);
@@ -105,7 +105,7 @@
      * First value of a request header.
      *
      * @param name header name, any case
-     * @return its value, or null where it is absent
+     * @return its value, or null if it is absent
      */
     public @Nullable String header(String name) {
         return headers.get(name);
@@ -121,16 +121,16 @@
     }
 
     /**
-     * The whole request body.
+     * Complete request body.
      *
-     * @return body bytes, empty where there is none
+     * @return body bytes, empty if there is no body
      */
     public byte[] body() {
         return body;
     }
 
     /**
-     * The request body as text.
+     * Request body as text.
      *
      * @return body decoded as UTF-8
      */
@@ -139,24 +139,25 @@
     }
 
     /**
-     * Sends a whole answer. Does nothing once an answer was started.
+     * Sends a complete response. Does nothing if a response was already started.
      *
      * @param status HTTP status code
-     * @param answerHeaders extra headers
-     * @param answer body bytes
+     * @param responseHeaders extra headers
+     * @param responseBody body bytes
      */
-    public void respond(int status, Map<String, String> answerHeaders, byte[] answer) {
-        respond(status, List.copyOf(answerHeaders.entrySet()), answer);
+    public void respond(int status, Map<String, String> responseHeaders, byte[] responseBody) {
+        respond(status, List.copyOf(responseHeaders.entrySet()), responseBody);
     }
 
     /**
-     * Sends a whole answer. Does nothing once an answer was started.
+     * Sends a complete response. Does nothing if a response was already started.
      *
      * @param status HTTP status code
-     * @param answerHeaders headers in order, without a length
-     * @param answer body bytes
+     * @param responseHeaders headers in order, without content-length
+     * @param responseBody body bytes
      */
-    public void respond(int status, List<Map.Entry<String, String>> answerHeaders, byte[] answer) {
+    public void respond(
+            int status, List<Map.Entry<String, String>> responseHeaders, byte[] responseBody) {
         if (!started.compareAndSet(false, true)) {
             return;
         }
@@ -164,14 +165,15 @@
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
                         HttpResponseStatus.valueOf(status),
-                        Unpooled.wrappedBuffer(answer));
-        answerHeaders.forEach(header -> response.headers().add(header.getKey(), header.getValue()));
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.length);
+                        Unpooled.wrappedBuffer(responseBody));
+        responseHeaders.forEach(
+                header -> response.headers().add(header.getKey(), header.getValue()));
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, responseBody.length);
         finish(response);
     }
 
     /**
-     * Sends a whole JSON answer.
+     * Sends a complete JSON response.
      *
      * @param status HTTP status code
      * @param json body
@@ -184,37 +186,38 @@
     }
 
     /**
-     * Starts a streamed answer (chunked transfer coding).
+     * Starts a streamed response (chunked transfer coding).
      *
      * @param status HTTP status code
-     * @param answerHeaders extra headers
+     * @param responseHeaders extra headers
      */
-    public void start(int status, Map<String, String> answerHeaders) {
-        start(status, List.copyOf(answerHeaders.entrySet()));
+    public void start(int status, Map<String, String> responseHeaders) {
+        start(status, List.copyOf(responseHeaders.entrySet()));
     }
 
     /**
-     * Starts a streamed answer (chunked transfer coding).
+     * Starts a streamed response (chunked transfer coding).
      *
      * @param status HTTP status code
-     * @param answerHeaders headers in order
+     * @param responseHeaders headers in order
      */
-    public void start(int status, List<Map.Entry<String, String>> answerHeaders) {
+    public void start(int status, List<Map.Entry<String, String>> responseHeaders) {
         if (!started.compareAndSet(false, true)) {
             return;
         }
         DefaultHttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
-        answerHeaders.forEach(header -> response.headers().add(header.getKey(), header.getValue()));
+        responseHeaders.forEach(
+                header -> response.headers().add(header.getKey(), header.getValue()));
         response.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
         HttpUtil.setTransferEncodingChunked(response, true);
-        announcedClose = !keepAlive.getAsBoolean();
-        HttpUtil.setKeepAlive(response, !announcedClose);
+        isCloseAnnounced = !keepAlive.getAsBoolean();
+        HttpUtil.setKeepAlive(response, !isCloseAnnounced);
         channel.writeAndFlush(response);
     }
 
     /**
-     * Sends a part of a streamed answer.
+     * Sends a part of a streamed response.
      *
      * @param part body bytes
      */
@@ -224,14 +227,16 @@
         }
     }
 
-    /** Ends a streamed answer. */
+    /** Ends a streamed response. */
     public void end() {
         if (started.get()) {
             finish(LastHttpContent.EMPTY_LAST_CONTENT);
         }
     }
 
-    /** Closes the connection without completing the answer, so that the caller sees the cut. */
+    /**
+     * Closes the connection without completing the response, so that the caller sees it truncated.
+     */
     public void abort() {
         if (ended.compareAndSet(false, true)) {
             channel.close();
@@ -239,7 +244,7 @@
     }
 
     /**
-     * Whether an answer has been started.
+     * Whether a response was started.
      *
      * @return true once status and headers were sent
      */
@@ -257,30 +262,30 @@
     }
 
     /**
-     * Whether the caller reads as fast as the answer is written.
+     * Whether the caller reads as fast as the response is written.
      *
-     * @return false while unsent bytes exceed the connection's bound
+     * @return false while unsent bytes exceed the connection's limit
      */
     public boolean writable() {
         return channel.isWritable();
     }
 
     /**
-     * Runs an action when the connection closes before the whole answer was written.
+     * Runs an action if the connection closes before the complete response was written.
      *
-     * @param action what to do, on the event loop
+     * @param action action to run on the event loop
      */
     public void onClose(Runnable action) {
         ChannelFutureListener listener = future -> action.run();
         closeListeners.add(listener);
         channel.closeFuture().addListener(listener);
         if (ended.get()) {
-            forgetCloseListeners();
+            removeCloseListeners();
         }
     }
 
-    /** A connection may carry any number of requests; none is remembered past its answer. */
-    private void forgetCloseListeners() {
+    /** Listeners would accumulate on a connection that carries many requests. */
+    private void removeCloseListeners() {
         closeListeners.forEach(channel.closeFuture()::removeListener);
         closeListeners.clear();
     }
@@ -290,17 +295,17 @@
             return;
         }
         if (last instanceof DefaultFullHttpResponse response) {
-            announcedClose = !keepAlive.getAsBoolean();
-            HttpUtil.setKeepAlive(response, !announcedClose);
+            isCloseAnnounced = !keepAlive.getAsBoolean();
+            HttpUtil.setKeepAlive(response, !isCloseAnnounced);
         }
         channel.writeAndFlush(last)
                 .addListener(
                         future -> {
                             if (future.isSuccess()) {
-                                forgetCloseListeners();
+                                removeCloseListeners();
                             }
-                            onDone.run();
-                            if (announcedClose) {
+                            onResponseWritten.run();
+                            if (isCloseAnnounced) {
                                 channel.close();
                             }
                         })
--- a/http/src/main/java/org/sardinelift/http/HttpFailure.java
+++ b/http/src/main/java/org/sardinelift/http/HttpFailure.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A call that got no whole answer. */
+/** Thrown when a call got no complete response. */
 public final class HttpFailure extends IOException {
     private final boolean mayHaveRun;
 
@@ -12,9 +12,9 @@
     }
 
     /**
-     * Whether the other end may have acted on the request.
+     * Whether the peer may have acted on the request.
      *
-     * @return false only where no byte of the request was written
+     * @return false only if no byte of the request was written
      */
     public boolean mayHaveRun() {
         return mayHaveRun;
--- a/http/src/main/java/org/sardinelift/http/HttpHandler.java
+++ b/http/src/main/java/org/sardinelift/http/HttpHandler.java
@@ -1,13 +1,13 @@
 package org.sardinelift.http;
 
-/** Answers requests; called on the connection's event loop, so it must not block. */
+/** Handles requests; called on the connection's event loop, so it must not block. */
 @FunctionalInterface
 public interface HttpHandler {
 
     /**
-     * Answers one request, now or later, from any thread.
+     * Handles one request; the response may be sent now or later, from any thread.
      *
-     * @param exchange the request and the means to answer it
+     * @param exchange the request, with methods to respond
      */
     void handle(HttpExchange exchange);
 }
--- a/http/src/main/java/org/sardinelift/http/HttpServer.java
+++ b/http/src/main/java/org/sardinelift/http/HttpServer.java
@@ -16,7 +16,7 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 
-/** A bound HTTP/1.1 port. */
+/** HTTP/1.1 server on a bound port. */
 public final class HttpServer implements AutoCloseable {
     private final Channel channel;
     private final ChannelGroup connections;
@@ -33,12 +33,12 @@
      *
      * @param group event loops
      * @param host address to bind
-     * @param port port to bind, 0 for any
-     * @param limits bounds
-     * @param tls gives the certificates in force at each new connection, or null for plaintext
-     * @param handler answers the requests
+     * @param port port to bind, 0 for a free one
+     * @param limits limits of requests and connections
+     * @param tls supplies the current certificates for each new connection, or null for plaintext
+     * @param handler handles the requests
      * @return the bound server
-     * @throws java.net.BindException where the address is taken; choose another in the settings
+     * @throws java.net.BindException if the address is in use; choose another in the settings
      */
     public static HttpServer start(
             EventLoopGroup group,
@@ -52,17 +52,17 @@
     }
 
     /**
-     * Binds a port and serves it under bounds that may change; a connection keeps the bounds of its
-     * headers that held when it was opened.
+     * Binds a port and serves it with limits that may change. The limits of request lines and
+     * headers are fixed per connection when it is opened.
      *
      * @param group event loops
      * @param host address to bind
-     * @param port port to bind, 0 for any
-     * @param limits gives the bounds in force
-     * @param tls gives the certificates in force at each new connection, or null for plaintext
-     * @param handler answers the requests
+     * @param port port to bind, 0 for a free one
+     * @param limits supplies the current limits
+     * @param tls supplies the current certificates for each new connection, or null for plaintext
+     * @param handler handles the requests
      * @return the bound server
-     * @throws java.net.BindException where the address is taken; choose another in the settings
+     * @throws java.net.BindException if the address is in use; choose another in the settings
      */
     public static HttpServer start(
             EventLoopGroup group,
@@ -100,8 +100,8 @@
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel channel) {
-                HttpLimits now = limits.get();
-                if (connections.size() >= now.maxConnections()) {
+                HttpLimits currentLimits = limits.get();
+                if (connections.size() >= currentLimits.maxConnections()) {
                     channel.close();
                     return;
                 }
@@ -111,14 +111,17 @@
                 }
                 channel.pipeline()
                         .addLast(
-                                new HttpServerCodec(now.maxLineBytes(), now.maxHeaderBytes(), 8192))
+                                new HttpServerCodec(
+                                        currentLimits.maxLineBytes(),
+                                        currentLimits.maxHeaderBytes(),
+                                        8192))
                         .addLast(new ServerConnection(limits, handler, state));
             }
         };
     }
 
     /**
-     * The port that was bound.
+     * Port that was bound.
      *
      * @return port number
      */
@@ -127,29 +130,29 @@
     }
 
     /**
-     * Connections open now.
+     * Number of open connections.
      *
-     * @return their number
+     * @return number of connections
      */
     public int connections() {
         return connections.size();
     }
 
     /**
-     * Requests whose answers have not been written whole.
+     * Number of requests whose responses have not been written completely.
      *
-     * @return their number
+     * @return number of requests
      */
     public int answersDue() {
         return state.pendingResponses.get();
     }
 
-    /** Has every answer from now on announce that its connection closes after it. */
+    /** Makes every further response announce that its connection closes after it. */
     public void announceClose() {
         state.isClosing = true;
     }
 
-    /** Closes the connections on which no request is under way, in whole or in part. */
+    /** Closes the connections that have no request in progress, not even a partly received one. */
     public void closeIdle() {
         connections.forEach(
                 connection ->
@@ -163,12 +166,12 @@
                                                         .closeIfIdle()));
     }
 
-    /** Stops accepting connections; open ones go on. */
+    /** Stops accepting connections; open ones stay open. */
     public void stopAccepting() {
         channel.close().awaitUninterruptibly();
     }
 
-    /** Stops accepting and closes every connection. */
+    /** Stops accepting connections and closes all open ones. */
     @Override
     public void close() {
         channel.close().awaitUninterruptibly();
--- a/http/src/main/java/org/sardinelift/http/ServerConnection.java
+++ b/http/src/main/java/org/sardinelift/http/ServerConnection.java
@@ -28,8 +28,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One caller's connection: gathers a request within the bounds, hands it on, and takes the next one
- * only when the answer has been written, so that pipelined requests are answered in order.
+ * One caller's connection: buffers a request within the limits and passes it to the handler. The
+ * next request is read only after the response was written, so that pipelined requests are answered
+ * in order.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
     private static final String REQUEST_ID = "x-request-id";
@@ -42,8 +43,8 @@
     private @Nullable CompositeByteBuf body;
     private @Nullable ScheduledFuture<?> timer;
     private final Deque<Object> pipelined = new ArrayDeque<>();
-    private boolean answering;
-    private boolean refused;
+    private boolean isResponding;
+    private boolean isRefused;
 
     ServerConnection(Supplier<HttpLimits> limits, HttpHandler handler, ServerState state) {
         this.state = state;
@@ -60,7 +61,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        noteAnswered();
+        endResponse();
         cancelTimer();
         releaseBody();
         pipelined.forEach(ReferenceCountUtil::release);
@@ -69,22 +70,22 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (answering) {
+        if (isResponding) {
             pipelined.add(message);
             return;
         }
-        take(context, message);
+        readMessage(context, message);
     }
 
-    private void take(ChannelHandlerContext context, Object message) {
+    private void readMessage(ChannelHandlerContext context, Object message) {
         try {
-            if (refused) {
+            if (isRefused) {
                 return;
             }
             if (message instanceof HttpRequest head) {
                 onHead(context, head);
             }
-            if (message instanceof HttpContent content && !refused) {
+            if (message instanceof HttpContent content && !isRefused) {
                 onContent(context, content);
             }
         } finally {
@@ -94,8 +95,8 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        // Reading goes on during an answer, so that a close is noticed, but not past a request
-        // that was pipelined behind it.
+        // Reading continues while a response is written, to detect a close, but stops at a
+        // pipelined request.
         if (pipelined.isEmpty()) {
             context.read();
         }
@@ -134,7 +135,7 @@
             return;
         }
         if (content.decoderResult().isFailure()) {
-            refuseMalformed(context, "the body is not framed as HTTP/1.1 asks");
+            refuseMalformed(context, "the body is not framed according to HTTP/1.1");
             return;
         }
         body.addComponent(true, content.content().retain());
@@ -147,11 +148,12 @@
         }
     }
 
-    private void dispatch(ChannelHandlerContext context, HttpRequest head, CompositeByteBuf whole) {
+    private void dispatch(
+            ChannelHandlerContext context, HttpRequest head, CompositeByteBuf requestBody) {
         cancelTimer();
-        answering = true;
+        isResponding = true;
         state.pendingResponses.incrementAndGet();
-        byte[] bytes = ByteBufUtil.getBytes(whole);
+        byte[] bodyBytes = ByteBufUtil.getBytes(requestBody);
         releaseBody();
         request = null;
         HttpExchange exchange =
@@ -160,33 +162,33 @@
                         head.method(),
                         head.uri(),
                         head.headers(),
-                        bytes,
+                        bodyBytes,
                         () -> HttpUtil.isKeepAlive(head) && !state.isClosing,
-                        () -> context.executor().execute(() -> onAnswered(context)));
+                        () -> context.executor().execute(() -> onResponseWritten(context)));
         handler.handle(exchange);
     }
 
-    private void onAnswered(ChannelHandlerContext context) {
-        noteAnswered();
+    private void onResponseWritten(ChannelHandlerContext context) {
+        endResponse();
         schedule(context, limits.get().idleTimeout(), false);
-        while (!answering && !pipelined.isEmpty()) {
-            take(context, pipelined.poll());
+        while (!isResponding && !pipelined.isEmpty()) {
+            readMessage(context, pipelined.poll());
         }
         if (pipelined.isEmpty()) {
             context.read();
         }
     }
 
-    private void noteAnswered() {
-        if (answering) {
-            answering = false;
+    private void endResponse() {
+        if (isResponding) {
+            isResponding = false;
             state.pendingResponses.decrementAndGet();
         }
     }
 
-    /** Called on the event loop of the connection. */
+    /** Must be called on the connection's event loop. */
     void closeIfIdle() {
-        if (connection != null && !answering && request == null) {
+        if (connection != null && !isResponding && request == null) {
             connection.close();
         }
     }
@@ -215,7 +217,7 @@
     private void refuse(
             ChannelHandlerContext context, int status, String kind, String detail, String remedy) {
         String requestId = UUID.randomUUID().toString();
-        refused = true;
+        isRefused = true;
         releaseBody();
         cancelTimer();
         String problem =
@@ -247,23 +249,23 @@
         context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    private void schedule(ChannelHandlerContext context, Duration after, boolean midRequest) {
+    private void schedule(ChannelHandlerContext context, Duration after, boolean isMidRequest) {
         cancelTimer();
         timer =
                 context.executor()
                         .schedule(
-                                () -> onTimeout(context, midRequest),
+                                () -> onTimeout(context, isMidRequest),
                                 after.toMillis(),
                                 TimeUnit.MILLISECONDS);
     }
 
-    private void onTimeout(ChannelHandlerContext context, boolean midRequest) {
-        if (midRequest) {
+    private void onTimeout(ChannelHandlerContext context, boolean isMidRequest) {
+        if (isMidRequest) {
             refuse(
                     context,
                     408,
                     "request_timeout",
-                    "the request was not whole within "
+                    "the request did not arrive completely within "
                             + limits.get().headTimeout().toMillis()
                             + " ms",
                     "Send the whole request without pauses.");
--- a/http/src/main/java/org/sardinelift/http/ServerState.java
+++ b/http/src/main/java/org/sardinelift/http/ServerState.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** What the connections of one server have in common. */
+/** State that the connections of one server share. */
 final class ServerState {
     final AtomicInteger pendingResponses = new AtomicInteger();
     volatile boolean isClosing;
--- a/http/src/test/java/org/sardinelift/http/HttpClientTest.java
+++ b/http/src/test/java/org/sardinelift/http/HttpClientTest.java
@@ -20,10 +20,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The client against a peer that misbehaves. */
+/** The client's handling of peers that violate HTTP, reset, or respond early. */
 class HttpClientTest {
-    private static final String WHOLE = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-    private static final Duration SILENCE = Duration.ofSeconds(5);
+    private static final String COMPLETE_RESPONSE =
+            "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+    private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(5);
 
     private final List<String> requests = new CopyOnWriteArrayList<>();
     private MultiThreadIoEventLoopGroup group;
@@ -41,12 +42,12 @@
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS);
     }
 
-    /** What the peer does with one connection. */
+    /** Behaviour of the peer on one connection. */
     private interface Session {
         void serve(Socket socket, InputStream in) throws IOException;
     }
 
-    /** Serves each connection in a thread of its own, in the order of the sessions. */
+    /** Serves one connection per session, in order, each in its own thread. */
     private void serve(Session... sessions) {
         start(
                 () -> {
@@ -62,7 +63,7 @@
                 });
     }
 
-    /** A task of a peer; its connection may be closed under it at any time. */
+    /** A task of the peer; its connection may be closed at any time. */
     private interface Task {
         void run() throws IOException;
     }
@@ -97,13 +98,21 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private HttpClient client(Duration longestIdle) {
-        return HttpClient.createPlaintext(group, Duration.ofSeconds(1), longestIdle);
+    private HttpClient client(Duration maxIdle) {
+        return HttpClient.createPlaintext(group, Duration.ofSeconds(1), maxIdle);
     }
 
-    private HttpCall call(boolean fresh, List<Map.Entry<String, String>> headers, byte[] body) {
+    private HttpCall call(
+            boolean freshConnection, List<Map.Entry<String, String>> headers, byte[] body) {
         return new HttpCall(
-                "127.0.0.1", peer.getLocalPort(), "POST", "/a", headers, body, SILENCE, fresh);
+                "127.0.0.1",
+                peer.getLocalPort(),
+                "POST",
+                "/a",
+                headers,
+                body,
+                SILENCE_TIMEOUT,
+                freshConnection);
     }
 
     private HttpCall call() {
@@ -115,31 +124,31 @@
         serve(
                 (socket, in) -> {
                     readHead(in);
-                    write(socket, WHOLE);
+                    write(socket, COMPLETE_RESPONSE);
                     in.read();
                 });
         List<Map.Entry<String, String>> headers =
                 List.of(Map.entry("Host", "a.example"), Map.entry("X", "1"), Map.entry("X", "2"));
 
-        client(SILENCE).call(call(false, headers, new byte[0])).join();
+        client(SILENCE_TIMEOUT).call(call(false, headers, new byte[0])).join();
 
         assertTrue(
                 requests.get(0).contains("Host: a.example\r\nX: 1\r\nX: 2\r\n"), requests.get(0));
     }
 
     @Test
-    void takesAnAnswerWithoutLengthWhenItsConnectionEnds() {
+    void completesAResponseWithoutLengthWhenItsConnectionEnds() {
         serve(
                 (socket, in) -> {
                     readHead(in);
                     write(socket, "HTTP/1.1 200 OK\r\n\r\nwhole");
                 });
 
-        assertEquals("whole", client(SILENCE).call(call()).join().text());
+        assertEquals("whole", client(SILENCE_TIMEOUT).call(call()).join().text());
     }
 
     @Test
-    void failsAnAnswerWithoutLengthWhoseConnectionIsReset() {
+    void failsAResponseWithoutLengthWhoseConnectionIsReset() {
         serve(
                 (socket, in) -> {
                     readHead(in);
@@ -147,11 +156,11 @@
                     socket.setSoLinger(true, 0);
                 });
 
-        assertThrows(CompletionException.class, () -> client(SILENCE).call(call()).join());
+        assertThrows(CompletionException.class, () -> client(SILENCE_TIMEOUT).call(call()).join());
     }
 
     @Test
-    void failsBytesThatAreNoAnswer() {
+    void failsOnBytesThatAreNoResponse() {
         serve(
                 (socket, in) -> {
                     readHead(in);
@@ -159,18 +168,18 @@
                     in.read();
                 });
 
-        assertThrows(CompletionException.class, () -> client(SILENCE).call(call()).join());
+        assertThrows(CompletionException.class, () -> client(SILENCE_TIMEOUT).call(call()).join());
     }
 
     @Test
-    void doesNotReuseAConnectionIdleForTooLong() {
-        Session once =
+    void doesNotReuseAConnectionPastItsMaximumIdleTime() {
+        Session respondOnce =
                 (socket, in) -> {
                     readHead(in);
-                    write(socket, WHOLE);
+                    write(socket, COMPLETE_RESPONSE);
                     in.read();
                 };
-        serve(once, once);
+        serve(respondOnce, respondOnce);
         HttpClient client = client(Duration.ZERO);
 
         client.call(call()).join();
@@ -179,8 +188,8 @@
     }
 
     @Test
-    void goesByTheIdleTimeThatThePeerStates() {
-        Session once =
+    void respectsTheIdleTimeoutThatThePeerStates() {
+        Session respondOnce =
                 (socket, in) -> {
                     readHead(in);
                     write(
@@ -189,8 +198,8 @@
                                     + "content-length: 2\r\n\r\nok");
                     in.read();
                 };
-        serve(once, once);
-        HttpClient client = client(SILENCE);
+        serve(respondOnce, respondOnce);
+        HttpClient client = client(SILENCE_TIMEOUT);
 
         client.call(call()).join();
 
@@ -198,32 +207,32 @@
     }
 
     @Test
-    void opensAFreshConnectionWhereOneIsAskedFor() {
-        Session once =
+    void opensANewConnectionIfTheCallRequiresOne() {
+        Session respondOnce =
                 (socket, in) -> {
                     readHead(in);
-                    write(socket, WHOLE);
+                    write(socket, COMPLETE_RESPONSE);
                     in.read();
                 };
-        serve(once, once);
-        HttpClient client = client(SILENCE);
+        serve(respondOnce, respondOnce);
+        HttpClient client = client(SILENCE_TIMEOUT);
 
         client.call(call()).join();
 
         assertEquals("ok", client.call(call(true, List.of(), new byte[0])).join().text());
     }
 
-    /** The rest of the body would be taken for the next request. */
+    /** The peer would read the next request as the rest of the body. */
     @Test
-    void doesNotReuseAConnectionAnsweredBeforeTheBodyWasWritten() {
-        Session early =
+    void doesNotReuseAConnectionWhoseResponsePrecededTheEndOfTheBody() {
+        Session respondEarly =
                 (socket, in) -> {
                     socket.setReceiveBufferSize(1024);
                     readHead(in);
-                    write(socket, WHOLE);
+                    write(socket, COMPLETE_RESPONSE);
                     byte[] rest = new byte[1024];
                     while (in.read(rest) >= 0) {
-                        // Drains what is still sent.
+                        // Drains the rest of the body.
                     }
                 };
         Session second =
@@ -231,8 +240,8 @@
                     readHead(in);
                     write(socket, "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\ntwo");
                 };
-        serve(early, second);
-        HttpClient client = client(SILENCE);
+        serve(respondEarly, second);
+        HttpClient client = client(SILENCE_TIMEOUT);
 
         client.call(call(false, List.of(), new byte[16 * 1024 * 1024])).join();
 
--- a/http/src/test/java/org/sardinelift/http/HttpServerTest.java
+++ b/http/src/test/java/org/sardinelift/http/HttpServerTest.java
@@ -25,7 +25,7 @@
     private static final HttpLimits LIMITS =
             new HttpLimits(256, 512, 64, 3, Duration.ofMillis(200), Duration.ofSeconds(30));
 
-    private final CountDownLatch callerGone = new CountDownLatch(1);
+    private final CountDownLatch callerDisconnected = new CountDownLatch(1);
     private EventLoopGroup group;
     private HttpServer server;
     private HttpClient client;
@@ -33,7 +33,7 @@
     @BeforeEach
     void start() throws IOException {
         group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-        server = HttpServer.start(group, "127.0.0.1", 0, LIMITS, null, this::answer);
+        server = HttpServer.start(group, "127.0.0.1", 0, LIMITS, null, this::handle);
         client = HttpClient.create(group, Duration.ofSeconds(2), null);
     }
 
@@ -43,9 +43,9 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private void answer(HttpExchange exchange) {
+    private void handle(HttpExchange exchange) {
         if (exchange.path().equals("/hang")) {
-            exchange.onClose(callerGone::countDown);
+            exchange.onClose(callerDisconnected::countDown);
             return;
         }
         if (exchange.path().equals("/stream")) {
@@ -79,77 +79,77 @@
     }
 
     @Test
-    void answersWholeAndStreamedRequests() {
+    void sendsCompleteAndStreamedResponses() {
         assertEquals("/abody", client.call(call("POST", "/a", "body")).join().text());
         assertEquals("one,two", client.call(call("GET", "/stream", "")).join().text());
     }
 
     @Test
     void answersPipelinedRequestsInOrder() throws IOException {
-        String answers =
+        String responses =
                 raw(
                         "GET /first HTTP/1.1\r\nhost: x\r\n\r\n"
                                 + "GET /stream HTTP/1.1\r\nhost: x\r\n\r\n"
                                 + "GET /third HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
 
-        int first = answers.indexOf("/first");
-        int second = answers.indexOf("one,");
-        int third = answers.indexOf("/third");
-        assertTrue(first > 0 && second > first && third > second, answers);
+        int first = responses.indexOf("/first");
+        int second = responses.indexOf("one,");
+        int third = responses.indexOf("/third");
+        assertTrue(first > 0 && second > first && third > second, responses);
     }
 
     @Test
     void refusesOversizedBody() throws IOException {
-        String answer = raw("POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 65\r\n\r\n");
+        String response = raw("POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 65\r\n\r\n");
 
-        assertTrue(answer.startsWith("HTTP/1.1 413"), answer);
-        assertTrue(answer.contains("\"outcome\":\"not_run\""), answer);
+        assertTrue(response.startsWith("HTTP/1.1 413"), response);
+        assertTrue(response.contains("\"outcome\":\"not_run\""), response);
     }
 
     @Test
     void refusesOversizedChunkedBody() throws IOException {
         String chunk = "30\r\n" + "x".repeat(48) + "\r\n";
-        String answer =
+        String response =
                 raw(
                         "POST /a HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n"
                                 + chunk
                                 + chunk);
 
-        assertTrue(answer.startsWith("HTTP/1.1 413"), answer);
+        assertTrue(response.startsWith("HTTP/1.1 413"), response);
     }
 
     @Test
     void refusesMalformedRequest() throws IOException {
-        String answer = raw("NOT HTTP AT ALL\r\n\r\n");
+        String response = raw("NOT HTTP AT ALL\r\n\r\n");
 
-        assertTrue(answer.startsWith("HTTP/1.1 400"), answer);
+        assertTrue(response.startsWith("HTTP/1.1 400"), response);
     }
 
     @Test
     void refusesOversizedHeaders() throws IOException {
-        String answer = raw("GET / HTTP/1.1\r\nhost: " + "x".repeat(600) + "\r\n\r\n");
+        String response = raw("GET / HTTP/1.1\r\nhost: " + "x".repeat(600) + "\r\n\r\n");
 
-        assertTrue(answer.startsWith("HTTP/1.1 431"), answer);
+        assertTrue(response.startsWith("HTTP/1.1 431"), response);
     }
 
     @Test
     void refusesRequestWithoutHost() throws IOException {
-        String answer = raw("GET / HTTP/1.1\r\n\r\n");
+        String response = raw("GET / HTTP/1.1\r\n\r\n");
 
-        assertTrue(answer.startsWith("HTTP/1.1 400"), answer);
+        assertTrue(response.startsWith("HTTP/1.1 400"), response);
     }
 
     @Test
-    void answersAnnounceTheCloseOnceItIsAskedFor() throws IOException {
+    void responsesAnnounceTheCloseAfterAnnounceClose() throws IOException {
         server.announceClose();
 
-        String answers = raw("GET /a HTTP/1.1\r\nhost: x\r\n\r\n");
+        String responses = raw("GET /a HTTP/1.1\r\nhost: x\r\n\r\n");
 
-        assertTrue(answers.contains("connection: close"), answers);
+        assertTrue(responses.contains("connection: close"), responses);
     }
 
     @Test
-    void closesConnectionsWithoutRequestsOnly() throws IOException {
+    void closesOnlyConnectionsWithoutRequests() throws IOException {
         try (Socket idle = new Socket("127.0.0.1", server.port());
                 Socket busy = new Socket("127.0.0.1", server.port())) {
             String head = "POST /a HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\n";
@@ -166,23 +166,25 @@
 
     @Test
     void refusesSlowSender() throws IOException {
-        String answer = raw("POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nabc");
+        String response = raw("POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nabc");
 
-        assertTrue(answer.startsWith("HTTP/1.1 408"), answer);
+        assertTrue(response.startsWith("HTTP/1.1 408"), response);
     }
 
     @Test
-    void noticesCallerThatGoesAway() throws Exception {
+    void detectsACallerThatDisconnects() throws Exception {
         try (Socket socket = new Socket("127.0.0.1", server.port())) {
             socket.getOutputStream().write("GET /hang HTTP/1.1\r\nhost: x\r\n\r\n".getBytes());
         }
 
-        assertTrue(callerGone.await(5, TimeUnit.SECONDS));
+        assertTrue(callerDisconnected.await(5, TimeUnit.SECONDS));
     }
 
-    /** A long silence bound once held every answered call in memory until the bound had passed. */
+    /**
+     * The timer of a long silence timeout would keep every answered call in memory until it fires.
+     */
     @Test
-    void anAnsweredCallIsNotHeldByItsSilenceTimer() {
+    void answeredCallIsNotKeptInMemoryByItsSilenceTimer() {
         WeakReference<byte[]> body = answeredCall();
 
         Awaitility.await()
@@ -195,9 +197,16 @@
 
     private WeakReference<byte[]> answeredCall() {
         byte[] body = new byte[8];
-        Duration longSilence = Duration.ofMinutes(10);
+        Duration longSilenceTimeout = Duration.ofMinutes(10);
         HttpCall call =
-                HttpCall.of("127.0.0.1", server.port(), "POST", "/a", Map.of(), body, longSilence);
+                HttpCall.of(
+                        "127.0.0.1",
+                        server.port(),
+                        "POST",
+                        "/a",
+                        Map.of(),
+                        body,
+                        longSilenceTimeout);
         CountDownLatch ended = new CountDownLatch(1);
         client.send(
                 call,
