--- a/runtime/src/main/java/org/sardinelift/runtime/ControlThread.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/ControlThread.java
@@ -12,9 +12,9 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-/** The one thread that owns control state; others hand it tasks. */
+/** Thread that owns control state; other threads submit tasks to it. */
 public final class ControlThread implements AutoCloseable {
-    private static final long LONGEST_PARK_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long MAX_PARK_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
     private static final int MAX_TASKS_PER_CYCLE = 256;
 
     private final ManyToOneConcurrentLinkedQueue<Runnable> tasks =
@@ -22,11 +22,13 @@
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final AgentRunner runner;
     private volatile @Nullable Thread thread;
-    private volatile boolean parked;
+    private volatile boolean isParked;
     private long sequence;
 
     private ControlThread(String name) {
-        runner = new AgentRunner(new Park(), this::onError, null, new Cycle(name));
+        runner =
+                new AgentRunner(
+                        new ParkingIdleStrategy(), this::onError, null, new TaskAgent(name));
     }
 
     /**
@@ -59,9 +61,9 @@
     }
 
     /**
-     * Runs a task on the control thread, after those handed over before.
+     * Runs a task on the control thread, after those submitted earlier.
      *
-     * @param task what to run; an exception is logged and the thread goes on
+     * @param task task to run; an exception is logged and the thread continues
      */
     public void execute(Runnable task) {
         tasks.offer(task);
@@ -72,7 +74,7 @@
      * Runs a task once, later.
      *
      * @param delay time to wait
-     * @param task what to run
+     * @param task task to run
      */
     public void schedule(Duration delay, Runnable task) {
         long deadline = System.nanoTime() + delay.toNanos();
@@ -80,10 +82,10 @@
     }
 
     /**
-     * Runs a task again and again, the given time after each run has ended.
+     * Runs a task repeatedly, the given time after the end of each run.
      *
      * @param period time between runs
-     * @param task what to run
+     * @param task task to run
      */
     public void repeat(Duration period, Runnable task) {
         schedule(
@@ -106,20 +108,22 @@
         return Thread.currentThread() == thread;
     }
 
-    /** Stops the thread; tasks not yet run are dropped. */
+    /** Stops the thread; tasks that have not run are dropped. */
     @Override
     public void close() {
         runner.close();
     }
 
     private void wake() {
-        if (parked) {
+        if (isParked) {
             LockSupport.unpark(thread);
         }
     }
 
     private void onError(Throwable error) {
-        Logger.error(error, "A control task failed; the control thread goes on with the next");
+        Logger.error(
+                error,
+                "A task of the control thread failed; the thread continues with the next one");
     }
 
     private void run(Runnable task) {
@@ -134,15 +138,15 @@
             implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
-            int byTime = Long.signum(deadlineNanos - other.deadlineNanos);
-            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
+            int byDeadline = Long.signum(deadlineNanos - other.deadlineNanos);
+            return byDeadline != 0 ? byDeadline : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final class Cycle implements Agent {
+    private final class TaskAgent implements Agent {
         private final String name;
 
-        Cycle(String name) {
+        TaskAgent(String name) {
             this.name = name;
         }
 
@@ -172,8 +176,8 @@
         }
     }
 
-    /** Parks until the next timer is due or a task is handed over. */
-    private final class Park implements IdleStrategy {
+    /** Parks until the next timer is due or a task is submitted. */
+    private final class ParkingIdleStrategy implements IdleStrategy {
         @Override
         public void idle(int workCount) {
             if (workCount == 0) {
@@ -186,14 +190,13 @@
             Timer next = timers.peek();
             long nanos =
                     next == null
-                            ? LONGEST_PARK_NANOS
-                            : Math.min(
-                                    LONGEST_PARK_NANOS, next.deadlineNanos() - System.nanoTime());
-            parked = true;
+                            ? MAX_PARK_NANOS
+                            : Math.min(MAX_PARK_NANOS, next.deadlineNanos() - System.nanoTime());
+            isParked = true;
             if (tasks.isEmpty() && nanos > 0) {
                 LockSupport.parkNanos(nanos);
             }
-            parked = false;
+            isParked = false;
         }
 
         @Override
--- a/runtime/src/main/java/org/sardinelift/runtime/JsonLinesSpanExporter.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/JsonLinesSpanExporter.java
@@ -13,7 +13,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Collection;
 
-/** Writes each span as one JSON line. */
+/** Span exporter that appends each span to a file as one line of JSON. */
 final class JsonLinesSpanExporter implements SpanExporter {
     private final ObjectMapper mapper = new ObjectMapper();
     private final BufferedWriter writer;
--- a/runtime/src/main/java/org/sardinelift/runtime/Metrics.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/Metrics.java
@@ -6,7 +6,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** The process's metrics in the Prometheus text format, version 0.0.4. */
+/** Exposes the process's metrics in the Prometheus text format, version 0.0.4. */
 public final class Metrics {
     /** Content type of {@link #text()}. */
     public static final String CONTENT_TYPE = PrometheusTextFormatWriter.CONTENT_TYPE;
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Writes all metrics of the default registry.
+     * Formats all metrics of the default registry.
      *
      * @return the text
      */
@@ -29,7 +29,7 @@
             PrometheusTextFormatWriter.create()
                     .write(out, PrometheusRegistry.defaultRegistry.scrape());
         } catch (IOException e) {
-            throw new IllegalStateException("a byte array takes every byte", e);
+            throw new IllegalStateException("writing to a byte array can't fail", e);
         }
         return out.toByteArray();
     }
--- a/runtime/src/main/java/org/sardinelift/runtime/OneShotTimer.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/OneShotTimer.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * Runs one task on a control thread when it is due, and only then. Setting it to an earlier time
- * moves it; to a later time does nothing. All methods are called on the control thread.
+ * Timer that runs one task on a control thread when it is due. Setting it to an earlier time moves
+ * it; setting it to a later time has no effect. All methods must be called on the control thread.
  */
 public final class OneShotTimer {
     private final ControlThread control;
     private final Runnable task;
-    private boolean set;
+    private boolean isSet;
     private long dueNanos;
 
     private OneShotTimer(ControlThread control, Runnable task) {
@@ -18,35 +18,35 @@
     }
 
     /**
-     * Makes an alarm that is not set.
+     * Creates a timer that is not set.
      *
-     * @param control the thread that runs the task
-     * @param task what to run; it may set the alarm again
-     * @return the alarm
+     * @param control thread that runs the task
+     * @param task task to run; it may set the timer again
+     * @return the timer
      */
     public static OneShotTimer of(ControlThread control, Runnable task) {
         return new OneShotTimer(control, task);
     }
 
     /**
-     * Has the task run once after a time at the latest.
+     * Sets the timer to run the task after a delay at the latest.
      *
-     * @param delay time from now
+     * @param delay maximum delay from now
      */
     public void within(Duration delay) {
         long due = System.nanoTime() + delay.toNanos();
-        if (set && due - dueNanos >= 0) {
+        if (isSet && due - dueNanos >= 0) {
             return;
         }
-        set = true;
+        isSet = true;
         dueNanos = due;
-        control.schedule(delay, () -> fire(due));
+        control.schedule(delay, () -> runIfDue(due));
     }
 
-    /** A timer of an earlier setting finds another time and does nothing. */
-    private void fire(long due) {
-        if (set && due == dueNanos) {
-            set = false;
+    /** Runs the task, unless the timer was moved to another time since. */
+    private void runIfDue(long due) {
+        if (isSet && due == dueNanos) {
+            isSet = false;
             task.run();
         }
     }
--- a/runtime/src/main/java/org/sardinelift/runtime/Telemetry.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/Telemetry.java
@@ -19,12 +19,12 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Traces with a span for each hop, carried on as W3C trace context. */
+/** Distributed tracing: spans whose context is propagated as W3C trace context. */
 public final class Telemetry implements AutoCloseable {
     private static final int TRACEPARENT_LENGTH = 55;
     private static final int TRACE_ID_START = 3;
     private static final int SPAN_ID_START = 36;
-    private static final int FLAGS_START = 53;
+    private static final int TRACE_FLAGS_START = 53;
     private static final long CLOSE_TIMEOUT_SECONDS = 5;
 
     private final SdkTracerProvider provider;
@@ -39,9 +39,9 @@
      * Starts tracing.
      *
      * @param instance name of this instance
-     * @param file file that gets one JSON line for each span, or empty for none
+     * @param file file to which each span is appended as a line of JSON, or empty for none
      * @param otlpEndpoint URL of an OTLP collector, or empty for none
-     * @param sampleRatio share of new traces that are recorded, 0 to 1
+     * @param sampleRatio fraction of new traces that are recorded, 0 to 1
      * @return the running telemetry
      */
     public static Telemetry start(
@@ -70,22 +70,22 @@
     }
 
     /**
-     * Starts the span of one hop.
+     * Starts a span.
      *
-     * @param name name of the hop, such as {@code entry.queue}
+     * @param name name of the span, such as {@code entry.queue}
      * @param kind client, server or internal
      * @param traceparent W3C trace context of the parent, empty for a new trace
-     * @return the started span; the caller ends it
+     * @return the started span; the caller must end it
      */
     public Span hop(String name, SpanKind kind, String traceparent) {
         return tracer.spanBuilder(name).setSpanKind(kind).setParent(parse(traceparent)).startSpan();
     }
 
     /**
-     * The W3C trace context of a span, for the next hop.
+     * W3C trace context of a span, for the next process or span.
      *
-     * @param span a span
-     * @return header value, empty where no span is recorded
+     * @param span the span
+     * @return header value, empty if the span's context is invalid
      */
     public static String traceparent(Span span) {
         SpanContext context = span.getSpanContext();
@@ -107,13 +107,13 @@
         SpanContext parent =
                 SpanContext.createFromRemoteParent(
                         traceparent.substring(TRACE_ID_START, SPAN_ID_START - 1),
-                        traceparent.substring(SPAN_ID_START, FLAGS_START - 1),
-                        TraceFlags.fromHex(traceparent, FLAGS_START),
+                        traceparent.substring(SPAN_ID_START, TRACE_FLAGS_START - 1),
+                        TraceFlags.fromHex(traceparent, TRACE_FLAGS_START),
                         TraceState.getDefault());
         return parent.isValid() ? Context.root().with(Span.wrap(parent)) : Context.root();
     }
 
-    /** Writes what is left and stops. */
+    /** Exports the remaining spans and stops. */
     @Override
     public void close() {
         provider.shutdown().join(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
--- a/runtime/src/main/java/org/sardinelift/runtime/log/Event.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/Event.java
@@ -3,9 +3,9 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-/** One structured log line: a named event and the values that decided it. */
+/** Builder of one structured log line: a named event with its values. */
 public final class Event {
-    /** Begins a message that is a part of a JSON object already. */
+    /** Prefix of messages that are already JSON members; the writer adds them unquoted. */
     static final String JSON_MARKER = "\u0001";
 
     private final StringBuilder line = new StringBuilder(128);
@@ -15,7 +15,7 @@
     }
 
     /**
-     * Begins a line.
+     * Starts a line.
      *
      * @param name name of the event, such as {@code call.refused}
      * @return the line
@@ -28,12 +28,12 @@
      * Adds a text.
      *
      * @param key name of the value
-     * @param value the value; null leaves it out
+     * @param value the value; null omits it
      * @return this line
      */
     public Event with(String key, @Nullable String value) {
         if (value != null) {
-            key(key);
+            appendKey(key);
             JsonText.append(line, value);
         }
         return this;
@@ -47,37 +47,37 @@
      * @return this line
      */
     public Event with(String key, long value) {
-        key(key).append(value);
+        appendKey(key).append(value);
         return this;
     }
 
     /**
-     * Adds a truth value.
+     * Adds a boolean.
      *
      * @param key name of the value
      * @param value the value
      * @return this line
      */
     public Event with(String key, boolean value) {
-        key(key).append(value);
+        appendKey(key).append(value);
         return this;
     }
 
-    private StringBuilder key(String key) {
+    private StringBuilder appendKey(String key) {
         return line.append(",\"").append(key).append("\":");
     }
 
-    /** Logs the line: something was decided. */
+    /** Logs the line at level info: a decision or a normal event. */
     public void info() {
         Logger.info((Object) line.toString());
     }
 
-    /** Logs the line: something is wrong and the system goes on. */
+    /** Logs the line at level warn: a problem that the system handles. */
     public void warn() {
         Logger.warn((Object) line.toString());
     }
 
-    /** Logs the line: something failed that should not. */
+    /** Logs the line at level error: an unexpected failure. */
     public void error() {
         Logger.error((Object) line.toString());
     }
--- a/runtime/src/main/java/org/sardinelift/runtime/log/JsonText.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/JsonText.java
@@ -1,6 +1,6 @@
 package org.sardinelift.runtime.log;
 
-/** JSON strings (RFC 8259) for log lines. */
+/** Writes JSON strings (RFC 8259) into log lines. */
 final class JsonText {
     private static final int FIRST_PRINTABLE = 0x20;
 
@@ -14,13 +14,13 @@
         out.append('"');
     }
 
-    private static void appendChar(StringBuilder out, char next) {
-        if (next == '"' || next == '\\') {
-            out.append('\\').append(next);
-        } else if (next < FIRST_PRINTABLE) {
-            out.append(String.format("\\u%04x", (int) next));
+    private static void appendChar(StringBuilder out, char character) {
+        if (character == '"' || character == '\\') {
+            out.append('\\').append(character);
+        } else if (character < FIRST_PRINTABLE) {
+            out.append(String.format("\\u%04x", (int) character));
         } else {
-            out.append(next);
+            out.append(character);
         }
     }
 }
--- a/runtime/src/main/java/org/sardinelift/runtime/log/LineBuffer.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/LineBuffer.java
@@ -4,38 +4,39 @@
 import java.util.Deque;
 
 /**
- * Lines that wait to be written, within a rate and a number. What doesn't fit is counted and left
- * out: low levels first, since a reserve of the rate is kept for warnings and errors.
+ * Log lines that wait to be written, limited in number and, by a token bucket, in rate. Lines
+ * beyond the limits are dropped and counted, low levels first: part of the burst is reserved for
+ * warnings and errors. Thread-safe.
  */
 final class LineBuffer {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Part of the burst that only warnings and errors may use. */
-    private static final double RESERVE = 0.2;
+    /** Fraction of the burst that only warnings and errors may use. */
+    private static final double RESERVED_BURST_FRACTION = 0.2;
 
     private final double linesPerSecond;
     private final double burst;
-    private final int maxWaiting;
+    private final int maxLines;
     private final Deque<String> lines = new ArrayDeque<>();
     private double tokens;
-    private long filledAt;
+    private long refilledAtNanos;
     private long dropped;
 
-    LineBuffer(double linesPerSecond, double burst, int maxWaiting, long nowNanos) {
+    LineBuffer(double linesPerSecond, double burst, int maxLines, long nowNanos) {
         this.linesPerSecond = linesPerSecond;
         this.burst = burst;
-        this.maxWaiting = maxWaiting;
+        this.maxLines = maxLines;
         this.tokens = burst;
-        this.filledAt = nowNanos;
+        this.refilledAtNanos = nowNanos;
     }
 
-    /** Takes a line, or counts it as dropped. */
-    synchronized void add(String line, boolean important, long nowNanos) {
-        double earned = (nowNanos - filledAt) / NANOS_PER_SECOND * linesPerSecond;
-        tokens = Math.min(burst, tokens + earned);
-        filledAt = nowNanos;
-        double least = important ? 1 : 1 + burst * RESERVE;
-        if (tokens < least || lines.size() >= maxWaiting) {
+    /** Adds a line, or counts it as dropped. */
+    synchronized void add(String line, boolean isImportant, long nowNanos) {
+        double refill = (nowNanos - refilledAtNanos) / NANOS_PER_SECOND * linesPerSecond;
+        tokens = Math.min(burst, tokens + refill);
+        refilledAtNanos = nowNanos;
+        double requiredTokens = isImportant ? 1 : 1 + burst * RESERVED_BURST_FRACTION;
+        if (tokens < requiredTokens || lines.size() >= maxLines) {
             dropped++;
             return;
         }
@@ -43,7 +44,7 @@
         lines.add(line);
     }
 
-    /** Takes all waiting lines as one text, empty where there are none. */
+    /** Removes all waiting lines and returns them as one text, empty if there are none. */
     synchronized String drain() {
         StringBuilder text = new StringBuilder();
         while (!lines.isEmpty()) {
@@ -52,7 +53,7 @@
         return text.toString();
     }
 
-    /** Lines left out since the last call. */
+    /** Returns the number of lines dropped since the last call. */
     synchronized long drainDroppedCount() {
         long count = dropped;
         dropped = 0;
--- a/runtime/src/main/java/org/sardinelift/runtime/log/StructuredWriter.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/StructuredWriter.java
@@ -16,32 +16,32 @@
 import org.tinylog.writers.Writer;
 
 /**
- * Writes each log entry as one JSON object on a line of standard output, from a thread of its own:
- * whoever logs never waits for the reader of the output. Registered with tinylog as {@code
+ * Writes each log entry as one JSON object per line to standard output, from its own thread, so
+ * that logging never blocks on the reader of the output. Registered with tinylog as {@code
  * structured}.
  */
 public final class StructuredWriter implements Writer {
-    /** Lines a second on average: what one request leaves, times the requests of a busy entry. */
+    /** Average lines per second: the lines of one request times the requests of a busy entry. */
     private static final double LINES_PER_SECOND = 400;
 
-    /** Lines at once, about two seconds of a burst. */
-    private static final double BURST = 2_000;
+    /** Lines of a burst, about two seconds. */
+    private static final double BURST_LINES = 2_000;
 
-    private static final int MAX_WAITING = 10_000;
+    private static final int MAX_WAITING_LINES = 10_000;
 
-    /** Time between two writes: fewer wake-ups, and no line is lost but at a kill. */
+    /** Time between writes: saves wake-ups; only lines of this interval are lost at a kill. */
     private static final long WRITE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
     private final LineBuffer buffer =
-            new LineBuffer(LINES_PER_SECOND, BURST, MAX_WAITING, System.nanoTime());
+            new LineBuffer(LINES_PER_SECOND, BURST_LINES, MAX_WAITING_LINES, System.nanoTime());
     private final FileOutputStream out = new FileOutputStream(FileDescriptor.out);
     private final Thread thread;
-    private volatile boolean idle;
+    private volatile boolean isIdle;
 
     /**
-     * Called by tinylog.
+     * Creates the writer and starts its thread; called by tinylog.
      *
-     * @param properties settings of the writer, none
+     * @param properties settings of the writer; none are used
      */
     public StructuredWriter(Map<String, String> properties) {
         thread = new Thread(this::writeLoop, "log-writer");
@@ -56,14 +56,14 @@
 
     @Override
     public void write(LogEntry entry) {
-        boolean important = entry.getLevel().compareTo(Level.WARN) >= 0;
-        buffer.add(line(entry), important, System.nanoTime());
-        if (idle) {
+        boolean isImportant = entry.getLevel().compareTo(Level.WARN) >= 0;
+        buffer.add(format(entry), isImportant, System.nanoTime());
+        if (isIdle) {
             LockSupport.unpark(thread);
         }
     }
 
-    private static String line(LogEntry entry) {
+    private static String format(LogEntry entry) {
         StringBuilder line = new StringBuilder(128);
         line.append("{\"time\":\"").append(Instant.ofEpochMilli(System.currentTimeMillis()));
         line.append("\",\"level\":\"")
@@ -84,7 +84,7 @@
         return line.append('}').toString();
     }
 
-    /** The error and the place it comes from; a whole stack would drown the other lines. */
+    /** The error and its top stack frame; a full stack trace would hide the other lines. */
     private static String describe(Throwable error) {
         StackTraceElement[] stack = error.getStackTrace();
         return error + (stack.length == 0 ? "" : " at " + stack[0]);
@@ -94,25 +94,25 @@
         while (!Thread.currentThread().isInterrupted()) {
             writeWaiting();
             LockSupport.parkNanos(WRITE_INTERVAL_NANOS);
-            String text = text();
+            String text = drainText();
             if (text.isEmpty()) {
-                idle = true;
+                isIdle = true;
                 LockSupport.parkNanos(this, TimeUnit.SECONDS.toNanos(1));
-                idle = false;
+                isIdle = false;
             } else {
-                emit(text);
+                writeText(text);
             }
         }
     }
 
     private void writeWaiting() {
-        String text = text();
+        String text = drainText();
         if (!text.isEmpty()) {
-            emit(text);
+            writeText(text);
         }
     }
 
-    private String text() {
+    private String drainText() {
         long dropped = buffer.drainDroppedCount();
         String text = buffer.drain();
         return dropped == 0
@@ -125,17 +125,17 @@
                         + "}\n";
     }
 
-    private synchronized void emit(String text) {
+    private synchronized void writeText(String text) {
         try {
             out.write(text.getBytes(StandardCharsets.UTF_8));
         } catch (IOException ignored) {
-            // Nobody reads the output any more; there is no other place to say so.
+            // The output is closed; there is no other place to report it.
         }
     }
 
     @Override
     public void flush() {
-        // Lines are written by their own thread.
+        // The writer thread writes the lines.
     }
 
     @Override
--- a/runtime/src/main/java/org/sardinelift/runtime/log/package-info.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/package-info.java
@@ -1,4 +1,4 @@
-/** Structured log lines on standard output, bounded and never blocking. */
+/** Structured logging to standard output, with a limited rate and without blocking callers. */
 @NullMarked
 package org.sardinelift.runtime.log;
 
--- a/runtime/src/main/java/org/sardinelift/runtime/package-info.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/package-info.java
@@ -1,4 +1,4 @@
-/** What every process has: control thread, metrics, traces, drain. */
+/** Infrastructure of every process: control thread, metrics and tracing. */
 @NullMarked
 package org.sardinelift.runtime;
 
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/FileBackedValue.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/FileBackedValue.java
@@ -9,64 +9,64 @@
 import org.tinylog.Logger;
 
 /**
- * A value made from files. Files that change are read again; while they can't be read, the value
- * made last stays in force. Safe for use by several threads.
+ * A value loaded from files. Changed files are reloaded; while they can't be read, the value loaded
+ * last stays in use. Thread-safe.
  */
 final class FileBackedValue<T> {
     private final List<Path> files;
-    private final Duration recheck;
+    private final Duration recheckInterval;
     private final Loader<T> loader;
     private T value;
-    private List<String> stamps;
-    private long checkedNanos;
+    private List<String> fileVersions;
+    private long lastCheckNanos;
 
-    /** Makes the value from the files. */
+    /** Loads the value from the files. */
     interface Loader<T> {
         T load() throws IOException;
     }
 
-    private FileBackedValue(List<Path> files, Duration recheck, Loader<T> loader)
+    private FileBackedValue(List<Path> files, Duration recheckInterval, Loader<T> loader)
             throws IOException {
         this.files = files;
-        this.recheck = recheck;
+        this.recheckInterval = recheckInterval;
         this.loader = loader;
-        this.stamps = stamps();
+        this.fileVersions = fileVersions();
         this.value = load();
-        this.checkedNanos = System.nanoTime();
+        this.lastCheckNanos = System.nanoTime();
     }
 
-    static <T> FileBackedValue<T> open(List<Path> files, Duration recheck, Loader<T> loader)
+    static <T> FileBackedValue<T> open(List<Path> files, Duration recheckInterval, Loader<T> loader)
             throws IOException {
-        return new FileBackedValue<>(files, recheck, loader);
+        return new FileBackedValue<>(files, recheckInterval, loader);
     }
 
     synchronized T current() {
         long now = System.nanoTime();
-        if (now - checkedNanos >= recheck.toNanos()) {
-            checkedNanos = now;
-            reloadWhereChanged();
+        if (now - lastCheckNanos >= recheckInterval.toNanos()) {
+            lastCheckNanos = now;
+            reloadIfChanged();
         }
         return value;
     }
 
-    private void reloadWhereChanged() {
+    private void reloadIfChanged() {
         try {
-            List<String> found = stamps();
-            if (!found.equals(stamps)) {
+            List<String> currentVersions = fileVersions();
+            if (!currentVersions.equals(fileVersions)) {
                 value = load();
-                stamps = found;
-                Logger.info("The certificate {} was read again", files.get(0));
+                fileVersions = currentVersions;
+                Logger.info("Reloaded the changed certificate {}", files.get(0));
             }
         } catch (IOException e) {
-            Logger.warn("{}; the certificates read before stay in force", e.getMessage());
+            Logger.warn("{}; the certificates loaded before stay in use", e.getMessage());
         }
     }
 
-    private List<String> stamps() {
-        return files.stream().map(FileBackedValue::stamp).toList();
+    private List<String> fileVersions() {
+        return files.stream().map(FileBackedValue::fileVersion).toList();
     }
 
-    private static String stamp(Path file) {
+    private static String fileVersion(Path file) {
         try {
             return Files.getLastModifiedTime(file) + " " + Files.size(file);
         } catch (IOException e) {
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/PlaintextCheck.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/PlaintextCheck.java
@@ -5,21 +5,21 @@
 import java.net.UnknownHostException;
 import org.sardinelift.settings.SettingsNode;
 
-/** Allows a port without TLS on a loopback address only. */
+/** Checks that a port without TLS is bound to a loopback address. */
 public final class PlaintextCheck {
     private static final String LOCALHOST = "localhost";
 
     private PlaintextCheck() {}
 
     /**
-     * Records an error where a port would be open in plaintext beyond this machine.
+     * Records an error if a plaintext port would be reachable from other machines.
      *
-     * @param port the object of the port in the settings file
-     * @param host address that the port binds, empty where an error was recorded before
-     * @param tls whether the port has TLS
+     * @param port settings object of the port
+     * @param host address that the port binds, empty if an error was recorded for it
+     * @param hasTls whether the port has TLS
      */
-    public static void check(SettingsNode port, String host, boolean tls) {
-        if (!tls && !host.isEmpty() && !isLoopback(host)) {
+    public static void check(SettingsNode port, String host, boolean hasTls) {
+        if (!hasTls && !host.isEmpty() && !isLoopback(host)) {
             port.addError(
                     "tls",
                     "TLS, since " + host + " is not a loopback address",
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/ServerTlsSettings.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/ServerTlsSettings.java
@@ -10,21 +10,21 @@
 import org.sardinelift.settings.SettingsNode;
 
 /**
- * Where the certificate of a port is whose clients show none.
+ * Settings of TLS for a port whose clients need no certificates.
  *
  * @param certificate PEM file of the certificate chain
  * @param key PEM file of the private key, PKCS #8
- * @param recheckInterval time between two looks at whether a file has changed
+ * @param recheckInterval time between checks whether a file has changed
  */
 public record ServerTlsSettings(Path certificate, Path key, Duration recheckInterval) {
     private static final String[] PROTOCOLS = {"TLSv1.3", "TLSv1.2"};
     private static final int DEFAULT_RECHECK_MS = 1_000;
 
     /**
-     * Reads and checks the settings.
+     * Reads and validates the settings.
      *
      * @param node the {@code tls} object of the settings file
-     * @return the settings; errors are recorded at the node
+     * @return the settings; errors are recorded on the node
      */
     public static ServerTlsSettings read(SettingsNode node) {
         return new ServerTlsSettings(
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Reads the files. Files that change are read again; while they can't be read, the certificate
-     * read last stays in force.
+     * Reads the files. Changed files are reloaded; while they can't be read, the certificate loaded
+     * last stays in use.
      *
-     * @return gives the certificate in force at each new connection
-     * @throws IOException where a file can't be read or is not PEM; the message names the files
+     * @return supplies the current certificate for each new connection
+     * @throws IOException if a file can't be read or is not PEM; the message names the files
      */
     public Supplier<SslContext> open() throws IOException {
         FileBackedValue<SslContext> context =
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/TlsFiles.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/TlsFiles.java
@@ -8,9 +8,9 @@
 import java.util.function.Supplier;
 
 /**
- * Mutual TLS 1.3 from files. A process is known by a certificate of the trusted authorities, not by
- * its address, since instances are replaced at any time. Files that change are read again; while
- * they can't be read, the certificates read last stay in force. Safe for use by several threads.
+ * Mutual TLS 1.3 with certificates from files. A peer is authenticated by a certificate of the
+ * trusted authorities, not by its address, since instances are replaced at any time. Changed files
+ * are reloaded; while they can't be read, the certificates loaded last stay in use. Thread-safe.
  */
 public final class TlsFiles {
     private static final String PROTOCOL = "TLSv1.3";
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Reads the files.
+     * Loads the files.
      *
-     * @param settings where they are
-     * @return the certificates in force
-     * @throws IOException where a file can't be read or is not PEM; the message names the files
+     * @param settings paths of the files
+     * @return the loaded certificates
+     * @throws IOException if a file can't be read or is not PEM; the message names the files
      */
     public static TlsFiles open(TlsSettings settings) throws IOException {
         return new TlsFiles(
@@ -39,18 +39,18 @@
     }
 
     /**
-     * For ports that only processes of the system may use.
+     * Server side, for ports that only processes of the system may use.
      *
-     * @return gives the certificates in force at each new connection; the client must show its own
+     * @return supplies the current certificates for each new connection; clients need their own
      */
     public Supplier<SslContext> server() {
         return () -> contexts.current().server();
     }
 
     /**
-     * For connections to processes of the system.
+     * Client side, for connections to processes of the system.
      *
-     * @return gives the certificates in force at each new connection
+     * @return supplies the current certificates for each new connection
      */
     public Supplier<SslContext> client() {
         return () -> contexts.current().client();
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/package-info.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/package-info.java
@@ -1,4 +1,4 @@
-/** Mutual TLS between the processes of the system, from files that may change. */
+/** TLS with certificates from files, which are reloaded when they change. */
 @NullMarked
 package org.sardinelift.runtime.tls;
 
