--- a/sardinelift/src/main/java/org/sardinelift/server/LogOutput.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/LogOutput.java
@@ -2,9 +2,9 @@
 
 import org.tinylog.configuration.Configuration;
 
-/** Where log lines go. */
+/** Destination and format of log lines. */
 enum LogOutput {
-    /** Text on standard error, since standard output carries the ready line only. */
+    /** Text on standard error, since standard output is only for the ready line. */
     TEXT {
         @Override
         void configureWriter() {
@@ -15,7 +15,7 @@
                     "{date: yyyy-MM-dd'T'HH:mm:ss.SSS} {level} {class-name} {message}");
         }
     },
-    /** JSON objects on standard output, written by a thread of their own. */
+    /** JSON objects on standard output, written by a separate thread. */
     STRUCTURED {
         @Override
         void configureWriter() {
@@ -32,7 +32,7 @@
         };
     }
 
-    /** Sets the output and the lowest level; has no effect once a line was logged. */
+    /** Configures the output and the minimum level; has no effect after a line was logged. */
     void configure(String level) {
         if (Configuration.isFrozen()) {
             return;
--- a/sardinelift/src/main/java/org/sardinelift/server/ReloadSignal.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/ReloadSignal.java
@@ -7,9 +7,9 @@
 import sun.misc.Signal;
 
 /**
- * SIGHUP says that the settings file has changed. All that can change while an instance runs comes
- * from the store, so the file is checked and the outcome logged; what it says holds from the next
- * start. Without a handler the signal would end the process.
+ * Handler of SIGHUP, which signals that the settings file has changed. The file is only validated
+ * and the result logged; it takes effect at the next start, since all settings that can change at
+ * run time come from the store. Without a handler the signal would terminate the process.
  */
 final class ReloadSignal {
     private ReloadSignal() {}
@@ -20,10 +20,10 @@
 
     private static void check(Path file) {
         SettingsResult<ServerSettings> result = SettingsFile.load(file, ServerSettings::read);
-        if (result instanceof SettingsResult.Invalid<ServerSettings> unsound) {
+        if (result instanceof SettingsResult.Invalid<ServerSettings> invalid) {
             Event.of("settings.unsound")
                     .with("file", file.toString())
-                    .with("first_error", unsound.errors().get(0).toString())
+                    .with("first_error", invalid.errors().get(0).toString())
                     .error();
         } else {
             Event.of("settings.checked").with("file", file.toString()).info();
--- a/sardinelift/src/main/java/org/sardinelift/server/Role.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/Role.java
@@ -13,9 +13,9 @@
 import org.sardinelift.platform.PotRegistryAdapter;
 import org.sardinelift.settings.SettingsNode;
 
-/** What an instance does; each role reads its own settings and starts its own process. */
+/** Role of an instance; each role reads its own settings and starts its own process. */
 enum Role {
-    /** Takes callers' requests behind the balancer. */
+    /** Accepts callers' requests behind the load balancer. */
     ENTRY {
         @Override
         InstanceStarter read(SettingsNode node) {
@@ -30,7 +30,7 @@
             };
         }
     },
-    /** Stands beside a target and is the only way to it. */
+    /** Runs beside a target and passes all calls to it. */
     COMPANION {
         @Override
         InstanceStarter read(SettingsNode node) {
@@ -42,7 +42,7 @@
             };
         }
     },
-    /** Takes callers' requests and sends them to targets itself, on the users' platform. */
+    /** Accepts callers' requests and sends them directly to targets, on the users' platform. */
     GATEWAY {
         @Override
         InstanceStarter read(SettingsNode node) {
@@ -55,7 +55,7 @@
             };
         }
     },
-    /** Keeps and runs batch jobs on the users' platform. */
+    /** Stores and runs batch jobs on the users' platform. */
     WORKER {
         @Override
         InstanceStarter read(SettingsNode node) {
@@ -72,7 +72,7 @@
      * Reads the settings of this role.
      *
      * @param node root of the settings file
-     * @return starts the instance
+     * @return starter of the instance
      */
     abstract InstanceStarter read(SettingsNode node);
 
@@ -80,7 +80,7 @@
         return valueOf(name.toUpperCase(Locale.ROOT));
     }
 
-    /** An instance that can be started. */
+    /** Starts an instance. */
     interface InstanceStarter {
         Instance start() throws Exception;
     }
@@ -88,10 +88,10 @@
     /**
      * A running instance.
      *
-     * @param readyLine machine-readable line for standard output
-     * @param drainRequested completes once an operator asks for a drain
-     * @param drain finishes what runs and takes nothing new; returns when done
-     * @param resources closed after the drain
+     * @param readyLine JSON line for standard output
+     * @param drainRequested completes once an operator requests a drain
+     * @param drain refuses new work and waits until running work has finished
+     * @param resources resources to close after the drain
      */
     record Instance(
             String readyLine,
--- a/sardinelift/src/main/java/org/sardinelift/server/Sardinelift.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/Sardinelift.java
@@ -13,7 +13,7 @@
 import org.sardinelift.settings.SettingsResult;
 import org.tinylog.Logger;
 
-/** Entry point of the server binary. */
+/** Main class of the server binary. */
 public final class Sardinelift {
     private static final String SYNTAX = "java -jar sardinelift.jar --settings FILE";
 
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Runs one instance until it is told to stop (SIGTERM, SIGINT or the operators' drain).
+     * Runs one instance until it is stopped by SIGTERM, SIGINT or an operator's drain request.
      *
-     * @param args command line, see {@code --help}
+     * @param args command line arguments, see {@code --help}
      */
     public static void main(String[] args) {
         ExitCode code = new Sardinelift(System.out, System.err).run(args);
@@ -41,31 +41,33 @@
 
     private ExitCode run(String... args) {
         Options options = options();
-        CommandLine line;
+        CommandLine commandLine;
         try {
-            line = new DefaultParser().parse(options, args);
+            commandLine = new DefaultParser().parse(options, args);
         } catch (ParseException e) {
             err.println(e.getMessage() + ". See --help.");
             return ExitCode.USAGE;
         }
-        if (line.hasOption("help")) {
+        if (commandLine.hasOption("help")) {
             return help(options);
         }
-        if (line.hasOption("version")) {
+        if (commandLine.hasOption("version")) {
             out.println("sardinelift " + version());
             return ExitCode.OK;
         }
-        if (!line.hasOption("settings")) {
+        if (!commandLine.hasOption("settings")) {
             err.println("--settings FILE is missing. See --help.");
             return ExitCode.USAGE;
         }
-        return load(Path.of(line.getOptionValue("settings")), line.hasOption("check-settings"));
+        return load(
+                Path.of(commandLine.getOptionValue("settings")),
+                commandLine.hasOption("check-settings"));
     }
 
     private ExitCode load(Path file, boolean checkOnly) {
         SettingsResult<ServerSettings> result = SettingsFile.load(file, ServerSettings::read);
-        if (result instanceof SettingsResult.Valid<ServerSettings> sound) {
-            return checkOnly ? sound(file) : serve(file, sound.settings());
+        if (result instanceof SettingsResult.Valid<ServerSettings> valid) {
+            return checkOnly ? reportValid(file) : serve(file, valid.settings());
         }
         return refuse(file, (SettingsResult.Invalid<ServerSettings>) result);
     }
@@ -95,7 +97,7 @@
                             "Runs one instance of sardinelift; its role comes from the settings.",
                             options,
                             "Exit codes: 143 stopped by SIGTERM after a drain, "
-                                    + "0 drained as asked over HTTP or nothing to run, "
+                                    + "0 drained as requested over HTTP or nothing to run, "
                                     + "2 command line, 3 settings, 4 a port or file.",
                             false);
         } catch (java.io.IOException e) {
@@ -104,13 +106,13 @@
         return ExitCode.OK;
     }
 
-    private ExitCode sound(Path file) {
-        out.println(file + ": sound");
+    private ExitCode reportValid(Path file) {
+        out.println(file + ": the settings are valid");
         return ExitCode.OK;
     }
 
-    private ExitCode refuse(Path file, SettingsResult.Invalid<ServerSettings> unsound) {
-        unsound.errors().forEach(error -> err.println(file + ": " + error));
+    private ExitCode refuse(Path file, SettingsResult.Invalid<ServerSettings> invalid) {
+        invalid.errors().forEach(error -> err.println(file + ": " + error));
         return ExitCode.BAD_SETTINGS;
     }
 
@@ -131,19 +133,20 @@
         }
     }
 
-    /** Drains and stops once; a second call waits for the first. */
+    /** Drains and stops the instance once; a second call waits for the first. */
     private static void stop(Role.Instance instance, AtomicBoolean stopped) {
         synchronized (stopped) {
             if (stopped.getAndSet(true)) {
                 return;
             }
-            Logger.info("Told to stop: draining");
+            Logger.info("Stop requested; draining");
             try {
                 instance.drain().run();
                 instance.resources().close();
                 Logger.info("Drained");
             } catch (Exception e) {
-                Logger.error(e, "The drain failed; the instance stops with work cut off");
+                Logger.error(
+                        e, "The drain failed; the instance stops and aborts its remaining work");
             }
         }
     }
--- a/sardinelift/src/main/java/org/sardinelift/server/ServerSettings.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/ServerSettings.java
@@ -9,7 +9,7 @@
  */
 record ServerSettings(Role.InstanceStarter starter) {
 
-    /** Reads the settings; the log is configured first, since reading a role may already log. */
+    /** Reads the settings; configures the log first, since reading a role's settings may log. */
     static ServerSettings read(SettingsNode node) {
         String logLevel =
                 node.object("log").choice("level", "info", "trace", "debug", "warn", "error");
--- a/sardinelift/src/main/java/org/sardinelift/server/package-info.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/package-info.java
@@ -1,4 +1,4 @@
-/** The server binary: one instance, whose role comes from its settings. */
+/** The server binary: runs one instance in the role given by its settings. */
 @NullMarked
 package org.sardinelift.server;
 
--- a/sardinelift/src/test/java/org/sardinelift/server/RoleDependenciesTest.java
+++ b/sardinelift/src/test/java/org/sardinelift/server/RoleDependenciesTest.java
@@ -8,8 +8,8 @@
 import com.tngtech.archunit.lang.ArchRule;
 
 /**
- * The server starts roles and builds no client of its own, so that the settings of a role hold for
- * all that the role uses.
+ * The server must create no clients itself: it would bypass the settings of a role, which apply to
+ * all clients that the role uses.
  */
 @AnalyzeClasses(
         packages = "org.sardinelift.server",
--- a/sardinelift/src/test/java/org/sardinelift/server/SardineliftTest.java
+++ b/sardinelift/src/test/java/org/sardinelift/server/SardineliftTest.java
@@ -38,13 +38,13 @@
     }
 
     @Test
-    void aWrongCommandLineIsUsage() {
+    void invalidCommandLineExitsWithUsage() {
         assertEquals(ExitCode.USAGE, run());
         assertEquals(ExitCode.USAGE, run("--no-such-option"));
     }
 
     @Test
-    void everyErrorOfTheSettingsIsNamedWithItsPath() throws IOException {
+    void everySettingsErrorIsPrintedWithItsPath() throws IOException {
         Path file =
                 settings("{\"role\": \"companion\", \"instance\": \"c1\", \"zone\": 7, \"x\": 1}");
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void soundSettingsAreCheckedWithoutAStart() throws IOException {
+    void validSettingsAreCheckedWithoutAStart() throws IOException {
         Path file =
                 settings(
                         "{\"role\": \"entry\", \"instance\": \"e1\", \"zone\": \"z1\","
