--- a/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
+++ b/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
@@ -91,7 +91,7 @@
                         settings.traces().file(),
                         settings.traces().otlpEndpoint(),
                         settings.traces().sampleRatio());
-        log = DecisionLog.of(settings.explainEntries());
+        log = DecisionLog.of(settings.maxDecisions());
         decisions = DecisionRecorder.of(log, System::currentTimeMillis);
         health =
                 TargetHealth.create(
@@ -155,7 +155,7 @@
     private void startControl() {
         control.execute(this::report);
         control.repeat(settings.target().probeInterval(), probe::probeNow);
-        control.repeat(settings.modelsInterval(), models::poll);
+        control.repeat(settings.modelsPollInterval(), models::poll);
         control.execute(calls::tick);
     }
 
@@ -293,7 +293,7 @@
                 settings.target().name(),
                 models,
                 control::execute,
-                settings.maxOrders(),
+                settings.maxWaitingOrders(),
                 settings.orderTries());
     }
 
--- a/companion/src/main/java/org/sardinelift/companion/CompanionSettings.java
+++ b/companion/src/main/java/org/sardinelift/companion/CompanionSettings.java
@@ -22,8 +22,8 @@
  * @param target the target that this instance serves
  * @param platform address of the platform's object API, or empty if no orders are accepted
  * @param platformTimeout maximum time without any byte from the platform
- * @param modelsInterval time between polls of the loaded models
- * @param maxOrders maximum number of waiting orders
+ * @param modelsPollInterval time between polls of the loaded models
+ * @param maxWaitingOrders maximum number of waiting orders
  * @param orderTries attempts to store a fencing number before an order is refused
  * @param timings heartbeat interval and silence timeout of connections
  * @param limits limits of connections
@@ -32,7 +32,7 @@
  * @param reportRefresh time after which an unchanged load is reported again
  * @param drainTimeout maximum time to wait for running calls during a drain
  * @param drainLinger maximum time to wait then for entries to acknowledge the last responses
- * @param explainEntries number of decisions kept
+ * @param maxDecisions maximum number of decisions kept
  * @param traces destinations of spans
  */
 public record CompanionSettings(
@@ -44,8 +44,8 @@
         TargetSettings target,
         Optional<Address> platform,
         Duration platformTimeout,
-        Duration modelsInterval,
-        int maxOrders,
+        Duration modelsPollInterval,
+        int maxWaitingOrders,
         int orderTries,
         LinkTimings timings,
         ConnectionLimits limits,
@@ -54,19 +54,19 @@
         Duration reportRefresh,
         Duration drainTimeout,
         Duration drainLinger,
-        int explainEntries,
+        int maxDecisions,
         Traces traces) {
     private static final int MAX_PORT = 65_535;
     private static final int DEFAULT_PLATFORM_TIMEOUT_MS = 2_000;
-    private static final int DEFAULT_MODELS_INTERVAL_MS = 1_000;
-    private static final int DEFAULT_MAX_ORDERS = 16;
+    private static final int DEFAULT_MODELS_POLL_INTERVAL_MS = 1_000;
+    private static final int DEFAULT_MAX_WAITING_ORDERS = 16;
     private static final int DEFAULT_ORDER_TRIES = 3;
     private static final int DEFAULT_REPORT_INTERVAL_MS = 200;
     private static final int DEFAULT_REPORT_REFRESH_MS = 1_000;
     private static final int DEFAULT_DRAIN_TIMEOUT_MS = 600_000;
     private static final int DEFAULT_DRAIN_LINGER_MS = 2_000;
-    private static final int DEFAULT_EXPLAIN_ENTRIES = 10_000;
-    private static final int MAX_EXPLAIN_ENTRIES = 10_000_000;
+    private static final int DEFAULT_MAX_DECISIONS = 10_000;
+    private static final int LARGEST_MAX_DECISIONS = 10_000_000;
 
     /**
      * Reads and validates the settings of a companion.
@@ -89,8 +89,8 @@
                         target,
                         node.optionalObject("platform", Address::readRemote),
                         node.millis("platformTimeoutMs", DEFAULT_PLATFORM_TIMEOUT_MS),
-                        node.millis("modelsIntervalMs", DEFAULT_MODELS_INTERVAL_MS),
-                        node.integer("maxOrders", DEFAULT_MAX_ORDERS, 1, Integer.MAX_VALUE),
+                        node.millis("modelsIntervalMs", DEFAULT_MODELS_POLL_INTERVAL_MS),
+                        node.integer("maxOrders", DEFAULT_MAX_WAITING_ORDERS, 1, Integer.MAX_VALUE),
                         node.integer("orderTries", DEFAULT_ORDER_TRIES, 1, Integer.MAX_VALUE),
                         readTimings(links),
                         readLimits(links),
@@ -101,7 +101,7 @@
                         node.millis("drainLingerMs", DEFAULT_DRAIN_LINGER_MS),
                         node.object("explain")
                                 .integer(
-                                        "entries", DEFAULT_EXPLAIN_ENTRIES, 1, MAX_EXPLAIN_ENTRIES),
+                                        "entries", DEFAULT_MAX_DECISIONS, 1, LARGEST_MAX_DECISIONS),
                         Traces.read(node.object("traces")));
         PlaintextCheck.check(peer, settings.peer.host(), settings.peerTls.isPresent());
         return settings;
