--- a/companion/src/main/java/org/sardinelift/companion/LoadMetrics.java
+++ b/companion/src/main/java/org/sardinelift/companion/LoadMetrics.java
@@ -8,7 +8,7 @@
     private static final Gauge SLOTS =
             Gauge.builder()
                     .name("sardinelift_companion_slots")
-                    .help("Calls that the target runs concurrently.")
+                    .help("Calls that the target runs at once.")
                     .register();
     private static final Gauge RUNNING =
             Gauge.builder()
@@ -24,7 +24,7 @@
     private static final Gauge TARGET_UP =
             Gauge.builder()
                     .name("sardinelift_companion_target_up")
-                    .help("1 while the target answers probes, else 0.")
+                    .help("1 while the target answers, else 0.")
                     .register();
 
     private LoadMetrics() {}
--- a/companion/src/main/java/org/sardinelift/companion/call/CallMetrics.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallMetrics.java
@@ -14,17 +14,17 @@
     private static final Counter PREEMPTED =
             Counter.builder()
                     .name("sardinelift_companion_preempted_total")
-                    .help("Batch calls that an online call preempted")
+                    .help("Batch calls that were cut for an online call")
                     .register();
     private static final Counter RESUMED =
             Counter.builder()
                     .name("sardinelift_companion_resumed_total")
-                    .help("Batch calls that were resumed after a preemption")
+                    .help("Batch calls that went on where they were cut")
                     .register();
     private static final Counter LOST_BYTES =
             Counter.builder()
                     .name("sardinelift_companion_lost_bytes_total")
-                    .help("Response bytes dropped because their batch call was preempted")
+                    .help("Bytes of answers thrown away because their batch call was cut")
                     .register();
     private static final Histogram WAITED =
             Histogram.builder()
