--- a/standins/src/main/java/org/sardinelift/standins/EventLoops.java
+++ b/standins/src/main/java/org/sardinelift/standins/EventLoops.java
@@ -6,17 +6,17 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.util.concurrent.TimeUnit;
 
-/** Event loops of one stand-in. */
+/** Starts and stops Netty event loops. */
 public final class EventLoops {
-    private static final long QUIET_MS = 0;
-    private static final long STOP_MS = 2_000;
+    private static final long SHUTDOWN_QUIET_MS = 0;
+    private static final long SHUTDOWN_TIMEOUT_MS = 2_000;
 
     private EventLoops() {}
 
     /**
      * Starts daemon event loops.
      *
-     * @param name prefix of the threads' names
+     * @param name prefix of the thread names
      * @param threads number of threads
      * @return the event loops
      */
@@ -26,11 +26,11 @@
     }
 
     /**
-     * Stops event loops without waiting.
+     * Starts the shutdown of event loops without waiting for it.
      *
      * @param group the event loops
      */
     public static void stop(EventLoopGroup group) {
-        group.shutdownGracefully(QUIET_MS, STOP_MS, TimeUnit.MILLISECONDS);
+        group.shutdownGracefully(SHUTDOWN_QUIET_MS, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/Json.java
+++ b/standins/src/main/java/org/sardinelift/standins/Json.java
@@ -8,14 +8,14 @@
 import java.util.stream.Stream;
 import java.util.stream.StreamSupport;
 
-/** JSON as the stand-ins read and write it. */
+/** Creates and parses JSON trees. */
 public final class Json {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
     private Json() {}
 
     /**
-     * Makes an empty object.
+     * Creates an empty object.
      *
      * @return the object
      */
@@ -27,7 +27,7 @@
      * Parses text.
      *
      * @param text JSON
-     * @return the root, a missing node where the text is malformed
+     * @return the root, or a missing node if the text is malformed
      */
     public static JsonNode parse(String text) {
         try {
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Elements of an array.
+     * Returns the elements of an array.
      *
-     * @param array an array, or any other node for none
+     * @param array an array, or a node without children
      * @return its elements in order
      */
     public static Stream<JsonNode> elements(JsonNode array) {
--- a/standins/src/main/java/org/sardinelift/standins/Standins.java
+++ b/standins/src/main/java/org/sardinelift/standins/Standins.java
@@ -11,9 +11,9 @@
 import org.sardinelift.standins.cli.PlainCommand;
 import org.sardinelift.standins.cli.PlatformCommand;
 
-/** Entry point of the program. */
+/** Main class of the stand-ins program. */
 public final class Standins {
-    private static final int USAGE_STATUS = 2;
+    private static final int USAGE_EXIT_STATUS = 2;
     private static final List<Command> COMMANDS =
             List.of(
                     new PlatformCommand(),
@@ -27,7 +27,7 @@
      * Runs one command; see {@code --help}.
      *
      * @param args name of the command and its options
-     * @throws InterruptedException where the main thread is interrupted
+     * @throws InterruptedException if the main thread is interrupted
      */
     public static void main(String[] args) throws InterruptedException {
         int status = run(args);
@@ -40,13 +40,13 @@
     private static int run(String[] args) {
         if (args.length == 0 || args[0].equals("--help")) {
             System.out.println(usage());
-            return args.length == 0 ? USAGE_STATUS : 0;
+            return args.length == 0 ? USAGE_EXIT_STATUS : 0;
         }
         Optional<Command> command =
                 COMMANDS.stream().filter(each -> each.name().equals(args[0])).findFirst();
         if (command.isEmpty()) {
-            System.err.println("No command " + args[0] + ". " + usage());
-            return USAGE_STATUS;
+            System.err.println("Unknown command " + args[0] + ". " + usage());
+            return USAGE_EXIT_STATUS;
         }
         return command.get().start(Stream.of(args).skip(1).toArray(String[]::new));
     }
--- a/standins/src/main/java/org/sardinelift/standins/cli/AdminCommand.java
+++ b/standins/src/main/java/org/sardinelift/standins/cli/AdminCommand.java
@@ -13,12 +13,12 @@
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.standins.EventLoops;
 
-/** Sends one request to a stand-in and prints the body of its answer. */
+/** Sends one request to a stand-in and prints the response body. */
 public final class AdminCommand extends Command {
-    private static final Duration TIMEOUT = Duration.ofSeconds(10);
-    private static final int FIRST_ERROR = 400;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
+    private static final int FIRST_ERROR_STATUS = 400;
 
-    /** Makes the command. */
+    /** Creates the command. */
     public AdminCommand() {
         super("admin");
     }
@@ -26,11 +26,13 @@
     @Override
     Options options() {
         return new Options()
-                .addOption(valued("to", "HOST:PORT", "address of the stand-in, required"))
+                .addOption(optionWithValue("to", "HOST:PORT", "address of the stand-in, required"))
                 .addOption(
-                        valued("path", "PATH", "path and query, such as /admin/faults, required"))
-                .addOption(valued("method", "METHOD", "default POST with --json, else GET"))
-                .addOption(valued("json", "JSON", "body to send"));
+                        optionWithValue(
+                                "path", "PATH", "path and query, such as /admin/faults, required"))
+                .addOption(
+                        optionWithValue("method", "METHOD", "default POST with --json, else GET"))
+                .addOption(optionWithValue("json", "JSON", "request body"));
     }
 
     @Override
@@ -49,15 +51,15 @@
                         required(line, "path"),
                         Map.of("content-type", "application/json"),
                         body.getBytes(StandardCharsets.UTF_8),
-                        TIMEOUT);
+                        REQUEST_TIMEOUT);
         EventLoopGroup group = EventLoops.start("admin", 1);
         try {
-            HttpAnswer answer = HttpClient.create(group, TIMEOUT, null).call(call).join();
+            HttpAnswer answer = HttpClient.create(group, REQUEST_TIMEOUT, null).call(call).join();
             System.out.println(answer.text());
-            return answer.status() < FIRST_ERROR ? 0 : 1;
+            return answer.status() < FIRST_ERROR_STATUS ? 0 : 1;
         } catch (CompletionException e) {
             throw new IOException(
-                    "No answer from " + line.getOptionValue("to") + ": " + e.getMessage(), e);
+                    "No response from " + line.getOptionValue("to") + ": " + e.getMessage(), e);
         } finally {
             EventLoops.stop(group);
         }
--- a/standins/src/main/java/org/sardinelift/standins/cli/Command.java
+++ b/standins/src/main/java/org/sardinelift/standins/cli/Command.java
@@ -10,13 +10,13 @@
 import org.apache.commons.cli.help.HelpFormatter;
 import org.apache.commons.cli.help.TextHelpAppendable;
 
-/** One command of the program. */
+/** Base class of the commands of the stand-ins program. */
 public abstract class Command {
-    /** Status of a command that has started a server and goes on. */
+    /** Status of a command that has started a server and must keep running. */
     public static final int KEEP_RUNNING = -1;
 
-    private static final int FAILED_STATUS = 1;
-    private static final int USAGE_STATUS = 2;
+    private static final int FAILURE_EXIT_STATUS = 1;
+    private static final int USAGE_EXIT_STATUS = 2;
     private static final int HELP_WIDTH = 100;
 
     private final String name;
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Name on the command line.
+     * Returns the name used on the command line.
      *
      * @return the name
      */
@@ -37,7 +37,7 @@
     /**
      * Parses the options and runs the command.
      *
-     * @param args options
+     * @param args command-line options
      * @return exit status, or {@link #KEEP_RUNNING}
      */
     public final int start(String[] args) {
@@ -51,10 +51,10 @@
             return run(line);
         } catch (ParseException | IllegalArgumentException e) {
             System.err.println(e.getMessage() + "\n" + help(options));
-            return USAGE_STATUS;
+            return USAGE_EXIT_STATUS;
         } catch (IOException e) {
             System.err.println(e.getMessage());
-            return FAILED_STATUS;
+            return FAILURE_EXIT_STATUS;
         }
     }
 
@@ -62,14 +62,14 @@
 
     abstract int run(CommandLine line) throws IOException;
 
-    static Option valued(String longName, String argName, String description) {
+    static Option optionWithValue(String longName, String argName, String description) {
         return Option.builder().longOpt(longName).hasArg().argName(argName).desc(description).get();
     }
 
-    static int number(CommandLine line, String option, int fallback) {
+    static int intOption(CommandLine line, String option, int defaultValue) {
         String given = line.getOptionValue(option);
         if (given == null) {
-            return fallback;
+            return defaultValue;
         }
         try {
             return Integer.parseInt(given);
@@ -81,15 +81,15 @@
 
     static Options serverOptions() {
         return new Options()
-                .addOption(valued("host", "ADDRESS", "address to bind, default 127.0.0.1"))
-                .addOption(valued("port", "PORT", "port to bind, default 0 for any"));
+                .addOption(optionWithValue("host", "ADDRESS", "address to bind, default 127.0.0.1"))
+                .addOption(optionWithValue("port", "PORT", "port to bind, default 0 for any"));
     }
 
-    static String host(CommandLine line) {
+    static String hostOption(CommandLine line) {
         return line.getOptionValue("host", "127.0.0.1");
     }
 
-    static int ready(String role, String host, int port) {
+    static int printReady(String role, String host, int port) {
         System.out.println(
                 "{\"ready\":true,\"role\":\"%s\",\"address\":\"%s:%d\",\"port\":%d}"
                         .formatted(role, host, port, port));
@@ -108,7 +108,7 @@
                     .get()
                     .printHelp("standins " + name + " [OPTIONS]", "", options, "", false);
         } catch (IOException e) {
-            throw new UncheckedIOException("a text can't fail to be written", e);
+            throw new UncheckedIOException("writing to a StringBuilder can't fail", e);
         }
         return text.toString().stripTrailing();
     }
--- a/standins/src/main/java/org/sardinelift/standins/cli/EngineCommand.java
+++ b/standins/src/main/java/org/sardinelift/standins/cli/EngineCommand.java
@@ -12,10 +12,10 @@
 import org.sardinelift.standins.engine.EngineStandin;
 import org.sardinelift.standins.engine.Overload;
 
-/** Runs the engine's stand-in. */
+/** Runs the engine stand-in. */
 public final class EngineCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public EngineCommand() {
         super("engine");
     }
@@ -23,21 +23,45 @@
     @Override
     Options options() {
         return serverOptions()
-                .addOption(valued("models", "A,B", "models loaded, default registry-llm"))
-                .addOption(valued("slots", "N", "sequences decoded at once, default 8"))
                 .addOption(
-                        valued("overload", "wait|slow", "requests beyond the slots, default wait"))
-                .addOption(valued("token-us", "US", "time of a decode step, default 5000"))
-                .addOption(valued("prefill-us", "US", "time for one prompt token, default 50"))
-                .addOption(valued("cache-blocks", "N", "blocks of 16 tokens kept, default 4096"))
-                .addOption(valued("load-lag-ms", "MS", "age of the load report, default 500"))
-                .addOption(valued("load-ms", "MS", "time to load a model, default 200"))
-                .addOption(valued("tokens", "N", "tokens where none are asked for, default 16"))
-                .addOption(valued("retained", "N", "cut streams kept for a resume, default 256"))
-                .addOption(valued("crash-marker", "TEXT", "a prompt with it crashes the engine"))
-                .addOption(valued("crash-mode", "exit|drop", "form of a crash, default exit"))
-                .addOption(valued("drop-ms", "MS", "refused time after a drop, default 1000"))
-                .addOption(null, "no-fence-check", false, "take orders with old fencing numbers");
+                        optionWithValue(
+                                "models", "A,B", "models loaded at start-up, default registry-llm"))
+                .addOption(optionWithValue("slots", "N", "sequences decoded at once, default 8"))
+                .addOption(
+                        optionWithValue(
+                                "overload", "wait|slow", "requests beyond the slots, default wait"))
+                .addOption(
+                        optionWithValue(
+                                "token-us", "US", "duration of a decode step, default 5000"))
+                .addOption(
+                        optionWithValue(
+                                "prefill-us", "US", "prefill time of a prompt token, default 50"))
+                .addOption(
+                        optionWithValue(
+                                "cache-blocks",
+                                "N",
+                                "prefix cache, blocks of 16 tokens, default 4096"))
+                .addOption(
+                        optionWithValue("load-lag-ms", "MS", "age of the load report, default 500"))
+                .addOption(optionWithValue("load-ms", "MS", "time to load a model, default 200"))
+                .addOption(
+                        optionWithValue(
+                                "tokens", "N", "answer length without max_tokens, default 16"))
+                .addOption(
+                        optionWithValue(
+                                "retained", "N", "ended sequences kept for a resume, default 256"))
+                .addOption(
+                        optionWithValue(
+                                "crash-marker", "TEXT", "text in a prompt that crashes the engine"))
+                .addOption(
+                        optionWithValue(
+                                "crash-mode", "exit|drop", "effect of a crash, default exit"))
+                .addOption(
+                        optionWithValue(
+                                "drop-ms",
+                                "MS",
+                                "time without connections after a drop, default 1000"))
+                .addOption(null, "no-fence-check", false, "accept orders with old fencing numbers");
     }
 
     @Override
@@ -45,36 +69,36 @@
         EngineOptions defaults = EngineOptions.defaults();
         EngineOptions options =
                 new EngineOptions(
-                        host(line),
-                        number(line, "port", 0),
+                        hostOption(line),
+                        intOption(line, "port", 0),
                         Set.of(line.getOptionValue("models", "registry-llm").split(",")),
-                        number(line, "slots", defaults.slots()),
+                        intOption(line, "slots", defaults.slots()),
                         Overload.valueOf(upper(line, "overload", "wait")),
                         micros(line, "token-us", defaults.tokenTime()),
                         micros(line, "prefill-us", defaults.prefillPerToken()),
-                        number(line, "cache-blocks", defaults.cacheBlocks()),
+                        intOption(line, "cache-blocks", defaults.cacheBlocks()),
                         millis(line, "load-lag-ms", defaults.loadLag()),
                         millis(line, "load-ms", defaults.loadTime()),
-                        number(line, "tokens", defaults.defaultTokens()),
-                        number(line, "retained", defaults.retained()),
+                        intOption(line, "tokens", defaults.defaultTokens()),
+                        intOption(line, "retained", defaults.retained()),
                         line.getOptionValue("crash-marker", ""),
                         CrashMode.valueOf(upper(line, "crash-mode", "exit")),
                         millis(line, "drop-ms", defaults.dropTime()),
                         !line.hasOption("no-fence-check"));
-        return ready("engine", options.host(), EngineStandin.start(options).port());
+        return printReady("engine", options.host(), EngineStandin.start(options).port());
     }
 
-    private static String upper(CommandLine line, String option, String fallback) {
-        return line.getOptionValue(option, fallback).toUpperCase(Locale.ROOT);
+    private static String upper(CommandLine line, String option, String defaultValue) {
+        return line.getOptionValue(option, defaultValue).toUpperCase(Locale.ROOT);
     }
 
-    private static Duration millis(CommandLine line, String option, Duration fallback) {
-        return Duration.ofMillis(number(line, option, (int) fallback.toMillis()));
+    private static Duration millis(CommandLine line, String option, Duration defaultValue) {
+        return Duration.ofMillis(intOption(line, option, (int) defaultValue.toMillis()));
     }
 
-    private static Duration micros(CommandLine line, String option, Duration fallback) {
-        int fallbackMicros = (int) TimeUnit.NANOSECONDS.toMicros(fallback.toNanos());
+    private static Duration micros(CommandLine line, String option, Duration defaultValue) {
+        int defaultMicros = (int) TimeUnit.NANOSECONDS.toMicros(defaultValue.toNanos());
         return Duration.ofNanos(
-                TimeUnit.MICROSECONDS.toNanos(number(line, option, fallbackMicros)));
+                TimeUnit.MICROSECONDS.toNanos(intOption(line, option, defaultMicros)));
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/cli/PlainCommand.java
+++ b/standins/src/main/java/org/sardinelift/standins/cli/PlainCommand.java
@@ -7,10 +7,10 @@
 import org.sardinelift.standins.plain.PlainOptions;
 import org.sardinelift.standins.plain.PlainStandin;
 
-/** Runs the plain service's stand-in. */
+/** Runs the plain-service stand-in. */
 public final class PlainCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public PlainCommand() {
         super("plain");
     }
@@ -18,20 +18,22 @@
     @Override
     Options options() {
         return serverOptions()
-                .addOption(valued("delay-ms", "MS", "time before the effect, default 0"))
-                .addOption(valued("fail-every", "N", "each n-th call answers 500 after its effect"))
-                .addOption(valued("cut-every", "N", "each n-th call gets no answer"));
+                .addOption(optionWithValue("delay-ms", "MS", "delay before the effect, default 0"))
+                .addOption(
+                        optionWithValue(
+                                "fail-every", "N", "every n-th call returns 500 after its effect"))
+                .addOption(optionWithValue("cut-every", "N", "every n-th call gets no response"));
     }
 
     @Override
     int run(CommandLine line) throws IOException {
         PlainOptions options =
                 new PlainOptions(
-                        host(line),
-                        number(line, "port", 0),
-                        Duration.ofMillis(number(line, "delay-ms", 0)),
-                        number(line, "fail-every", 0),
-                        number(line, "cut-every", 0));
-        return ready("plain", options.host(), PlainStandin.start(options).port());
+                        hostOption(line),
+                        intOption(line, "port", 0),
+                        Duration.ofMillis(intOption(line, "delay-ms", 0)),
+                        intOption(line, "fail-every", 0),
+                        intOption(line, "cut-every", 0));
+        return printReady("plain", options.host(), PlainStandin.start(options).port());
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/cli/PlatformCommand.java
+++ b/standins/src/main/java/org/sardinelift/standins/cli/PlatformCommand.java
@@ -7,10 +7,10 @@
 import org.sardinelift.standins.platform.PlatformOptions;
 import org.sardinelift.standins.platform.PlatformStandin;
 
-/** Runs the platform's stand-in. */
+/** Runs the platform stand-in. */
 public final class PlatformCommand extends Command {
 
-    /** Makes the command. */
+    /** Creates the command. */
     public PlatformCommand() {
         super("platform");
     }
@@ -18,10 +18,17 @@
     @Override
     Options options() {
         return serverOptions()
-                .addOption(valued("writes-per-second", "N", "limit of writes, default 0 for none"))
-                .addOption(valued("reads-per-second", "N", "limit of reads, default 0 for none"))
-                .addOption(valued("list-lag-ms", "MS", "lag of the list of instances, default 0"))
-                .addOption(valued("history", "N", "changes kept for watches, default 10000"));
+                .addOption(
+                        optionWithValue(
+                                "writes-per-second", "N", "limit of writes, default 0 for none"))
+                .addOption(
+                        optionWithValue(
+                                "reads-per-second", "N", "limit of reads, default 0 for none"))
+                .addOption(
+                        optionWithValue(
+                                "list-lag-ms", "MS", "lag of the list of instances, default 0"))
+                .addOption(
+                        optionWithValue("history", "N", "changes kept for watches, default 10000"));
     }
 
     @Override
@@ -29,12 +36,12 @@
         PlatformOptions defaults = PlatformOptions.defaults();
         PlatformOptions options =
                 new PlatformOptions(
-                        host(line),
-                        number(line, "port", 0),
-                        number(line, "writes-per-second", 0),
-                        number(line, "reads-per-second", 0),
-                        Duration.ofMillis(number(line, "list-lag-ms", 0)),
-                        number(line, "history", defaults.historyLength()));
-        return ready("platform", options.host(), PlatformStandin.start(options).port());
+                        hostOption(line),
+                        intOption(line, "port", 0),
+                        intOption(line, "writes-per-second", 0),
+                        intOption(line, "reads-per-second", 0),
+                        Duration.ofMillis(intOption(line, "list-lag-ms", 0)),
+                        intOption(line, "history", defaults.historyLength()));
+        return printReady("platform", options.host(), PlatformStandin.start(options).port());
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/engine/CrashMode.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/CrashMode.java
@@ -1,9 +1,9 @@
 package org.sardinelift.standins.engine;
 
-/** What a crash of the engine looks like from outside. */
+/** How a crash of the engine appears to its clients. */
 public enum CrashMode {
     /** The process ends with status 1. */
     EXIT,
-    /** All connections are cut and new ones refused for a while; all state is lost. */
+    /** All connections are closed, new ones are refused for a time, and all state is lost. */
     DROP
 }
--- a/standins/src/main/java/org/sardinelift/standins/engine/DecodeLoop.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/DecodeLoop.java
@@ -10,9 +10,9 @@
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.standins.Json;
 
-/** Continuous batching: each decode step gives one token to every running sequence. */
+/** Decodes with continuous batching: each step produces one token for every running sequence. */
 final class DecodeLoop implements AutoCloseable {
-    private static final long IDLE_PARK_NANOS = 20_000_000;
+    private static final long IDLE_SLEEP_NANOS = 20_000_000;
 
     private final EngineOptions options;
     private final Runnable onCrash;
@@ -44,52 +44,58 @@
     void start(String id, Prompt prompt, HttpExchange exchange) {
         synchronized (this) {
             Generation generation = new Generation(id, prompt, exchange);
-            int cached = cache.touch(prompt.text());
+            int cached = cache.addAndCountHits(prompt.text());
             counters.onStart(cached);
             long uncached = Math.max(0, prompt.tokens() - cached);
-            generation.readyAt(System.nanoTime() + uncached * options.prefillPerToken().toNanos());
+            generation.setReadyNanos(
+                    System.nanoTime() + uncached * options.prefillPerToken().toNanos());
             active.put(id, generation);
         }
-        exchange.onClose(() -> cancelReader(id, exchange));
+        exchange.onClose(() -> onReaderClosed(id, exchange));
         LockSupport.unpark(thread);
     }
 
-    /** Stops a sequence; what it produced is kept for a resume. */
+    /** Stops a running sequence and retains its output for a resume; returns false if none runs. */
     boolean cancel(String id) {
-        Generation cut;
+        Generation cancelled;
         synchronized (this) {
-            cut = active.remove(id);
-            if (cut == null) {
+            cancelled = active.remove(id);
+            if (cancelled == null) {
                 return false;
             }
             counters.onCancel();
-            retained.put(id, cut);
+            retained.put(id, cancelled);
         }
-        cut.abort();
-        cut.detach();
+        cancelled.abortReader();
+        cancelled.clearReader();
         return true;
     }
 
-    /** Goes on with a cut or running sequence, or repeats a finished one, from an offset. */
+    /**
+     * Continues a cancelled or running sequence, or repeats a finished one, from a byte offset.
+     *
+     * @return the offset, or the number of bytes written if that is less; empty if the sequence is
+     *     unknown
+     */
     Optional<Integer> resume(String id, int offset, HttpExchange exchange) {
         synchronized (this) {
             Generation kept = active.containsKey(id) ? active.get(id) : retained.remove(id);
             if (kept == null) {
                 return Optional.empty();
             }
-            if (offset > kept.written()) {
+            if (offset > kept.writtenBytes()) {
                 retained.put(id, kept);
-                return Optional.of(kept.written());
+                return Optional.of(kept.writtenBytes());
             }
             counters.onResume();
             kept.resume(exchange, offset);
-            if (kept.finished()) {
+            if (kept.isFinished()) {
                 retained.put(id, kept);
             } else {
                 active.put(id, kept);
             }
         }
-        exchange.onClose(() -> cancelReader(id, exchange));
+        exchange.onClose(() -> onReaderClosed(id, exchange));
         LockSupport.unpark(thread);
         return Optional.of(offset);
     }
@@ -107,8 +113,8 @@
                 .put("lagMs", options.loadLag().toMillis());
     }
 
-    /** Forgets everything, as a process that died would. */
-    synchronized List<Generation> forgetAll() {
+    /** Discards all state, as the death of the process would; returns the lost active sequences. */
+    synchronized List<Generation> clearState() {
         List<Generation> lost = new ArrayList<>(active.values());
         active.clear();
         retained.clear();
@@ -123,9 +129,9 @@
         LockSupport.unpark(thread);
     }
 
-    private synchronized void cancelReader(String id, HttpExchange exchange) {
+    private synchronized void onReaderClosed(String id, HttpExchange exchange) {
         Generation generation = active.get(id);
-        if (generation != null && generation.readBy(exchange)) {
+        if (generation != null && generation.isReadBy(exchange)) {
             cancel(id);
         }
     }
@@ -140,7 +146,7 @@
             }
             int running = step(now);
             if (running == 0) {
-                LockSupport.parkNanos(IDLE_PARK_NANOS);
+                LockSupport.parkNanos(IDLE_SLEEP_NANOS);
                 next = System.nanoTime();
                 continue;
             }
@@ -162,12 +168,12 @@
             counters.onRunning(running);
             List<Generation> batch = active.values().stream().limit(running).toList();
             for (Generation generation : batch) {
-                if (generation.ready(now)) {
-                    crash |= crashes(generation);
+                if (generation.isReady(now)) {
+                    crash |= containsCrashMarker(generation);
                     advance(generation);
                 }
             }
-            report = new LoadReport(running, active.size() - running, report.takenNanos());
+            report = new LoadReport(running, active.size() - running, report.createdNanos());
         }
         if (crash) {
             onCrash.run();
@@ -176,27 +182,27 @@
     }
 
     private void advance(Generation generation) {
-        generation.step();
+        generation.produceToken();
         counters.onToken();
-        if (generation.finished()) {
+        if (generation.isFinished()) {
             counters.onComplete();
             active.remove(generation.id());
             retained.put(generation.id(), generation);
         }
     }
 
-    private boolean crashes(Generation generation) {
+    private boolean containsCrashMarker(Generation generation) {
         return !options.crashMarker().isEmpty()
                 && generation.prompt().text().contains(options.crashMarker());
     }
 
     private void refreshReport(long now) {
-        if (now - report.takenNanos() >= options.loadLag().toNanos()) {
+        if (now - report.createdNanos() >= options.loadLag().toNanos()) {
             published = report;
             int running = options.overload().running(active.size(), options.slots());
             report = new LoadReport(running, active.size() - running, now);
         }
     }
 
-    private record LoadReport(int running, int waiting, long takenNanos) {}
+    private record LoadReport(int running, int waiting, long createdNanos) {}
 }
--- a/standins/src/main/java/org/sardinelift/standins/engine/EngineCounters.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/EngineCounters.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.sardinelift.standins.Json;
 
-/** What the engine did since its start; guarded by the loop. */
+/** Counters of the engine since its start. Guarded by the lock of {@link DecodeLoop}. */
 final class EngineCounters {
     private long started;
     private long completed;
--- a/standins/src/main/java/org/sardinelift/standins/engine/EngineOptions.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/EngineOptions.java
@@ -4,23 +4,23 @@
 import java.util.Set;
 
 /**
- * Behaviour of the engine's stand-in.
+ * Settings of the engine stand-in.
  *
  * @param host address to bind
- * @param port port to bind, 0 for any
- * @param models models loaded at the start
- * @param slots sequences decoded at once at full speed
+ * @param port port to bind, 0 for any free port
+ * @param models models loaded at start-up
+ * @param slots sequences that are decoded at once at full speed
  * @param overload what happens to requests beyond the slots
- * @param tokenTime time of one decode step
- * @param prefillPerToken time to read one prompt token that is not cached
- * @param cacheBlocks blocks of prompt prefixes kept
+ * @param tokenTime duration of one decode step
+ * @param prefillPerToken prefill time of a prompt token that is not cached
+ * @param cacheBlocks capacity of the prefix cache, in blocks
  * @param loadLag age of the load report
  * @param loadTime time to load a model
- * @param defaultTokens tokens of an answer where the request sets no bound
- * @param retained cut streams kept for a resume
+ * @param defaultTokens tokens of an answer if the request sets no maximum
+ * @param retained number of ended sequences kept for a resume
  * @param crashMarker text in a prompt that crashes the engine, empty for none
- * @param crashMode what a crash looks like
- * @param dropTime time that connections are refused after a crash by {@link CrashMode#DROP}
+ * @param crashMode how a crash appears to clients
+ * @param dropTime time for which {@link CrashMode#DROP} refuses connections
  * @param checksFence whether an order with an old fencing number is refused
  */
 public record EngineOptions(
@@ -42,9 +42,10 @@
         boolean checksFence) {
 
     /**
-     * Any port on loopback, one model {@code registry-llm}, eight slots, 5 ms a token.
+     * Returns the defaults: any free port on loopback, the model {@code registry-llm}, eight slots,
+     * 5 ms per token.
      *
-     * @return the default behaviour
+     * @return the default options
      */
     public static EngineOptions defaults() {
         return new EngineOptions(
@@ -69,72 +70,72 @@
     /**
      * Sets the decoding speed.
      *
-     * @param slotCount sequences decoded at once
-     * @param time time of one decode step
-     * @return changed options
+     * @param slotCount sequences that are decoded at once
+     * @param time duration of one decode step
+     * @return the changed options
      */
     public EngineOptions withSpeed(int slotCount, Duration time) {
-        Draft draft = new Draft(this);
-        draft.slots = slotCount;
-        draft.tokenTime = time;
-        return draft.options();
+        Builder builder = new Builder(this);
+        builder.slots = slotCount;
+        builder.tokenTime = time;
+        return builder.build();
     }
 
     /**
-     * Sets the time to read a prompt and the size of the prefix cache.
+     * Sets the prefill time and the capacity of the prefix cache.
      *
-     * @param perToken time for one prompt token that is not cached
-     * @param blocks blocks of prompt prefixes kept
-     * @return changed options
+     * @param perToken prefill time of a prompt token that is not cached
+     * @param blocks capacity of the prefix cache, in blocks
+     * @return the changed options
      */
     public EngineOptions withPrefill(Duration perToken, int blocks) {
-        Draft draft = new Draft(this);
-        draft.prefillPerToken = perToken;
-        draft.cacheBlocks = blocks;
-        return draft.options();
+        Builder builder = new Builder(this);
+        builder.prefillPerToken = perToken;
+        builder.cacheBlocks = blocks;
+        return builder.build();
     }
 
     /**
      * Sets what happens to requests beyond the slots.
      *
-     * @param beyondSlots the behaviour
-     * @return changed options
+     * @param beyondSlots how they are handled
+     * @return the changed options
      */
     public EngineOptions withOverload(Overload beyondSlots) {
-        Draft draft = new Draft(this);
-        draft.overload = beyondSlots;
-        return draft.options();
+        Builder builder = new Builder(this);
+        builder.overload = beyondSlots;
+        return builder.build();
     }
 
     /**
-     * Makes a marker in a prompt crash the engine as seen from outside, within this process.
+     * Simulates a crash by {@link CrashMode#DROP}, within this process, on a marker in a prompt.
      *
-     * @param marker text that crashes
-     * @param refused time that connections are refused afterwards
-     * @return changed options
+     * @param marker text in a prompt that causes the crash
+     * @param refused time for which connections are refused afterwards
+     * @return the changed options
      */
-    public EngineOptions withDropOn(String marker, Duration refused) {
-        Draft draft = new Draft(this);
-        draft.crashMarker = marker;
-        draft.crashMode = CrashMode.DROP;
-        draft.dropTime = refused;
-        return draft.options();
+    public EngineOptions withDropOnMarker(String marker, Duration refused) {
+        Builder builder = new Builder(this);
+        builder.crashMarker = marker;
+        builder.crashMode = CrashMode.DROP;
+        builder.dropTime = refused;
+        return builder.build();
     }
 
     /**
      * Sets whether orders with an old fencing number are refused.
      *
-     * @param checks whether they are
-     * @return changed options
+     * @param checks whether they are refused
+     * @return the changed options
      */
     public EngineOptions withFenceCheck(boolean checks) {
-        Draft draft = new Draft(this);
-        draft.checksFence = checks;
-        return draft.options();
+        Builder builder = new Builder(this);
+        builder.checksFence = checks;
+        return builder.build();
     }
 
-    /** Options under change. */
-    private static final class Draft {
+    /** Mutable copy of options. */
+    private static final class Builder {
         private String host;
         private int port;
         private Set<String> models;
@@ -152,7 +153,7 @@
         private Duration dropTime;
         private boolean checksFence;
 
-        Draft(EngineOptions from) {
+        Builder(EngineOptions from) {
             host = from.host;
             port = from.port;
             models = from.models;
@@ -171,7 +172,7 @@
             checksFence = from.checksFence;
         }
 
-        EngineOptions options() {
+        EngineOptions build() {
             return new EngineOptions(
                     host,
                     port,
--- a/standins/src/main/java/org/sardinelift/standins/engine/EngineStandin.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/EngineStandin.java
@@ -15,26 +15,26 @@
 import org.sardinelift.standins.EventLoops;
 import org.sardinelift.standins.Json;
 
-/** A model engine on a port. */
+/** Stand-in for a model engine: serves completions, orders and admin calls over HTTP. */
 public final class EngineStandin implements AutoCloseable {
-    private static final int THREADS = 2;
-    private static final int CRASH_STATUS = 1;
-    private static final String CANCEL = "/cancel/";
-    private static final String RESUME = "/resume/";
+    private static final int EVENT_LOOP_THREADS = 2;
+    private static final int CRASH_EXIT_STATUS = 1;
+    private static final String CANCEL_PREFIX = "/cancel/";
+    private static final String RESUME_PREFIX = "/resume/";
 
     private final EngineOptions options;
     private final EventLoopGroup group;
     private final DecodeLoop loop;
-    private final OrderBook orders;
-    private final AtomicLong anonymous = new AtomicLong();
-    private final AtomicBoolean dropped = new AtomicBoolean();
+    private final OrderProcessor orders;
+    private final AtomicLong localIds = new AtomicLong();
+    private final AtomicBoolean isDown = new AtomicBoolean();
     private final int port;
     private volatile HttpServer server;
 
     private EngineStandin(EngineOptions options) throws BindException {
         this.options = options;
-        this.group = EventLoops.start("engine-standin", THREADS);
-        this.orders = new OrderBook(options);
+        this.group = EventLoops.start("engine-standin", EVENT_LOOP_THREADS);
+        this.orders = new OrderProcessor(options);
         this.loop = new DecodeLoop(options, this::crash);
         this.server = bind(options.port());
         this.port = server.port();
@@ -43,16 +43,16 @@
     /**
      * Starts the stand-in.
      *
-     * @param options its behaviour
+     * @param options its settings
      * @return the running stand-in
-     * @throws BindException where the address is taken; choose another port
+     * @throws BindException if the address is in use; choose another port
      */
     public static EngineStandin start(EngineOptions options) throws BindException {
         return new EngineStandin(options);
     }
 
     /**
-     * The port that was bound.
+     * Returns the port that was bound.
      *
      * @return port number
      */
@@ -61,7 +61,7 @@
     }
 
     /**
-     * What the engine did since its start.
+     * Returns the counters since the start.
      *
      * @return counters started, completed, cancelled, resumed, tokens, cachedTokens, crashes and
      *     mostRunning
@@ -78,65 +78,65 @@
         EventLoops.stop(group);
     }
 
-    private HttpServer bind(int wanted) throws BindException {
+    private HttpServer bind(int bindPort) throws BindException {
         return HttpServer.start(
-                group, options.host(), wanted, HttpLimits.defaults(), null, this::handle);
+                group, options.host(), bindPort, HttpLimits.defaults(), null, this::handle);
     }
 
     private void handle(HttpExchange exchange) {
         String path = exchange.path();
-        if (path.startsWith(CANCEL)) {
-            boolean cut = loop.cancel(path.substring(CANCEL.length()));
-            exchange.respondJson(cut ? 200 : 404, "{\"cancelled\":" + cut + "}");
+        if (path.startsWith(CANCEL_PREFIX)) {
+            boolean cancelled = loop.cancel(path.substring(CANCEL_PREFIX.length()));
+            exchange.respondJson(cancelled ? 200 : 404, "{\"cancelled\":" + cancelled + "}");
             return;
         }
-        if (path.startsWith(RESUME)) {
-            resume(exchange, path.substring(RESUME.length()));
+        if (path.startsWith(RESUME_PREFIX)) {
+            handleResume(exchange, path.substring(RESUME_PREFIX.length()));
             return;
         }
         switch (exchange.method() + " " + path) {
-            case "POST /v1/chat/completions" -> complete(exchange, true);
-            case "POST /v1/completions" -> complete(exchange, false);
-            case "GET /v1/models" -> respond(exchange, 200, orders.models());
+            case "POST /v1/chat/completions" -> handleCompletion(exchange, true);
+            case "POST /v1/completions" -> handleCompletion(exchange, false);
+            case "GET /v1/models" -> respond(exchange, 200, orders.modelsJson());
             case "GET /load" -> respond(exchange, 200, loop.load());
-            case "POST /orders" -> order(exchange);
+            case "POST /orders" -> handleOrder(exchange);
             case "GET /admin/counters" -> respond(exchange, 200, loop.counters());
-            case "POST /admin/orders" -> orderFaults(exchange);
+            case "POST /admin/orders" -> handleOrderFaults(exchange);
             case "GET /admin/orders" -> respond(exchange, 200, orders.toJson());
             default -> refuse(exchange, 404, "no such path");
         }
     }
 
-    private void complete(HttpExchange exchange, boolean chat) {
+    private void handleCompletion(HttpExchange exchange, boolean chat) {
         JsonNode body = Json.parse(exchange.bodyText());
         if (!body.isObject()) {
             refuse(exchange, 400, "the body is not a JSON object");
             return;
         }
         Prompt prompt = Prompt.of(chat, body, options.defaultTokens());
-        if (!orders.serves(prompt.model())) {
+        if (!orders.isLoaded(prompt.model())) {
             refuse(exchange, 404, "the model " + prompt.model() + " is not loaded");
             return;
         }
         String given = exchange.header("X-Request-Id");
-        String id = given == null ? "local-" + anonymous.incrementAndGet() : given;
+        String id = given == null ? "local-" + localIds.incrementAndGet() : given;
         loop.start(id, prompt, exchange);
     }
 
-    private void resume(HttpExchange exchange, String id) {
-        int offset = (int) number(exchange.query("offset"));
+    private void handleResume(HttpExchange exchange, String id) {
+        int offset = (int) parseNumber(exchange.query("offset"));
         Optional<Integer> from = loop.resume(id, offset, exchange);
         if (from.isEmpty()) {
-            refuse(exchange, 404, "no such request is kept");
+            refuse(exchange, 404, "no request with this id is retained");
         } else if (from.get() != offset) {
             refuse(exchange, 416, "only " + from.get() + " bytes were written");
         }
     }
 
-    private void order(HttpExchange exchange) {
+    private void handleOrder(HttpExchange exchange) {
         JsonNode body = Json.parse(exchange.bodyText());
-        long fence = number(exchange.header("Fence"));
-        if (!orders.take(fence, body)) {
+        long fence = parseNumber(exchange.header("Fence"));
+        if (!orders.accept(fence, body)) {
             respond(
                     exchange,
                     409,
@@ -145,12 +145,12 @@
                             .put("highest", orders.highestFence()));
             return;
         }
-        long delayNanos = orders.timeToDone(body, System.nanoTime()).toNanos();
-        group.schedule(() -> finish(exchange, body), delayNanos, TimeUnit.NANOSECONDS);
+        long delayNanos = orders.scheduleCompletion(body, System.nanoTime()).toNanos();
+        group.schedule(() -> completeOrder(exchange, body), delayNanos, TimeUnit.NANOSECONDS);
     }
 
-    private void finish(HttpExchange exchange, JsonNode order) {
-        if (!orders.finish(order)) {
+    private void completeOrder(HttpExchange exchange, JsonNode order) {
+        if (!orders.apply(order)) {
             refuse(exchange, 500, "the version can't be loaded");
             return;
         }
@@ -159,21 +159,21 @@
         respond(exchange, 200, answer);
     }
 
-    private void orderFaults(HttpExchange exchange) {
-        orders.faults(Json.parse(exchange.bodyText()));
+    private void handleOrderFaults(HttpExchange exchange) {
+        orders.setFaults(Json.parse(exchange.bodyText()));
         respond(exchange, 200, orders.toJson());
     }
 
-    /** Called on the decode thread, so that the port can be closed and bound again. */
+    /** Runs on the decode thread: on an event loop, closing the port would wait for itself. */
     private void crash() {
         if (options.crashMode() == CrashMode.EXIT) {
-            Runtime.getRuntime().halt(CRASH_STATUS);
+            Runtime.getRuntime().halt(CRASH_EXIT_STATUS);
         }
-        if (!dropped.compareAndSet(false, true)) {
+        if (!isDown.compareAndSet(false, true)) {
             return;
         }
         server.close();
-        loop.forgetAll();
+        loop.clearState();
         Thread restart = new Thread(this::restart, "engine-standin-restart");
         restart.setDaemon(true);
         group.schedule(restart::start, options.dropTime().toMillis(), TimeUnit.MILLISECONDS);
@@ -182,7 +182,7 @@
     private void restart() {
         try {
             server = bind(port);
-            dropped.set(false);
+            isDown.set(false);
         } catch (BindException e) {
             group.schedule(
                     () -> new Thread(this::restart).start(),
@@ -191,7 +191,7 @@
         }
     }
 
-    private static long number(@Nullable String text) {
+    private static long parseNumber(@Nullable String text) {
         try {
             return text == null ? 0 : Long.parseLong(text);
         } catch (NumberFormatException e) {
--- a/standins/src/main/java/org/sardinelift/standins/engine/EngineText.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/EngineText.java
@@ -3,7 +3,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** The text that the engine gives for a prompt: a function of the prompt alone. */
+/** Generates answers that depend on the prompt alone, so that tests can predict them. */
 public final class EngineText {
     private static final int WORD_BITS = 24;
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -13,9 +13,9 @@
     private EngineText() {}
 
     /**
-     * The whole answer.
+     * Generates a whole answer.
      *
-     * @param prompt the prompt as {@link Prompt#text()} gives it
+     * @param prompt the prompt as returned by {@link Prompt#text()}
      * @param tokens number of tokens
      * @return the text of that many tokens
      */
@@ -33,7 +33,9 @@
     }
 
     static String token(long seed, int index) {
-        long mixed = (seed ^ (index * GOLDEN_GAMMA)) * GOLDEN_GAMMA;
-        return (index == 0 ? "" : " ") + "w" + Long.toHexString(mixed >>> (Long.SIZE - WORD_BITS));
+        long mixedSeed = (seed ^ (index * GOLDEN_GAMMA)) * GOLDEN_GAMMA;
+        return (index == 0 ? "" : " ")
+                + "w"
+                + Long.toHexString(mixedSeed >>> (Long.SIZE - WORD_BITS));
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/engine/Generation.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/Generation.java
@@ -5,12 +5,15 @@
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.http.HttpExchange;
 
-/** One sequence: what was asked, what has been written, and who reads it. Guarded by the loop. */
+/**
+ * A sequence: its prompt, the output so far and the exchange that reads it. Guarded by the lock of
+ * {@link DecodeLoop}.
+ */
 final class Generation {
     private final String id;
     private final Prompt prompt;
     private final long seed;
-    private final AnswerForm form;
+    private final ResponseFormat form;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private long readyNanos;
     private int produced;
@@ -21,7 +24,7 @@
         this.id = id;
         this.prompt = prompt;
         this.seed = EngineText.seed(prompt.text());
-        this.form = AnswerForm.of(prompt);
+        this.form = ResponseFormat.of(prompt);
         this.reader = reader;
     }
 
@@ -37,29 +40,29 @@
         return produced;
     }
 
-    boolean finished() {
+    boolean isFinished() {
         return finished;
     }
 
-    boolean readBy(HttpExchange exchange) {
+    boolean isReadBy(HttpExchange exchange) {
         return reader == exchange;
     }
 
-    void readyAt(long nanos) {
+    void setReadyNanos(long nanos) {
         readyNanos = nanos;
     }
 
-    boolean ready(long nowNanos) {
+    boolean isReady(long nowNanos) {
         return nowNanos - readyNanos >= 0;
     }
 
-    /** Produces one token and passes it on; the last one ends the answer. */
-    void step() {
+    /** Produces one token and writes it to the reader; the last one ends the response. */
+    void produceToken() {
         String token = EngineText.token(seed, produced);
         produced++;
-        append(form.token(id, prompt, token, produced));
+        append(form.encodeToken(id, prompt, token, produced));
         if (produced >= prompt.maxTokens()) {
-            append(form.end(id, prompt, EngineText.answer(prompt.text(), produced)));
+            append(form.encodeEnd(id, prompt, EngineText.answer(prompt.text(), produced)));
             finished = true;
             if (reader != null) {
                 reader.end();
@@ -67,10 +70,10 @@
         }
     }
 
-    /** Gives the rest of the answer from an offset to another reader. */
+    /** Continues the output with another reader, from an offset in bytes. */
     void resume(HttpExchange exchange, int offset) {
         reader = exchange;
-        startAnswer(exchange);
+        startResponse(exchange);
         byte[] written = body.toByteArray();
         if (offset < written.length) {
             exchange.write(Arrays.copyOfRange(written, offset, written.length));
@@ -80,15 +83,15 @@
         }
     }
 
-    int written() {
+    int writtenBytes() {
         return body.size();
     }
 
-    void detach() {
+    void clearReader() {
         reader = null;
     }
 
-    void abort() {
+    void abortReader() {
         if (reader != null) {
             reader.abort();
         }
@@ -100,12 +103,12 @@
         }
         body.writeBytes(part);
         if (reader != null) {
-            startAnswer(reader);
+            startResponse(reader);
             reader.write(part);
         }
     }
 
-    private void startAnswer(HttpExchange exchange) {
+    private void startResponse(HttpExchange exchange) {
         if (!exchange.started()) {
             exchange.start(200, java.util.Map.of("content-type", form.contentType()));
         }
--- a/standins/src/main/java/org/sardinelift/standins/engine/OrderBook.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/OrderProcessor.java
@@ -9,10 +9,10 @@
 import org.sardinelift.standins.Json;
 
 /**
- * Orders taken, and the models that they led to. Orders are carried out one after another; the
- * version before is served until the next one is loaded.
+ * Accepts orders and applies them to the loaded models. Orders run one after another; the previous
+ * version of a model is served until the next one is loaded.
  */
-final class OrderBook {
+final class OrderProcessor {
     private static final String LOAD = "load";
 
     private final boolean checksFence;
@@ -24,22 +24,22 @@
     private long highestFence;
     private String role = "serving";
 
-    OrderBook(EngineOptions options) {
+    OrderProcessor(EngineOptions options) {
         this.checksFence = options.checksFence();
         this.loadTime = options.loadTime();
         options.models().stream().sorted().forEach(model -> versions.put(model, "1"));
     }
 
-    /** Sets the time of a load and the version that can't be loaded; absent fields stay. */
-    synchronized void faults(JsonNode faults) {
+    /** Sets the load time and the version whose load fails; absent fields change nothing. */
+    synchronized void setFaults(JsonNode faults) {
         if (faults.has("loadMs")) {
             loadTime = Duration.ofMillis(faults.path("loadMs").asLong());
         }
         failingVersion = faults.path("failVersion").asText(failingVersion);
     }
 
-    /** Takes an order, or returns false where its fencing number is old and is checked. */
-    synchronized boolean take(long fence, JsonNode order) {
+    /** Accepts an order; returns false if fences are checked and its fencing number is old. */
+    synchronized boolean accept(long fence, JsonNode order) {
         if (checksFence && fence < highestFence) {
             return false;
         }
@@ -48,15 +48,15 @@
         return true;
     }
 
-    /** Time until an order that was taken is done: those before it come first. */
-    synchronized Duration timeToDone(JsonNode order, long nowNanos) {
-        long work = order.path("action").asText().equals(LOAD) ? loadTime.toNanos() : 0;
-        busyUntilNanos = Math.max(busyUntilNanos, nowNanos) + work;
+    /** Schedules an accepted order after those before it; returns the time until it is done. */
+    synchronized Duration scheduleCompletion(JsonNode order, long nowNanos) {
+        long durationNanos = order.path("action").asText().equals(LOAD) ? loadTime.toNanos() : 0;
+        busyUntilNanos = Math.max(busyUntilNanos, nowNanos) + durationNanos;
         return Duration.ofNanos(busyUntilNanos - nowNanos);
     }
 
-    /** Puts an order into effect; false where its version can't be loaded. */
-    synchronized boolean finish(JsonNode order) {
+    /** Applies an order; returns false if its version can't be loaded. */
+    synchronized boolean apply(JsonNode order) {
         String subject = order.path("subject").asText();
         String version = order.path("version").asText("1");
         switch (order.path("action").asText()) {
@@ -69,7 +69,7 @@
             case "unload" -> versions.remove(subject);
             case "role" -> role = subject;
             default -> {
-                // Another action is noted and changes nothing.
+                // Other actions are recorded but have no effect.
             }
         }
         return true;
@@ -79,11 +79,11 @@
         return highestFence;
     }
 
-    synchronized boolean serves(String model) {
+    synchronized boolean isLoaded(String model) {
         return versions.containsKey(model);
     }
 
-    synchronized ObjectNode models() {
+    synchronized ObjectNode modelsJson() {
         ObjectNode body = Json.object().put("object", "list").put("role", role);
         ArrayNode data = body.putArray("data");
         versions.forEach(
--- a/standins/src/main/java/org/sardinelift/standins/engine/Overload.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/Overload.java
@@ -1,15 +1,15 @@
 package org.sardinelift.standins.engine;
 
-/** What happens to requests beyond the slots; all are admitted. */
+/** How the engine handles requests beyond its slots. All are admitted. */
 public enum Overload {
-    /** They wait inside, first come first served. */
+    /** They wait in order of arrival. */
     WAIT {
         @Override
         int running(int admitted, int slots) {
             return Math.min(admitted, slots);
         }
     },
-    /** They run at once and slow all others. */
+    /** They run at once and slow down all others. */
     SLOW {
         @Override
         int running(int admitted, int slots) {
--- a/standins/src/main/java/org/sardinelift/standins/engine/PrefixCache.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/PrefixCache.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
-/** Prompt prefixes in blocks, the least recently used go first; not safe for several threads. */
+/** Cache of prompt prefixes in blocks; evicts the least recently used. Not thread-safe. */
 final class PrefixCache {
     static final int BLOCK_TOKENS = 16;
     private static final int BLOCK_CHARS = 64;
@@ -22,11 +22,11 @@
                 };
     }
 
-    /** Tokens of the prompt that were cached; afterwards all its whole blocks are. */
-    int touch(String prompt) {
-        int whole = prompt.length() / BLOCK_CHARS;
+    /** Caches all whole blocks of a prompt; returns how many of its tokens were cached before. */
+    int addAndCountHits(String prompt) {
+        int blockCount = prompt.length() / BLOCK_CHARS;
         long[] hashes =
-                IntStream.rangeClosed(1, whole)
+                IntStream.rangeClosed(1, blockCount)
                         .mapToLong(
                                 count -> EngineText.seed(prompt.substring(0, count * BLOCK_CHARS)))
                         .toArray();
--- a/standins/src/main/java/org/sardinelift/standins/engine/Prompt.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/Prompt.java
@@ -5,12 +5,12 @@
 import org.sardinelift.standins.Json;
 
 /**
- * What a completion request asks for.
+ * Parsed completion request.
  *
- * @param chat whether it came in the chat form
- * @param model model asked for
- * @param text the prompt; the messages of a chat as lines {@code role: content}
- * @param maxTokens tokens of the answer
+ * @param chat whether it is a chat request
+ * @param model requested model
+ * @param text the prompt; for a chat, its messages as lines {@code role: content}
+ * @param maxTokens number of tokens to generate
  * @param stream whether the answer is streamed
  */
 public record Prompt(boolean chat, String model, String text, int maxTokens, boolean stream) {
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Length of the prompt as the engine counts it.
+     * Returns the length of the prompt in tokens.
      *
-     * @return tokens, four characters each
+     * @return number of tokens, four characters each
      */
     public int tokens() {
         return Math.max(1, (text.length() + CHARS_PER_TOKEN - 1) / CHARS_PER_TOKEN);
--- a/standins/src/main/java/org/sardinelift/standins/engine/AnswerForm.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/ResponseFormat.java
@@ -5,18 +5,19 @@
 import java.time.Instant;
 import org.sardinelift.standins.Json;
 
-/** Shapes of an answer. */
-enum AnswerForm {
-    /** One JSON body at the end. */
+/** Formats in which a completion is returned. */
+enum ResponseFormat {
+    /** One JSON document after the last token. */
     WHOLE("application/json") {
         @Override
-        byte[] token(String id, Prompt prompt, String token, int count) {
-            return NOTHING;
+        byte[] encodeToken(String id, Prompt prompt, String token, int count) {
+            return EMPTY;
         }
 
         @Override
-        byte[] end(String id, Prompt prompt, String text) {
-            ObjectNode body = base(id, prompt, prompt.chat() ? "chat.completion" : COMPLETION);
+        byte[] encodeEnd(String id, Prompt prompt, String text) {
+            ObjectNode body =
+                    base(id, prompt, prompt.chat() ? "chat.completion" : COMPLETION_OBJECT);
             ObjectNode choice = body.putArray("choices").addObject().put("index", 0);
             if (prompt.chat()) {
                 choice.putObject("message").put("role", "assistant").put("content", text);
@@ -28,10 +29,10 @@
             return bytes(body.toString());
         }
     },
-    /** Server-sent events, one for each token. */
+    /** Server-sent events, one per token. */
     STREAM("text/event-stream") {
         @Override
-        byte[] token(String id, Prompt prompt, String token, int count) {
+        byte[] encodeToken(String id, Prompt prompt, String token, int count) {
             ObjectNode event = event(id, prompt);
             ObjectNode choice = event.putArray("choices").addObject().put("index", 0);
             if (prompt.chat()) {
@@ -48,7 +49,7 @@
         }
 
         @Override
-        byte[] end(String id, Prompt prompt, String text) {
+        byte[] encodeEnd(String id, Prompt prompt, String text) {
             ObjectNode event = event(id, prompt);
             ObjectNode choice = event.putArray("choices").addObject().put("index", 0);
             if (prompt.chat()) {
@@ -62,16 +63,16 @@
         }
     };
 
-    private static final byte[] NOTHING = {};
-    private static final String COMPLETION = "text_completion";
+    private static final byte[] EMPTY = {};
+    private static final String COMPLETION_OBJECT = "text_completion";
 
     private final String contentType;
 
-    AnswerForm(String contentType) {
+    ResponseFormat(String contentType) {
         this.contentType = contentType;
     }
 
-    static AnswerForm of(Prompt prompt) {
+    static ResponseFormat of(Prompt prompt) {
         return prompt.stream() ? STREAM : WHOLE;
     }
 
@@ -79,14 +80,14 @@
         return contentType;
     }
 
-    /** What is written for one token; the count includes it. */
-    abstract byte[] token(String id, Prompt prompt, String token, int count);
+    /** Encodes one token; the count includes it. */
+    abstract byte[] encodeToken(String id, Prompt prompt, String token, int count);
 
-    /** What is written after the last token. */
-    abstract byte[] end(String id, Prompt prompt, String text);
+    /** Encodes what follows the last token; the text is that of all tokens. */
+    abstract byte[] encodeEnd(String id, Prompt prompt, String text);
 
     private static ObjectNode event(String id, Prompt prompt) {
-        return base(id, prompt, prompt.chat() ? "chat.completion.chunk" : COMPLETION);
+        return base(id, prompt, prompt.chat() ? "chat.completion.chunk" : COMPLETION_OBJECT);
     }
 
     private static ObjectNode base(String id, Prompt prompt, String object) {
--- a/standins/src/main/java/org/sardinelift/standins/engine/package-info.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-in for a model engine: continuous batching, prefix cache, streams, orders. */
+/** Stand-in for a model engine: continuous batching, prefix cache, streaming, orders. */
 @NullMarked
 package org.sardinelift.standins.engine;
 
--- a/standins/src/main/java/org/sardinelift/standins/package-info.java
+++ b/standins/src/main/java/org/sardinelift/standins/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-ins for what surrounds the system, as processes and within tests. */
+/** Stand-ins for the platform and the targets, run as processes or within tests. */
 @NullMarked
 package org.sardinelift.standins;
 
--- a/standins/src/main/java/org/sardinelift/standins/plain/PlainStandin.java
+++ b/standins/src/main/java/org/sardinelift/standins/plain/PlainStandin.java
@@ -13,9 +13,9 @@
 import org.sardinelift.standins.EventLoops;
 import org.sardinelift.standins.Json;
 
-/** A plain service whose every call has an effect that is counted. */
+/** Stand-in for a plain service. Each call has an effect, which is counted by its id. */
 public final class PlainStandin implements AutoCloseable {
-    private static final int THREADS = 2;
+    private static final int EVENT_LOOP_THREADS = 2;
 
     private final PlainOptions options;
     private final EventLoopGroup group;
@@ -25,7 +25,7 @@
 
     private PlainStandin(PlainOptions options) throws BindException {
         this.options = options;
-        this.group = EventLoops.start("plain-standin", THREADS);
+        this.group = EventLoops.start("plain-standin", EVENT_LOOP_THREADS);
         this.server =
                 HttpServer.start(
                         group,
@@ -39,16 +39,16 @@
     /**
      * Starts the stand-in.
      *
-     * @param options its behaviour
+     * @param options its settings
      * @return the running stand-in
-     * @throws BindException where the address is taken; choose another port
+     * @throws BindException if the address is in use; choose another port
      */
     public static PlainStandin start(PlainOptions options) throws BindException {
         return new PlainStandin(options);
     }
 
     /**
-     * The port that was bound.
+     * Returns the port that was bound.
      *
      * @return port number
      */
@@ -57,12 +57,12 @@
     }
 
     /**
-     * How often one effect took place.
+     * Returns how often an effect took place.
      *
-     * @param id value of the header {@code X-Effect-Id}, or the body where there was none
+     * @param id value of the header {@code X-Effect-Id}, or the request body if there was none
      * @return number of calls with this effect
      */
-    public synchronized long effects(String id) {
+    public synchronized long effectCount(String id) {
         return effects.getOrDefault(id, 0L);
     }
 
@@ -75,7 +75,7 @@
 
     private void handle(HttpExchange exchange) {
         if (exchange.path().equals("/admin/effects")) {
-            exchange.respondJson(200, report().toString());
+            exchange.respondJson(200, effectsJson().toString());
             return;
         }
         if (exchange.path().equals("/load")) {
@@ -91,7 +91,7 @@
     }
 
     private void serve(HttpExchange exchange) {
-        long number = count(exchange);
+        long number = countEffect(exchange);
         if (isNth(number, options.cutEvery())) {
             exchange.abort();
         } else if (isNth(number, options.failEvery())) {
@@ -101,14 +101,14 @@
         }
     }
 
-    private synchronized long count(HttpExchange exchange) {
+    private synchronized long countEffect(HttpExchange exchange) {
         String given = exchange.header("X-Effect-Id");
         effects.merge(given == null ? exchange.bodyText() : given, 1L, Long::sum);
         calls++;
         return calls;
     }
 
-    private synchronized JsonNode report() {
+    private synchronized JsonNode effectsJson() {
         ObjectNode body = Json.object().put("calls", calls);
         ObjectNode counted = body.putObject("effects");
         effects.forEach(counted::put);
--- a/standins/src/main/java/org/sardinelift/standins/plain/package-info.java
+++ b/standins/src/main/java/org/sardinelift/standins/plain/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-in for a plain service that counts each effect. */
+/** Stand-in for a plain service, which counts the effects of its calls. */
 @NullMarked
 package org.sardinelift.standins.plain;
 
--- a/standins/src/main/java/org/sardinelift/standins/platform/Answer.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/ApiResponse.java
@@ -6,28 +6,28 @@
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.standins.Json;
 
-/** One answer of the platform. */
-record Answer(int status, Map<String, String> headers, ObjectNode body) {
+/** HTTP response of the platform: status, headers and JSON body. */
+record ApiResponse(int status, Map<String, String> headers, ObjectNode body) {
     private static final String JSON = "application/json";
 
-    static Answer ok(ObjectNode body) {
+    static ApiResponse ok(ObjectNode body) {
         return of(200, body);
     }
 
-    static Answer of(int status, ObjectNode body) {
-        return new Answer(status, Map.of("content-type", JSON), body);
+    static ApiResponse of(int status, ObjectNode body) {
+        return new ApiResponse(status, Map.of("content-type", JSON), body);
     }
 
-    static Answer absent(long revision) {
-        return new Answer(
+    static ApiResponse notFound(long revision) {
+        return new ApiResponse(
                 404,
                 Map.of("content-type", JSON, "revision", Long.toString(revision)),
                 Json.object().put("error", "no such object"));
     }
 
-    /** A refusal that had no effect. */
-    static Answer refused(int status) {
-        return new Answer(
+    /** Response to a call that was refused and had no effect. */
+    static ApiResponse refused(int status) {
+        return new ApiResponse(
                 status,
                 Map.of("content-type", JSON, "applied", "no", "retry-after", "1"),
                 Json.object().put("error", "refused; try again later"));
--- a/standins/src/main/java/org/sardinelift/standins/platform/CallCounts.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/CallCounts.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.sardinelift.standins.Json;
 
-/** Calls by kind and operation. */
+/** Counts the calls to the platform by kind of object and operation. */
 final class CallCounts {
     private final Map<String, Map<String, Long>> calls = new TreeMap<>();
     private long total;
--- a/standins/src/main/java/org/sardinelift/standins/platform/Change.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/Change.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.standins.Json;
 
-/** One change of the store: an object's new state, or its deletion. */
+/** One change in the object store: an object's new state, null where it was deleted. */
 record Change(String kind, String name, long revision, @Nullable StoredValue state) {
 
     ObjectNode toJson() {
--- a/standins/src/main/java/org/sardinelift/standins/platform/Faults.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/Faults.java
@@ -5,15 +5,15 @@
 import org.sardinelift.standins.Json;
 
 /**
- * Faults in force.
+ * Faults that the platform stand-in injects into its responses.
  *
- * @param down whether every connection is cut without an answer and without an effect
- * @param silent whether no call is answered or has an effect, while connections stay open
- * @param refuse whether every call gets 503 without an effect
- * @param slowMs time added to each answer after its effect, milliseconds
- * @param loseAnswers how many of the next writes take effect but get no answer
- * @param loseRequests how many of the next writes get no answer and take no effect
- * @param staleReads whether reads and lists show the version before the newest
+ * @param down whether every call has its connection closed, without a response or an effect
+ * @param silent whether calls get no response and have no effect, while connections stay open
+ * @param refuse whether every call is refused with status 503 and has no effect
+ * @param slowMs delay of each response after the call took effect, in milliseconds
+ * @param loseAnswers number of following writes that take effect but get no response
+ * @param loseRequests number of following writes that get no response and have no effect
+ * @param staleReads whether reads and lists return the version before the newest
  */
 public record Faults(
         boolean down,
@@ -35,18 +35,18 @@
                     "gap");
 
     /**
-     * No fault.
+     * Returns the setting without any fault.
      *
-     * @return faults of a sound platform
+     * @return faults of a platform that works normally
      */
     public static Faults none() {
         return new Faults(false, false, false, 0, 0, 0, false);
     }
 
     /**
-     * Faults as {@code POST /admin/faults} takes them.
+     * Parses the body of {@code POST /admin/faults}.
      *
-     * @param json the fields that differ from a sound platform
+     * @param json the fields that differ from {@link #none()}
      * @return the faults
      */
     public static Faults parse(String json) {
@@ -64,11 +64,11 @@
                 change.path("staleReads").asBoolean(staleReads));
     }
 
-    Faults oneAnswerLost() {
+    Faults afterLosingAnswer() {
         return new Faults(down, silent, refuse, slowMs, loseAnswers - 1, loseRequests, staleReads);
     }
 
-    Faults oneRequestLost() {
+    Faults afterLosingRequest() {
         return new Faults(down, silent, refuse, slowMs, loseAnswers, loseRequests - 1, staleReads);
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/platform/InstanceTable.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/InstanceTable.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.sardinelift.standins.Json;
 
-/** The list of instances; the caller applies the lag. */
+/** The instances that the platform lists; the caller delays changes by the lag. */
 final class InstanceTable {
     private final Map<String, ObjectNode> instances = new LinkedHashMap<>();
 
@@ -27,17 +27,17 @@
         return body;
     }
 
-    private void register(JsonNode given) {
-        String name = given.path("name").asText();
+    private void register(JsonNode instance) {
+        String name = instance.path("name").asText();
         instances.put(
                 name,
                 Json.object()
                         .put("name", name)
-                        .put("role", given.path("role").asText())
-                        .put("zone", given.path("zone").asText())
-                        .put("host", given.path("host").asText("127.0.0.1"))
-                        .put("port", given.path("port").asInt())
-                        .put("target", given.path("target").asText())
-                        .put("leaving", given.path("leaving").asBoolean()));
+                        .put("role", instance.path("role").asText())
+                        .put("zone", instance.path("zone").asText())
+                        .put("host", instance.path("host").asText("127.0.0.1"))
+                        .put("port", instance.path("port").asInt())
+                        .put("target", instance.path("target").asText())
+                        .put("leaving", instance.path("leaving").asBoolean()));
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/platform/ObjectApi.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/ObjectApi.java
@@ -13,7 +13,7 @@
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.standins.Json;
 
-/** Applies calls to the objects, and answers watches that wait. */
+/** Executes object calls, and completes waiting watches when an object changes or they time out. */
 final class ObjectApi {
     private static final int MAX_VALUE_BYTES = 1_000_000;
 
@@ -26,14 +26,15 @@
         this.objects = new ObjectTable(historyLength);
     }
 
-    void apply(Operation operation, boolean stale, Consumer<Answer> result) {
+    void apply(Operation operation, boolean stale, Consumer<ApiResponse> result) {
         switch (operation.type()) {
             case READ -> result.accept(read(operation, stale));
             case LIST -> result.accept(list(operation, stale));
             case WRITE -> result.accept(change(operation, operation.body()));
             case DELETE -> result.accept(change(operation, null));
             case WATCH -> watch(operation, result);
-            default -> result.accept(Answer.of(404, Json.object().put("error", "no such call")));
+            default ->
+                    result.accept(ApiResponse.of(404, Json.object().put("error", "no such call")));
         }
     }
 
@@ -47,39 +48,40 @@
         woken.forEach(this::answer);
     }
 
-    private synchronized Answer read(Operation operation, boolean stale) {
+    private synchronized ApiResponse read(Operation operation, boolean stale) {
         var found =
                 stale
                         ? objects.readStale(operation.kind(), operation.name())
                         : objects.read(operation.kind(), operation.name());
-        return found.map(state -> Answer.ok(state.toJson()))
-                .orElseGet(() -> Answer.absent(objects.revision()));
+        return found.map(state -> ApiResponse.ok(state.toJson()))
+                .orElseGet(() -> ApiResponse.notFound(objects.revision()));
     }
 
-    private synchronized Answer list(Operation operation, boolean stale) {
+    private synchronized ApiResponse list(Operation operation, boolean stale) {
         ObjectNode body = Json.object().put("revision", objects.revision());
         ArrayNode list = body.putArray("objects");
         (stale
                         ? objects.listStale(operation.kind(), operation.name())
                         : objects.list(operation.kind(), operation.name()))
                 .forEach(state -> list.add(state.toJson()));
-        return Answer.ok(body);
+        return ApiResponse.ok(body);
     }
 
-    private Answer change(Operation operation, @Nullable String value) {
+    private ApiResponse change(Operation operation, @Nullable String value) {
         if (value != null && value.getBytes(StandardCharsets.UTF_8).length > MAX_VALUE_BYTES) {
-            return Answer.of(413, Json.object().put("error", "the value exceeds 1000000 bytes"));
+            return ApiResponse.of(
+                    413, Json.object().put("error", "the value exceeds 1000000 bytes"));
         }
-        Answer answer;
+        ApiResponse answer;
         List<Watch> woken;
         synchronized (this) {
             long actual = objects.version(operation.kind(), operation.name());
-            if (operation.number() != actual || (value == null && actual == 0)) {
-                return Answer.of(409, Json.object().put("version", actual));
+            if (operation.versionOrRevision() != actual || (value == null && actual == 0)) {
+                return ApiResponse.of(409, Json.object().put("version", actual));
             }
             long version = objects.put(operation.kind(), operation.name(), value);
             answer =
-                    Answer.ok(
+                    ApiResponse.ok(
                             Json.object()
                                     .put("version", version)
                                     .put("revision", objects.revision()));
@@ -93,8 +95,13 @@
         return answer;
     }
 
-    private void watch(Operation operation, Consumer<Answer> result) {
-        Watch watch = new Watch(operation.kinds(), operation.number(), result, new AtomicBoolean());
+    private void watch(Operation operation, Consumer<ApiResponse> result) {
+        Watch watch =
+                new Watch(
+                        operation.kinds(),
+                        operation.versionOrRevision(),
+                        result,
+                        new AtomicBoolean());
         synchronized (this) {
             boolean ready =
                     objects.compactedSince(watch.after())
@@ -121,17 +128,17 @@
         }
     }
 
-    private synchronized Answer changes(Watch watch) {
+    private synchronized ApiResponse changes(Watch watch) {
         if (objects.compactedSince(watch.after())) {
-            return Answer.of(410, Json.object().put("error", "compacted; list again"));
+            return ApiResponse.of(410, Json.object().put("error", "compacted; list again"));
         }
         ObjectNode body = Json.object().put("revision", objects.revision());
         ArrayNode list = body.putArray("changes");
         objects.changesSince(watch.kinds(), watch.after())
                 .forEach(change -> list.add(change.toJson()));
-        return Answer.ok(body);
+        return ApiResponse.ok(body);
     }
 
     private record Watch(
-            Set<String> kinds, long after, Consumer<Answer> result, AtomicBoolean answered) {}
+            Set<String> kinds, long after, Consumer<ApiResponse> result, AtomicBoolean answered) {}
 }
--- a/standins/src/main/java/org/sardinelift/standins/platform/ObjectTable.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/ObjectTable.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** Objects with versions, and the history of their changes; not safe for several threads. */
+/** Objects with versions, and the history of their changes. Not thread-safe. */
 final class ObjectTable {
     private final int historyLength;
     private final Map<String, TreeMap<String, StoredValue>> kinds = new HashMap<>();
@@ -28,10 +28,10 @@
     }
 
     Optional<StoredValue> read(String kind, String name) {
-        return Optional.ofNullable(ofKind(kind).get(name));
+        return Optional.ofNullable(objectsOfKind(kind).get(name));
     }
 
-    /** The version before the newest, as a lagging replica would show it. */
+    /** Returns the version before the newest, as a lagging replica would. */
     Optional<StoredValue> readStale(String kind, String name) {
         return Optional.ofNullable(previous.get(kind + "/" + name)).or(() -> read(kind, name));
     }
@@ -40,7 +40,7 @@
         return read(kind, name).map(StoredValue::version).orElse(0L);
     }
 
-    /** Writes a value, or deletes the object where the value is null. */
+    /** Writes a value, or deletes the object if the value is null; returns the new version. */
     long put(String kind, String name, @Nullable String value) {
         Optional<StoredValue> current = read(kind, name);
         current.ifPresent(state -> previous.put(kind + "/" + name, state));
@@ -49,9 +49,9 @@
         StoredValue state =
                 value == null ? null : new StoredValue(kind, name, version, revision, value);
         if (state == null) {
-            ofKind(kind).remove(name);
+            objectsOfKind(kind).remove(name);
         } else {
-            ofKind(kind).put(name, state);
+            objectsOfKind(kind).put(name, state);
         }
         history.add(new Change(kind, name, revision, state));
         while (history.size() > historyLength) {
@@ -61,7 +61,7 @@
     }
 
     List<StoredValue> list(String kind, String prefix) {
-        return ofKind(kind).tailMap(prefix, true).values().stream()
+        return objectsOfKind(kind).tailMap(prefix, true).values().stream()
                 .takeWhile(state -> state.name().startsWith(prefix))
                 .toList();
     }
@@ -76,10 +76,10 @@
         return after < compactedRevision;
     }
 
-    List<Change> changesSince(Set<String> wanted, long after) {
+    List<Change> changesSince(Set<String> watchedKinds, long after) {
         return history.stream()
                 .filter(change -> change.revision() > after)
-                .filter(change -> wanted.contains(change.kind()))
+                .filter(change -> watchedKinds.contains(change.kind()))
                 .toList();
     }
 
@@ -88,7 +88,7 @@
         compactedRevision = revision;
     }
 
-    private TreeMap<String, StoredValue> ofKind(String kind) {
+    private TreeMap<String, StoredValue> objectsOfKind(String kind) {
         return kinds.computeIfAbsent(kind, key -> new TreeMap<>());
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/platform/Operation.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/Operation.java
@@ -6,24 +6,35 @@
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.http.HttpExchange;
 
-/** One call of the platform's API, parsed. */
+/**
+ * One parsed call of the platform's API.
+ *
+ * @param type operation called
+ * @param kind kind of object, empty for a watch and the list of instances
+ * @param name name of the object, or the name prefix for a list
+ * @param kinds kinds watched
+ * @param versionOrRevision version that a change expects, or revision after which a watch starts;
+ *     -1 where absent or malformed
+ * @param waitMs time that a watch waits for a change, milliseconds
+ * @param body request body
+ */
 record Operation(
         OperationType type,
         String kind,
         String name,
         Set<String> kinds,
-        long number,
+        long versionOrRevision,
         long waitMs,
         String body) {
 
-    private static final int PARTS_OF_LIST = 3;
-    private static final int PARTS_OF_OBJECT = 4;
+    private static final int LIST_PATH_PARTS = 3;
+    private static final int OBJECT_PATH_PARTS = 4;
 
     static Operation of(HttpExchange exchange) {
         String rawPath = exchange.uri().split("\\?", 2)[0];
-        String[] parts = rawPath.split("/", PARTS_OF_OBJECT);
-        String kind = parts.length >= PARTS_OF_LIST ? decode(parts[2]) : "";
-        String name = parts.length == PARTS_OF_OBJECT ? decode(parts[3]) : "";
+        String[] parts = rawPath.split("/", OBJECT_PATH_PARTS);
+        String kind = parts.length >= LIST_PATH_PARTS ? decode(parts[2]) : "";
+        String name = parts.length == OBJECT_PATH_PARTS ? decode(parts[3]) : "";
         OperationType type = type(exchange.method(), parts);
         String prefix = exchange.query("prefix");
         boolean list = type == OperationType.LIST;
@@ -32,8 +43,8 @@
                 kind,
                 list ? (prefix == null ? "" : prefix) : name,
                 kinds(exchange.query("kinds")),
-                number(exchange.query(type == OperationType.WATCH ? "after" : "ifVersion")),
-                Math.max(0, number(exchange.query("waitMs"))),
+                parseNumber(exchange.query(type == OperationType.WATCH ? "after" : "ifVersion")),
+                Math.max(0, parseNumber(exchange.query("waitMs"))),
                 exchange.bodyText());
     }
 
@@ -58,7 +69,7 @@
         return list == null ? Set.of() : Set.copyOf(java.util.List.of(list.split(",")));
     }
 
-    private static long number(@Nullable String text) {
+    private static long parseNumber(@Nullable String text) {
         try {
             return text == null ? -1 : Long.parseLong(text);
         } catch (NumberFormatException e) {
--- a/standins/src/main/java/org/sardinelift/standins/platform/OperationType.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/OperationType.java
@@ -11,18 +11,18 @@
     UNKNOWN("unknown", false);
 
     private final String label;
-    private final boolean changes;
+    private final boolean isChange;
 
-    OperationType(String label, boolean changes) {
+    OperationType(String label, boolean isChange) {
         this.label = label;
-        this.changes = changes;
+        this.isChange = isChange;
     }
 
     String label() {
         return label;
     }
 
-    boolean changes() {
-        return changes;
+    boolean isChange() {
+        return isChange;
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/platform/PlatformOptions.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/PlatformOptions.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * Behaviour of the platform's stand-in.
+ * Settings of the platform stand-in.
  *
  * @param host address to bind
- * @param port port to bind, 0 for any
- * @param writesPerSecond writes and deletes a second, 0 for no limit
- * @param readsPerSecond reads, lists and watches a second, 0 for no limit
- * @param listLag time until a change shows in the list of instances
+ * @param port port to bind, 0 for any free port
+ * @param writesPerSecond limit of writes and deletes per second, 0 for none
+ * @param readsPerSecond limit of reads, lists and watches per second, 0 for none
+ * @param listLag time until the list of instances shows a change
  * @param historyLength changes kept for watches; older ones are compacted
  */
 public record PlatformOptions(
@@ -20,23 +20,23 @@
         Duration listLag,
         int historyLength) {
 
-    private static final int DEFAULT_HISTORY = 10_000;
+    private static final int DEFAULT_HISTORY_LENGTH = 10_000;
 
     /**
-     * Any port on loopback, no limits, no lag.
+     * Returns the defaults: any free port on loopback, no limits, no lag.
      *
-     * @return the default behaviour
+     * @return the default options
      */
     public static PlatformOptions defaults() {
-        return new PlatformOptions("127.0.0.1", 0, 0, 0, Duration.ZERO, DEFAULT_HISTORY);
+        return new PlatformOptions("127.0.0.1", 0, 0, 0, Duration.ZERO, DEFAULT_HISTORY_LENGTH);
     }
 
     /**
-     * Sets the limits.
+     * Sets the rate limits.
      *
-     * @param writes writes and deletes a second, 0 for no limit
-     * @param reads reads, lists and watches a second, 0 for no limit
-     * @return changed options
+     * @param writes limit of writes and deletes per second, 0 for none
+     * @param reads limit of reads, lists and watches per second, 0 for none
+     * @return the changed options
      */
     public PlatformOptions withRates(int writes, int reads) {
         return new PlatformOptions(host, port, writes, reads, listLag, historyLength);
@@ -45,8 +45,8 @@
     /**
      * Sets the lag of the list of instances.
      *
-     * @param lag time until a change shows
-     * @return changed options
+     * @param lag time until the list shows a change
+     * @return the changed options
      */
     public PlatformOptions withListLag(Duration lag) {
         return new PlatformOptions(host, port, writesPerSecond, readsPerSecond, lag, historyLength);
@@ -56,7 +56,7 @@
      * Sets how many changes are kept for watches.
      *
      * @param length number of changes
-     * @return changed options
+     * @return the changed options
      */
     public PlatformOptions withHistory(int length) {
         return new PlatformOptions(host, port, writesPerSecond, readsPerSecond, listLag, length);
--- a/standins/src/main/java/org/sardinelift/standins/platform/PlatformStandin.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/PlatformStandin.java
@@ -14,10 +14,13 @@
 import org.sardinelift.standins.EventLoops;
 import org.sardinelift.standins.Json;
 
-/** The platform's object API on a port, with faults set by {@code POST /admin/faults}. */
+/**
+ * In-memory stand-in for the platform: serves its object API over HTTP, with faults that {@code
+ * POST /admin/faults} sets.
+ */
 public final class PlatformStandin implements AutoCloseable {
-    private static final int THREADS = 2;
-    private static final String ADMIN = "/admin/";
+    private static final int EVENT_LOOP_THREADS = 2;
+    private static final String ADMIN_PREFIX = "/admin/";
     private static final Set<String> INSTANCE_FIELDS =
             Set.of("register", "leaving", "deregister", "lagMs");
 
@@ -33,7 +36,7 @@
 
     private PlatformStandin(PlatformOptions options) throws BindException {
         this.options = options;
-        this.group = EventLoops.start("platform-standin", THREADS);
+        this.group = EventLoops.start("platform-standin", EVENT_LOOP_THREADS);
         this.api = new ObjectApi(group, options.historyLength());
         this.writes = new RateLimit(options.writesPerSecond());
         this.reads = new RateLimit(options.readsPerSecond());
@@ -50,16 +53,16 @@
     /**
      * Starts the stand-in.
      *
-     * @param options its behaviour
+     * @param options its settings
      * @return the running stand-in
-     * @throws BindException where the address is taken; choose another port
+     * @throws BindException if the address is in use; choose another port
      */
     public static PlatformStandin start(PlatformOptions options) throws BindException {
         return new PlatformStandin(options);
     }
 
     /**
-     * The port that was bound.
+     * Returns the port that was bound.
      *
      * @return port number
      */
@@ -68,7 +71,7 @@
     }
 
     /**
-     * Sets the faults in force.
+     * Sets the injected faults.
      *
      * @param next the faults from now on
      */
@@ -76,12 +79,12 @@
         faults = next;
     }
 
-    /** Forgets the history, so that every watch from an older revision meets a gap. */
+    /** Discards the history of changes, so that a watch from an older revision reports a gap. */
     public void compact() {
         api.compact();
     }
 
-    /** Stops the stand-in; its objects are lost. */
+    /** Stops the stand-in and discards its objects. */
     @Override
     public void close() {
         server.close();
@@ -89,57 +92,58 @@
     }
 
     private void handle(HttpExchange exchange) {
-        if (exchange.path().startsWith(ADMIN)) {
-            administer(exchange);
+        if (exchange.path().startsWith(ADMIN_PREFIX)) {
+            handleAdmin(exchange);
             return;
         }
         Operation operation = Operation.of(exchange);
         counts.count(operation.countedKind(), operation.type().label());
-        if (failed(exchange)) {
+        if (respondAsOutage(exchange)) {
             return;
         }
-        if (!(operation.type().changes() ? writes : reads).tryTake()) {
+        if (!(operation.type().isChange() ? writes : reads).tryAcquire()) {
             counts.countRefused();
-            Answer.refused(429).sendTo(exchange);
+            ApiResponse.refused(429).sendTo(exchange);
             return;
         }
-        if (operation.type().changes() && takeLostRequest()) {
+        if (operation.type().isChange() && consumeLostRequest()) {
             exchange.abort();
             return;
         }
         serve(exchange, operation);
     }
 
-    /** Treats a call as an outage does, where there is one. */
-    private boolean failed(HttpExchange exchange) {
+    /** Handles a call as the outage in force demands; returns false if there is none. */
+    private boolean respondAsOutage(HttpExchange exchange) {
         Faults now = faults;
         if (now.down()) {
             exchange.abort();
         } else if (now.refuse()) {
             counts.countRefused();
-            Answer.refused(503).sendTo(exchange);
+            ApiResponse.refused(503).sendTo(exchange);
         }
         return now.down() || now.refuse() || now.silent();
     }
 
     private void serve(HttpExchange exchange, Operation operation) {
         if (operation.type() == OperationType.INSTANCES) {
-            answer(exchange, Answer.ok(instances.toJson()));
+            answer(exchange, ApiResponse.ok(instances.toJson()));
             return;
         }
         api.apply(
                 operation,
                 faults.staleReads(),
                 result -> {
-                    if (operation.type().changes() && takeLostAnswer()) {
+                    if (operation.type().isChange() && consumeLostAnswer()) {
                         exchange.abort();
-                    } else if (operation.type() != OperationType.WATCH || !failed(exchange)) {
+                    } else if (operation.type() != OperationType.WATCH
+                            || !respondAsOutage(exchange)) {
                         answer(exchange, result);
                     }
                 });
     }
 
-    private void answer(HttpExchange exchange, Answer result) {
+    private void answer(HttpExchange exchange, ApiResponse result) {
         int slowMs = faults.slowMs();
         if (slowMs == 0) {
             result.sendTo(exchange);
@@ -148,34 +152,34 @@
         group.schedule(() -> result.sendTo(exchange), slowMs, TimeUnit.MILLISECONDS);
     }
 
-    private synchronized boolean takeLostRequest() {
+    private synchronized boolean consumeLostRequest() {
         if (faults.loseRequests() <= 0) {
             return false;
         }
-        faults = faults.oneRequestLost();
+        faults = faults.afterLosingRequest();
         return true;
     }
 
-    private synchronized boolean takeLostAnswer() {
+    private synchronized boolean consumeLostAnswer() {
         if (faults.loseAnswers() <= 0) {
             return false;
         }
-        faults = faults.oneAnswerLost();
+        faults = faults.afterLosingAnswer();
         return true;
     }
 
-    private void administer(HttpExchange exchange) {
+    private void handleAdmin(HttpExchange exchange) {
         JsonNode body = Json.parse(exchange.bodyText());
         switch (exchange.method() + " " + exchange.path()) {
             case "GET /admin/calls" -> exchange.respondJson(200, counts.toJson().toString());
-            case "POST /admin/faults" -> setFaults(exchange, body);
-            case "POST /admin/instances" -> changeInstances(exchange, body);
+            case "POST /admin/faults" -> handleFaults(exchange, body);
+            case "POST /admin/instances" -> handleInstances(exchange, body);
             default -> exchange.respondJson(404, "{\"error\":\"no such admin call\"}");
         }
     }
 
-    private void setFaults(HttpExchange exchange, JsonNode change) {
-        if (refusedFields(exchange, change, Faults.FIELDS)) {
+    private void handleFaults(HttpExchange exchange, JsonNode change) {
+        if (refuseUnknownFields(exchange, change, Faults.FIELDS)) {
             return;
         }
         synchronized (this) {
@@ -187,8 +191,8 @@
         exchange.respondJson(200, "{\"ok\":true}");
     }
 
-    private void changeInstances(HttpExchange exchange, JsonNode change) {
-        if (refusedFields(exchange, change, INSTANCE_FIELDS)) {
+    private void handleInstances(HttpExchange exchange, JsonNode change) {
+        if (refuseUnknownFields(exchange, change, INSTANCE_FIELDS)) {
             return;
         }
         long lagMs = change.path("lagMs").asLong(options.listLag().toMillis());
@@ -200,8 +204,9 @@
         exchange.respondJson(200, "{\"ok\":true}");
     }
 
-    /** Refuses a body that is no JSON object or holds a field that means nothing here. */
-    private static boolean refusedFields(HttpExchange exchange, JsonNode body, Set<String> known) {
+    /** Refuses a body that is not a JSON object or has an unknown field; returns false if valid. */
+    private static boolean refuseUnknownFields(
+            HttpExchange exchange, JsonNode body, Set<String> known) {
         List<String> unknown = new ArrayList<>();
         body.fieldNames().forEachRemaining(unknown::add);
         unknown.removeAll(known);
--- a/standins/src/main/java/org/sardinelift/standins/platform/RateLimit.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/RateLimit.java
@@ -1,6 +1,6 @@
 package org.sardinelift.standins.platform;
 
-/** Calls allowed in each second; a limit of 0 allows all. */
+/** Token bucket that limits calls per second; a limit of 0 admits all. */
 final class RateLimit {
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -13,13 +13,13 @@
         this.tokens = perSecond;
     }
 
-    synchronized boolean tryTake() {
+    synchronized boolean tryAcquire() {
         if (perSecond == 0) {
             return true;
         }
         long now = System.nanoTime();
-        double earned = (now - refilledNanos) / NANOS_PER_SECOND * perSecond;
-        tokens = Math.min(perSecond, tokens + earned);
+        double refill = (now - refilledNanos) / NANOS_PER_SECOND * perSecond;
+        tokens = Math.min(perSecond, tokens + refill);
         refilledNanos = now;
         if (tokens < 1) {
             return false;
--- a/standins/src/main/java/org/sardinelift/standins/platform/StoredValue.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/StoredValue.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.sardinelift.standins.Json;
 
-/** One version of an object. */
+/** One version of a stored object. */
 record StoredValue(String kind, String name, long version, long revision, String value) {
 
     ObjectNode toJson() {
--- a/standins/src/main/java/org/sardinelift/standins/platform/package-info.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-in for the platform: object API, list of instances, faults. */
+/** Stand-in for the platform: object API, list of instances and injected faults. */
 @NullMarked
 package org.sardinelift.standins.platform;
 
--- a/standins/src/test/java/org/sardinelift/standins/engine/EngineStandinTest.java
+++ b/standins/src/test/java/org/sardinelift/standins/engine/EngineStandinTest.java
@@ -29,7 +29,7 @@
 
 final class EngineStandinTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
-    private static final Duration FAST = Duration.ofMillis(1);
+    private static final Duration STEP_TIME = Duration.ofMillis(1);
     private static final String PROMPT = "user: tag 41";
 
     private EventLoopGroup group;
@@ -40,7 +40,7 @@
     void start() throws BindException {
         group = EventLoops.start("test", 1);
         client = HttpClient.create(group, TIMEOUT, null);
-        restart(EngineOptions.defaults().withSpeed(4, FAST));
+        restart(EngineOptions.defaults().withSpeed(4, STEP_TIME));
     }
 
     @AfterEach
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void streamAndWholeAnswerHoldTheSameText() {
+    void streamedAndWholeAnswersHaveTheSameText() {
         String expected = EngineText.answer(PROMPT, 12);
         HttpAnswer whole = post("/v1/chat/completions", "r1", chat(12, false));
         HttpAnswer stream = post("/v1/chat/completions", "r2", chat(12, true));
@@ -58,30 +58,30 @@
         assertEquals(expected, body.at("/choices/0/message/content").asText());
         assertEquals(12, body.at("/usage/completion_tokens").asInt());
         long ageSeconds = Instant.now().getEpochSecond() - body.path("created").asLong();
-        assertTrue(ageSeconds >= 0 && ageSeconds < 60, "made " + ageSeconds + " s ago");
-        assertEquals(expected, streamed(stream.text()));
+        assertTrue(ageSeconds >= 0 && ageSeconds < 60, "created " + ageSeconds + " s ago");
+        assertEquals(expected, streamedText(stream.text()));
         assertTrue(stream.text().endsWith("data: [DONE]\n\n"));
     }
 
     @Test
-    void aClosedConnectionCancelsAndAResumeGoesOnWhereItWas() {
+    void aClosedConnectionCancelsAndAResumeContinuesFromTheOffset() {
         ByteArrayOutputStream first = new ByteArrayOutputStream();
-        Runnable cut =
+        Runnable closeConnection =
                 client.send(
                         call("POST", "/v1/chat/completions", "r3", chat(400, true)),
-                        new Gathering(first));
+                        new CollectingListener(first));
         await().until(() -> size(first) > 500);
-        cut.run();
+        closeConnection.run();
         await().until(() -> engine.counters().path("cancelled").asInt() == 1);
         long tokens = engine.counters().path("tokens").asLong();
-        byte[] got;
+        byte[] received;
         synchronized (first) {
-            got = first.toByteArray();
+            received = first.toByteArray();
         }
-        HttpAnswer rest = post("/resume/r3?offset=" + got.length, "r3", "");
+        HttpAnswer rest = post("/resume/r3?offset=" + received.length, "r3", "");
         assertEquals(
                 EngineText.answer(PROMPT, 400),
-                streamed(new String(got, StandardCharsets.UTF_8) + rest.text()));
+                streamedText(new String(received, StandardCharsets.UTF_8) + rest.text()));
         assertEquals(400, engine.counters().path("tokens").asLong());
         assertTrue(tokens < 400);
     }
@@ -96,16 +96,16 @@
     }
 
     @Test
-    void theMarkerCutsAllAndTheEngineComesBackEmpty() throws BindException {
+    void aCrashDropsAllConnectionsAndClearsTheState() throws BindException {
         restart(
                 EngineOptions.defaults()
-                        .withSpeed(4, FAST)
-                        .withDropOn("BOOM", TIMEOUT.dividedBy(50)));
+                        .withSpeed(4, STEP_TIME)
+                        .withDropOnMarker("BOOM", TIMEOUT.dividedBy(50)));
         var innocent = client.call(call("POST", "/v1/completions", "i", completion("x", 4_000)));
         var marked = client.call(call("POST", "/v1/completions", "m", completion("BOOM", 4)));
         assertThrows(CompletionException.class, marked::join);
         assertThrows(CompletionException.class, innocent::join);
-        await().until(() -> answers(completion("y", 3)));
+        await().until(() -> isAnswered(completion("y", 3)));
         assertEquals(1, engine.counters().path("crashes").asInt());
     }
 
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aCachedPrefixIsNotReadAgain() {
+    void aCachedPrefixIsNotPrefilledAgain() {
         String prompt = "p".repeat(640);
         post("/v1/completions", "a", completion(prompt, 1));
         assertEquals(0, engine.counters().path("cachedTokens").asInt());
@@ -129,15 +129,15 @@
     }
 
     @Test
-    void beyondItsSlotsRequestsWaitOrSlowAllOthers() throws BindException {
-        EngineOptions four = EngineOptions.defaults().withSpeed(4, Duration.ofMillis(10));
-        restart(four);
-        assertEquals(4, mostRunningOf(12));
-        restart(four.withOverload(Overload.SLOW));
-        assertEquals(12, mostRunningOf(12));
+    void requestsBeyondTheSlotsWaitOrSlowAllOthers() throws BindException {
+        EngineOptions fourSlots = EngineOptions.defaults().withSpeed(4, Duration.ofMillis(10));
+        restart(fourSlots);
+        assertEquals(4, maxRunningOf(12));
+        restart(fourSlots.withOverload(Overload.SLOW));
+        assertEquals(12, maxRunningOf(12));
     }
 
-    private int mostRunningOf(int requests) {
+    private int maxRunningOf(int requests) {
         List<String> answers =
                 Stream.iterate(0, index -> index + 1)
                         .limit(requests)
@@ -170,7 +170,7 @@
         return client.call(request("POST", "/orders", headers, body)).join().status();
     }
 
-    private boolean answers(String body) {
+    private boolean isAnswered(String body) {
         return client.call(call("POST", "/v1/completions", "again", body))
                 .handle((answer, error) -> error == null && answer.status() == 200)
                 .join();
@@ -205,7 +205,7 @@
                 .formatted(prompt, tokens);
     }
 
-    private static String streamed(String events) {
+    private static String streamedText(String events) {
         return events.lines()
                 .filter(line -> line.startsWith("data: {"))
                 .map(line -> Json.parse(line.substring("data: ".length())))
@@ -219,7 +219,7 @@
         }
     }
 
-    private record Gathering(ByteArrayOutputStream bytes) implements HttpAnswerListener {
+    private record CollectingListener(ByteArrayOutputStream bytes) implements HttpAnswerListener {
         @Override
         public void onHead(int status, List<Map.Entry<String, String>> headers) {}
 
--- a/standins/src/test/java/org/sardinelift/standins/plain/PlainStandinTest.java
+++ b/standins/src/test/java/org/sardinelift/standins/plain/PlainStandinTest.java
@@ -35,8 +35,8 @@
             send(service, "notice-1", "a");
             JsonNode echo = Json.parse(send(service, "notice-1", "b").text());
             send(service, "notice-2", "c");
-            assertEquals(2, service.effects("notice-1"));
-            assertEquals(1, service.effects("notice-2"));
+            assertEquals(2, service.effectCount("notice-1"));
+            assertEquals(1, service.effectCount("notice-2"));
             assertEquals("b", echo.path("body").asText());
             assertEquals("notice-1", echo.at("/headers/X-Effect-Id").asText());
         }
@@ -49,8 +49,8 @@
             assertEquals(200, send(service, "first", "").status());
             assertEquals(500, send(service, "second", "").status());
             assertThrows(CompletionException.class, () -> send(service, "third", ""));
-            assertEquals(1, service.effects("second"));
-            assertEquals(1, service.effects("third"));
+            assertEquals(1, service.effectCount("second"));
+            assertEquals(1, service.effectCount("third"));
         }
     }
 
--- a/standins/src/test/java/org/sardinelift/standins/platform/HttpObjectStoreTest.java
+++ b/standins/src/test/java/org/sardinelift/standins/platform/HttpObjectStoreTest.java
@@ -28,7 +28,10 @@
 import org.sardinelift.objects.WriteResult;
 import org.sardinelift.standins.EventLoops;
 
-/** The platform's client against the platform's stand-in, with the platform's faults. */
+/**
+ * Runs the platform client against the platform stand-in. Guards against a result that claims more
+ * than is known when answers or requests are lost, refused, stale or late.
+ */
 final class HttpObjectStoreTest {
     private static final ObjectKey TEAM = new ObjectKey("team", "patrol/Ūdens & co");
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -74,7 +77,7 @@
     }
 
     @Test
-    void aLostAnswerIsUnclearAndTheWriteHolds() {
+    void aLostAnswerIsUnclearThoughTheWriteTookEffect() {
         platform.faults(Faults.parse("{\"loseAnswers\":1}"));
         assertInstanceOf(WriteResult.Unclear.class, store.write(TEAM, 0, "a").join());
         assertInstanceOf(ReadResult.Found.class, store.read(TEAM).join());
@@ -111,22 +114,22 @@
     @Test
     void aSilentPlatformLeavesAWriteUnclear() {
         platform.faults(Faults.parse("{\"silent\":true}"));
-        ObjectStore hasty = connect(platform.port(), Duration.ofMillis(100));
-        assertInstanceOf(WriteResult.Unclear.class, hasty.write(TEAM, 0, "a").join());
-        assertInstanceOf(ReadResult.Unavailable.class, hasty.read(TEAM).join());
+        ObjectStore shortTimeoutStore = connect(platform.port(), Duration.ofMillis(100));
+        assertInstanceOf(WriteResult.Unclear.class, shortTimeoutStore.write(TEAM, 0, "a").join());
+        assertInstanceOf(ReadResult.Unavailable.class, shortTimeoutStore.read(TEAM).join());
         platform.faults(Faults.none());
         assertEquals(new ReadResult.Absent(0), store.read(TEAM).join());
     }
 
     @Test
-    void aClosedPortIsNotWritten() {
+    void aWriteToAClosedPortIsNotWritten() {
         int port = platform.port();
         platform.close();
         assertInstanceOf(WriteResult.NotWritten.class, connect(port).write(TEAM, 0, "a").join());
     }
 
     @Test
-    void aStaleReadShowsTheVersionBefore() {
+    void staleReadsReturnThePreviousVersion() {
         store.write(TEAM, 0, "a").join();
         store.write(TEAM, 1, "b").join();
         platform.faults(Faults.parse("{\"staleReads\":true}"));
@@ -139,8 +142,8 @@
     @Test
     void anAnswerThatComesTooLateLeavesAWriteUnclear() {
         platform.faults(Faults.parse("{\"slowMs\":2000}"));
-        ObjectStore hasty = connect(platform.port(), Duration.ofMillis(100));
-        assertInstanceOf(WriteResult.Unclear.class, hasty.write(TEAM, 0, "a").join());
+        ObjectStore shortTimeoutStore = connect(platform.port(), Duration.ofMillis(100));
+        assertInstanceOf(WriteResult.Unclear.class, shortTimeoutStore.write(TEAM, 0, "a").join());
         platform.faults(Faults.none());
         await().until(() -> store.read(TEAM).join() instanceof ReadResult.Found);
     }
@@ -156,7 +159,7 @@
     }
 
     @Test
-    void aWatchFromACompactedRevisionMeetsAGap() {
+    void aWatchFromACompactedRevisionReportsAGap() {
         store.write(TEAM, 0, "a").join();
         platform.compact();
         assertInstanceOf(
@@ -170,10 +173,10 @@
     void callsOverTheRateAreNotWritten() throws BindException {
         try (PlatformStandin limited =
                 PlatformStandin.start(PlatformOptions.defaults().withRates(2, 2))) {
-            ObjectStore paced = connect(limited.port());
+            ObjectStore client = connect(limited.port());
             List<WriteResult> results =
                     List.of("1", "2", "3", "4", "5", "6", "7", "8").stream()
-                            .map(name -> paced.write(new ObjectKey("job", name), 0, name))
+                            .map(name -> client.write(new ObjectKey("job", name), 0, name))
                             .map(CompletableFuture::join)
                             .toList();
             assertTrue(results.stream().anyMatch(WriteResult.NotWritten.class::isInstance));
@@ -185,35 +188,35 @@
         return connect(port, TIMEOUT);
     }
 
-    private ObjectStore connect(int port, Duration silence) {
+    private ObjectStore connect(int port, Duration timeout) {
         return HttpObjectStore.create(
-                HttpClient.create(group, TIMEOUT, null), "127.0.0.1", port, silence);
+                HttpClient.create(group, TIMEOUT, null), "127.0.0.1", port, timeout);
     }
 
     @Test
     void theListOfInstancesLags() throws BindException {
-        PlatformOptions lagging = PlatformOptions.defaults().withListLag(Duration.ofHours(1));
-        String soon = ",\"lagMs\":20}";
-        try (PlatformStandin standin = PlatformStandin.start(lagging)) {
-            ObjectStore lister = connect(standin.port());
+        PlatformOptions options = PlatformOptions.defaults().withListLag(Duration.ofHours(1));
+        String withShortLag = ",\"lagMs\":20}";
+        try (PlatformStandin standin = PlatformStandin.start(options)) {
+            ObjectStore client = connect(standin.port());
             String register = "{\"register\":[{\"name\":\"e1\",\"role\":\"entry\",\"port\":7}]";
-            administer(standin, register + "}");
-            assertEquals(List.of(), instances(lister));
-            administer(standin, register + soon);
-            await().until(() -> instances(lister).size() == 1);
-            administer(standin, "{\"leaving\":[\"e1\"]" + soon);
-            await().until(() -> instances(lister).get(0).isLeaving());
-            administer(standin, "{\"deregister\":[\"e1\"]}");
-            assertEquals(1, instances(lister).size());
-            administer(standin, "{\"deregister\":[\"e1\"]" + soon);
-            await().until(() -> instances(lister).isEmpty());
+            changeInstances(standin, register + "}");
+            assertEquals(List.of(), instances(client));
+            changeInstances(standin, register + withShortLag);
+            await().until(() -> instances(client).size() == 1);
+            changeInstances(standin, "{\"leaving\":[\"e1\"]" + withShortLag);
+            await().until(() -> instances(client).get(0).isLeaving());
+            changeInstances(standin, "{\"deregister\":[\"e1\"]}");
+            assertEquals(1, instances(client).size());
+            changeInstances(standin, "{\"deregister\":[\"e1\"]" + withShortLag);
+            await().until(() -> instances(client).isEmpty());
         }
     }
 
     @Test
-    void anAdminCallThatIsNotUnderstoodIsRefused() {
-        assertEquals(400, administer(platform, "{\"register\":[{\"port\":,}]}"));
-        assertEquals(400, administer(platform, "{\"regster\":[]}"));
+    void anAdminCallWithAnInvalidBodyIsRefused() {
+        assertEquals(400, changeInstances(platform, "{\"register\":[{\"port\":,}]}"));
+        assertEquals(400, changeInstances(platform, "{\"regster\":[]}"));
         assertEquals(List.of(), instances(store));
     }
 
@@ -232,7 +235,7 @@
                 .text();
     }
 
-    private int administer(PlatformStandin standin, String json) {
+    private int changeInstances(PlatformStandin standin, String json) {
         byte[] body = json.getBytes(StandardCharsets.UTF_8);
         return HttpClient.create(group, TIMEOUT, null)
                 .call(
