--- a/testkit/src/main/java/org/sardinelift/testkit/FakeObjectStore.java
+++ b/testkit/src/main/java/org/sardinelift/testkit/FakeObjectStore.java
@@ -19,86 +19,87 @@
 import org.sardinelift.objects.WriteResult;
 
 /**
- * The platform's object API in memory, answering on the calling thread. Faults are set by the test:
- * outage, lost answers, stale reads. A watch answers at once with what there is.
+ * In-memory fake of the platform's object API. All calls complete on the calling thread; a watch
+ * returns the changes so far without waiting. Tests can set faults: outage, lost answers and stale
+ * reads.
  */
 public final class FakeObjectStore implements ObjectStore {
     private final Map<String, StoredObject> objects = new TreeMap<>();
     private final Map<String, StoredObject> previous = new HashMap<>();
-    private final List<WatchResult.Change> log = new ArrayList<>();
+    private final List<WatchResult.Change> history = new ArrayList<>();
     private List<InstancesResult.Instance> listed = List.of();
     private long revision;
-    private long compactedBefore;
+    private long compactedRevision;
     private boolean down;
     private boolean stale;
     private int answersToLose;
-    private int writesToRefuse;
+    private int writesToDrop;
     private int calls;
 
     /**
-     * Sets an outage of the platform.
+     * Starts or ends an outage of the platform.
      *
-     * @param isDown whether every call fails from now on
+     * @param isDown whether all following calls fail
      */
     public synchronized void down(boolean isDown) {
         down = isDown;
     }
 
     /**
-     * Sets stale reads.
+     * Switches stale reads on or off.
      *
-     * @param isStale whether reads show the version before the newest from now on
+     * @param isStale whether following reads return the version before the newest
      */
     public synchronized void stale(boolean isStale) {
         stale = isStale;
     }
 
     /**
-     * Loses the answers of the next writes, which take effect all the same.
+     * Loses the answers to the next writes, which take effect nevertheless.
      *
-     * @param count how many
+     * @param count number of writes
      */
     public synchronized void loseAnswers(int count) {
         answersToLose = count;
     }
 
     /**
-     * Drops the next writes, whose answers are unclear and which take no effect.
+     * Drops the next writes: they have no effect, and their result is unclear.
      *
-     * @param count how many
+     * @param count number of writes
      */
     public synchronized void dropWrites(int count) {
-        writesToRefuse = count;
+        writesToDrop = count;
     }
 
-    /** Forgets the history, so that every watch from an older revision meets a gap. */
+    /** Discards the history of changes, so that a watch from an older revision reports a gap. */
     public synchronized void compact() {
-        log.clear();
-        compactedBefore = revision;
+        history.clear();
+        compactedRevision = revision;
     }
 
     /**
-     * Sets the lagging list of instances.
+     * Sets the instances that the platform lists; real lists lag behind the fleet.
      *
-     * @param instances what the list shows from now on
+     * @param instances the listed instances
      */
     public synchronized void list(List<InstancesResult.Instance> instances) {
         listed = List.copyOf(instances);
     }
 
     /**
-     * Calls made so far, waiting watches included.
+     * Returns the number of calls so far, including watches.
      *
-     * @return their number
+     * @return number of calls
      */
     public synchronized int calls() {
         return calls;
     }
 
     /**
-     * The store's revision.
+     * Returns the revision of the last write.
      *
-     * @return revision of the last write
+     * @return revision of the store
      */
     public synchronized long revision() {
         return revision;
@@ -108,12 +109,12 @@
     public synchronized CompletableFuture<ReadResult> read(ObjectKey key) {
         calls++;
         if (down) {
-            return done(new ReadResult.Unavailable("the platform is down"));
+            return completed(new ReadResult.Unavailable("the platform is down"));
         }
         String id = id(key);
         StoredObject object =
                 stale && previous.containsKey(id) ? previous.get(id) : objects.get(id);
-        return done(
+        return completed(
                 object == null ? new ReadResult.Absent(revision) : new ReadResult.Found(object));
     }
 
@@ -131,17 +132,17 @@
             ObjectKey key, long expected, Function<Long, StoredObject> next) {
         calls++;
         if (down) {
-            return done(new WriteResult.NotWritten("the platform is down"));
+            return completed(new WriteResult.NotWritten("the platform is down"));
         }
-        if (writesToRefuse > 0) {
-            writesToRefuse--;
-            return done(new WriteResult.Unclear("no answer"));
+        if (writesToDrop > 0) {
+            writesToDrop--;
+            return completed(new WriteResult.Unclear("no answer"));
         }
         String id = id(key);
         StoredObject current = objects.get(id);
         long actual = current == null ? ABSENT_VERSION : current.version();
         if (actual != expected) {
-            return done(new WriteResult.Conflict(actual));
+            return completed(new WriteResult.Conflict(actual));
         }
         revision++;
         StoredObject written = next.apply(actual + 1);
@@ -153,26 +154,26 @@
         } else {
             objects.put(id, written);
         }
-        log.add(new WatchResult.Change(key, revision, written));
+        history.add(new WatchResult.Change(key, revision, written));
         if (answersToLose > 0) {
             answersToLose--;
-            return done(new WriteResult.Unclear("the answer was lost"));
+            return completed(new WriteResult.Unclear("the answer was lost"));
         }
-        return done(new WriteResult.Written(actual + 1, revision));
+        return completed(new WriteResult.Written(actual + 1, revision));
     }
 
     @Override
     public synchronized CompletableFuture<ListResult> list(String kind, String namePrefix) {
         calls++;
         if (down) {
-            return done(new ListResult.Unavailable("the platform is down"));
+            return completed(new ListResult.Unavailable("the platform is down"));
         }
         List<StoredObject> found =
                 objects.values().stream()
                         .filter(object -> object.key().kind().equals(kind))
                         .filter(object -> object.key().name().startsWith(namePrefix))
                         .toList();
-        return done(new ListResult.Listed(revision, found));
+        return completed(new ListResult.Listed(revision, found));
     }
 
     @Override
@@ -180,23 +181,23 @@
             Set<String> kinds, long after, Duration wait) {
         calls++;
         if (down) {
-            return done(new WatchResult.Unavailable("the platform is down"));
+            return completed(new WatchResult.Unavailable("the platform is down"));
         }
-        if (after < compactedBefore) {
-            return done(new WatchResult.Gap());
+        if (after < compactedRevision) {
+            return completed(new WatchResult.Gap());
         }
         List<WatchResult.Change> changes =
-                log.stream()
+                history.stream()
                         .filter(change -> change.revision() > after)
                         .filter(change -> kinds.contains(change.key().kind()))
                         .toList();
-        return done(new WatchResult.Changes(revision, changes));
+        return completed(new WatchResult.Changes(revision, changes));
     }
 
     @Override
     public synchronized CompletableFuture<InstancesResult> instances() {
         calls++;
-        return done(
+        return completed(
                 down
                         ? new InstancesResult.Unavailable("the platform is down")
                         : new InstancesResult.Instances(listed));
@@ -206,7 +207,7 @@
         return key.kind() + "/" + key.name();
     }
 
-    private static <T> CompletableFuture<T> done(T result) {
+    private static <T> CompletableFuture<T> completed(T result) {
         return CompletableFuture.completedFuture(result);
     }
 }
--- a/testkit/src/main/java/org/sardinelift/testkit/SilentRelay.java
+++ b/testkit/src/main/java/org/sardinelift/testkit/SilentRelay.java
@@ -9,15 +9,18 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Passes bytes between a client and a server, and can go silent in a direction without a reset. */
+/**
+ * TCP relay between clients and a server, for tests of silent connections: it can stop forwarding
+ * in either direction without closing or resetting the connection.
+ */
 public final class SilentRelay implements AutoCloseable {
-    private final ServerSocket listening;
+    private final ServerSocket listener;
     private final int serverPort;
     private final List<Pipe> pipes = new CopyOnWriteArrayList<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
-    private SilentRelay(ServerSocket listening, int serverPort) {
-        this.listening = listening;
+    private SilentRelay(ServerSocket listener, int serverPort) {
+        this.listener = listener;
         this.serverPort = serverPort;
     }
 
@@ -26,38 +29,38 @@
      *
      * @param serverPort port of the server, on the loopback address
      * @return the running relay
-     * @throws IOException where no port can be bound
+     * @throws IOException if no port can be bound
      */
     public static SilentRelay start(int serverPort) throws IOException {
         SilentRelay relay =
                 new SilentRelay(
                         new ServerSocket(0, 16, InetAddress.getLoopbackAddress()), serverPort);
-        daemon(relay::accept);
+        startDaemon(relay::accept);
         return relay;
     }
 
     /**
-     * The port that clients connect to.
+     * Returns the port that clients connect to.
      *
      * @return port number
      */
     public int port() {
-        return listening.getLocalPort();
+        return listener.getLocalPort();
     }
 
-    /** Open connections carry nothing to the server any more, not even their end. */
+    /** Stops forwarding from open connections to the server, including the end of the stream. */
     public void silenceToServer() {
         pipes.stream().filter(Pipe::toServer).forEach(Pipe::silence);
     }
 
-    /** Open connections carry nothing to the client any more, not even their end. */
+    /** Stops forwarding from open connections to the client, including the end of the stream. */
     public void silenceToClient() {
         pipes.stream().filter(pipe -> !pipe.toServer()).forEach(Pipe::silence);
     }
 
     @Override
     public void close() throws IOException {
-        listening.close();
+        listener.close();
         for (Socket socket : sockets) {
             socket.close();
         }
@@ -66,23 +69,23 @@
     private void accept() {
         try {
             while (true) {
-                Socket client = listening.accept();
+                Socket client = listener.accept();
                 Socket server = new Socket(InetAddress.getLoopbackAddress(), serverPort);
                 sockets.addAll(List.of(client, server));
-                start(new Pipe(client, server, true));
-                start(new Pipe(server, client, false));
+                startPipe(new Pipe(client, server, true));
+                startPipe(new Pipe(server, client, false));
             }
         } catch (IOException expected) {
             // The relay is closed.
         }
     }
 
-    private void start(Pipe pipe) {
+    private void startPipe(Pipe pipe) {
         pipes.add(pipe);
-        daemon(pipe::run);
+        startDaemon(pipe::run);
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task, "relay");
         thread.setDaemon(true);
         thread.start();
@@ -121,7 +124,7 @@
                     read = in.read(buffer);
                 }
             } catch (IOException expected) {
-                // Either end is closed.
+                // One of the sockets was closed.
             }
             if (!silent) {
                 close(to);
@@ -132,7 +135,7 @@
             try {
                 socket.close();
             } catch (IOException expected) {
-                // Closed already.
+                // The socket is closed already.
             }
         }
     }
--- a/testkit/src/main/java/org/sardinelift/testkit/package-info.java
+++ b/testkit/src/main/java/org/sardinelift/testkit/package-info.java
@@ -1,4 +1,4 @@
-/** Hand-written fakes for the tests of several modules. */
+/** Fakes for the tests of several modules. */
 @NullMarked
 package org.sardinelift.testkit;
 
