--- a/system-tests/src/test/java/org/sardinelift/system/BatchFailureTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/BatchFailureTest.java
@@ -15,17 +15,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of batch jobs while entries, companions and the platform fail. */
+/**
+ * Guards against lost or duplicated results of batch jobs when entries or targets are killed or
+ * suspended, and when the platform fails or loses answers.
+ */
 class BatchFailureTest {
     private static final int ITEMS = 200;
-    private static final Duration FEW_SECONDS = Duration.ofSeconds(15);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(15);
 
     private Fleet fleet;
 
     @BeforeEach
     void start() throws IOException {
         fleet = Fleet.start();
-        fleet.serve(2);
+        fleet.startServing(2);
     }
 
     @AfterEach
@@ -33,10 +36,10 @@
         fleet.close();
     }
 
-    private String accepted(String entry, String jobKey, int items) throws IOException {
-        HttpResponse<String> answer = fleet.submit(entry, jobKey, fleet.job(items, 4));
+    private String submitJob(String entry, String jobKey, int items) throws IOException {
+        HttpResponse<String> answer = fleet.submit(entry, jobKey, fleet.jobLines(items, 4));
         assertTrue(answer.statusCode() == 201 || answer.statusCode() == 200, answer.body());
-        return fleet.tree(answer.body()).path("id").asText();
+        return fleet.parseJson(answer.body()).path("id").asText();
     }
 
     private void assertEachItemOnce(String entry, String id, int items) throws IOException {
@@ -53,14 +56,14 @@
                                 result.toString()));
     }
 
-    private String holder(String entry, String id) {
+    private String awaitHolder(String entry, String id) {
         return Awaitility.await()
-                .atMost(FEW_SECONDS)
+                .atMost(AWAIT_TIMEOUT)
                 .until(
                         () ->
-                                fleet.tree(
+                                fleet.parseJson(
                                                 fleet.send(
-                                                                fleet.call(
+                                                                fleet.callerRequest(
                                                                                 entry,
                                                                                 Fleet.KEY,
                                                                                 "/v1/batches/" + id)
@@ -71,13 +74,13 @@
                         holder -> !holder.isEmpty());
     }
 
-    private static String other(String entry) {
+    private static String otherEntry(String entry) {
         return entry.equals("entry-1") ? "entry-2" : "entry-1";
     }
 
     @Test
     void entryKilledRightAfterAcceptanceLosesNothing() throws Exception {
-        String id = accepted("entry-1", "killed-after", ITEMS);
+        String id = submitJob("entry-1", "killed-after", ITEMS);
         fleet.processes.get("entry-1").kill();
 
         fleet.awaitJob("entry-2", id, "completed");
@@ -86,26 +89,26 @@
 
     @Test
     void holderKilledMidwayIsReplaced() throws Exception {
-        String id = accepted("entry-1", "holder-killed", ITEMS);
-        String holder = holder("entry-1", id);
+        String id = submitJob("entry-1", "holder-killed", ITEMS);
+        String holder = awaitHolder("entry-1", id);
         fleet.processes.get(holder).kill();
 
-        fleet.awaitJob(other(holder), id, "completed");
-        assertEachItemOnce(other(holder), id, ITEMS);
+        fleet.awaitJob(otherEntry(holder), id, "completed");
+        assertEachItemOnce(otherEntry(holder), id, ITEMS);
     }
 
     @Test
-    void frozenHolderCannotCommitAfterItWakes() throws Exception {
-        String id = accepted("entry-1", "holder-frozen", ITEMS);
-        String holder = holder("entry-1", id);
-        fleet.processes.get(holder).freeze();
-        String survivor = other(holder);
+    void suspendedHolderCannotCommitAfterItResumes() throws Exception {
+        String id = submitJob("entry-1", "holder-frozen", ITEMS);
+        String holder = awaitHolder("entry-1", id);
+        fleet.processes.get(holder).suspend();
+        String survivor = otherEntry(holder);
 
         fleet.awaitJob(survivor, id, "completed");
         List<JsonNode> before = fleet.results(survivor, id);
-        fleet.processes.get(holder).thaw();
+        fleet.processes.get(holder).resume();
         Awaitility.await()
-                .atMost(FEW_SECONDS)
+                .atMost(AWAIT_TIMEOUT)
                 .ignoreExceptions()
                 .until(() -> fleet.results(holder, id).equals(before));
         assertEachItemOnce(survivor, id, ITEMS);
@@ -113,8 +116,8 @@
 
     @Test
     void sameJobThroughTwoEntriesIsOneJob() throws Exception {
-        String first = accepted("entry-1", "resent", 20);
-        String second = accepted("entry-2", "resent", 20);
+        String first = submitJob("entry-1", "resent", 20);
+        String second = submitJob("entry-2", "resent", 20);
 
         assertEquals(first, second);
         fleet.awaitJob("entry-1", first, "completed");
@@ -122,9 +125,9 @@
     }
 
     @Test
-    void lostAnswersOfThePlatformDoubleNothing() throws Exception {
-        fleet.faults("{\"loseAnswers\":3}");
-        String id = accepted("entry-1", "lost-answers", 20);
+    void lostAnswersOfThePlatformDuplicateNoItem() throws Exception {
+        fleet.setPlatformFaults("{\"loseAnswers\":3}");
+        String id = submitJob("entry-1", "lost-answers", 20);
 
         fleet.awaitJob("entry-2", id, "completed");
         assertEachItemOnce("entry-1", id, 20);
@@ -132,22 +135,22 @@
 
     @Test
     void platformOutageDelaysResultsAndRefusesNewJobs() throws Exception {
-        String id = accepted("entry-1", "outage", ITEMS);
-        fleet.faults("{\"down\":true}");
+        String id = submitJob("entry-1", "outage", ITEMS);
+        fleet.setPlatformFaults("{\"down\":true}");
 
-        HttpResponse<String> refused = fleet.submit("entry-1", "new", fleet.job(3, 1));
+        HttpResponse<String> refused = fleet.submit("entry-1", "new", fleet.jobLines(3, 1));
         assertEquals(503, refused.statusCode(), refused.body());
-        assertEquals("not_run", fleet.tree(refused.body()).path("outcome").asText());
+        assertEquals("not_run", fleet.parseJson(refused.body()).path("outcome").asText());
         assertTrue(refused.headers().firstValue("retry-after").isPresent());
 
-        fleet.faults("{\"down\":false}");
+        fleet.setPlatformFaults("{\"down\":false}");
         fleet.awaitJob("entry-2", id, "completed");
         assertEachItemOnce("entry-1", id, ITEMS);
     }
 
     @Test
     void targetDeathLosesNoItem() throws Exception {
-        String id = accepted("entry-1", "target-death", ITEMS);
+        String id = submitJob("entry-1", "target-death", ITEMS);
         fleet.processes.get("engine-1").kill();
 
         fleet.awaitJob("entry-2", id, "completed");
@@ -156,11 +159,11 @@
 
     @Test
     void cancelledJobStopsAndWritesNothingMore() throws Exception {
-        String id = accepted("entry-1", "cancel", 2_000);
-        holder("entry-2", id);
+        String id = submitJob("entry-1", "cancel", 2_000);
+        awaitHolder("entry-2", id);
         HttpResponse<String> answer =
                 fleet.send(
-                        fleet.call("entry-2", Fleet.KEY, "/v1/batches/" + id + "/cancel")
+                        fleet.callerRequest("entry-2", Fleet.KEY, "/v1/batches/" + id + "/cancel")
                                 .POST(HttpRequest.BodyPublishers.noBody()));
 
         assertTrue(answer.statusCode() < 300, answer.body());
@@ -168,11 +171,12 @@
         List<JsonNode> results = fleet.results("entry-1", id);
         assertTrue(status.path("request_counts").path("open").asInt() == 0, status.toString());
         Awaitility.await()
-                .atMost(FEW_SECONDS)
+                .atMost(AWAIT_TIMEOUT)
                 .until(
                         () ->
-                                fleet.counters("engine-1", "/load").path("running").asInt() == 0
-                                        && fleet.counters("engine-2", "/load")
+                                fleet.fetchFromTarget("engine-1", "/load").path("running").asInt()
+                                                == 0
+                                        && fleet.fetchFromTarget("engine-2", "/load")
                                                         .path("running")
                                                         .asInt()
                                                 == 0);
--- a/system-tests/src/test/java/org/sardinelift/system/ChildProcess.java
+++ b/system-tests/src/test/java/org/sardinelift/system/ChildProcess.java
@@ -11,22 +11,22 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A program of the workspace as a process of its own, from its ready line to its end. */
+/** Runs a program of the workspace as a separate process. */
 final class ChildProcess implements AutoCloseable {
-    private static final long STOP_SECONDS = 20;
+    private static final long EXIT_TIMEOUT_SECONDS = 20;
 
     private final Process process;
-    private final JsonNode ready;
+    private final JsonNode readyLine;
 
-    private ChildProcess(Process process, JsonNode ready) {
+    private ChildProcess(Process process, JsonNode readyLine) {
         this.process = process;
-        this.ready = ready;
+        this.readyLine = readyLine;
     }
 
-    /** Starts a program and waits for its ready line. */
+    /** Starts a program and waits until it prints its ready line. */
     static ChildProcess start(Path log, int heapMegabytes, String jar, String... args)
             throws IOException {
-        List<String> command = new ArrayList<>(java(heapMegabytes, jar));
+        List<String> command = new ArrayList<>(javaCommand(heapMegabytes, jar));
         command.addAll(List.of(args));
         Process process =
                 new ProcessBuilder(command)
@@ -37,14 +37,14 @@
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         String line = lines.readLine();
         if (line == null) {
-            throw new IOException(jar + " ended before it was ready; see " + log);
+            throw new IOException(jar + " exited before it was ready; see " + log);
         }
         return new ChildProcess(process, new ObjectMapper().readTree(line));
     }
 
-    /** Runs a program to its end and returns what it printed. */
+    /** Runs a program until it exits and returns its output. */
     static Output run(Path log, String jar, String... args) throws IOException {
-        List<String> command = new ArrayList<>(java(64, jar));
+        List<String> command = new ArrayList<>(javaCommand(64, jar));
         command.addAll(List.of(args));
         Process process =
                 new ProcessBuilder(command)
@@ -54,7 +54,7 @@
         return new Output(process.onExit().join().exitValue(), text);
     }
 
-    private static List<String> java(int heapMegabytes, String jar) {
+    private static List<String> javaCommand(int heapMegabytes, String jar) {
         Path root = Path.of(System.getProperty("workspace.root"));
         return List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -65,46 +65,47 @@
                 root.resolve(jar).resolve("target").resolve(jar + ".jar").toString());
     }
 
-    /** A field of the ready line. */
-    String ready(String field) {
-        return ready.path(field).asText();
+    /** Returns a field of the ready line. */
+    String readyField(String field) {
+        return readyLine.path(field).asText();
     }
 
-    /** Port of an address in the ready line. */
+    /** Returns the port of an address in the ready line. */
     int port(String field) {
-        String address = ready(field);
+        String address = readyField(field);
         return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the exit. */
     void kill() {
         process.destroyForcibly().onExit().join();
     }
 
-    /** SIGSTOP: the process keeps its memory and connections and does nothing. */
-    void freeze() throws IOException {
+    /** Sends SIGSTOP: the process keeps its memory and connections but does not run. */
+    void suspend() throws IOException {
         signal("-STOP");
     }
 
-    /** SIGCONT. */
-    void thaw() throws IOException {
+    /** Sends SIGCONT. */
+    void resume() throws IOException {
         signal("-CONT");
     }
 
-    /** SIGTERM; does not wait. */
+    /** Sends SIGTERM without waiting for the exit. */
     void terminate() {
         process.destroy();
     }
 
-    /** Waits for the end of the process. */
+    /** Waits for the process to exit and returns its exit code. */
     int awaitExit() throws InterruptedException {
-        if (!process.waitFor(STOP_SECONDS, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("the process did not end in " + STOP_SECONDS + " s");
+        if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            throw new IllegalStateException(
+                    "the process did not exit within " + EXIT_TIMEOUT_SECONDS + " s");
         }
         return process.exitValue();
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
@@ -117,6 +118,6 @@
         kill();
     }
 
-    /** What a finished program printed. */
+    /** Exit code and standard output of a finished program. */
     record Output(int exitCode, String text) {}
 }
--- a/system-tests/src/test/java/org/sardinelift/system/CombinedFailureTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/CombinedFailureTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Two failures together. */
+/** Guards against lost items and calls when two failures happen at the same time. */
 class CombinedFailureTest {
     private static final int ITEMS = 200;
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(60);
 
     private Fleet fleet;
 
     @BeforeEach
     void start() throws IOException {
         fleet = Fleet.start();
-        fleet.serve(2);
+        fleet.startServing(2);
     }
 
     @AfterEach
@@ -27,26 +27,26 @@
         fleet.close();
     }
 
-    private String accepted(String jobKey) throws IOException {
-        String body = fleet.submit("entry-1", jobKey, fleet.job(ITEMS, 4)).body();
-        return fleet.tree(body).path("id").asText();
+    private String submitJob(String jobKey) throws IOException {
+        String body = fleet.submit("entry-1", jobKey, fleet.jobLines(ITEMS, 4)).body();
+        return fleet.parseJson(body).path("id").asText();
     }
 
     @Test
     void entryLostAndAnotherStartedDuringAnOutageOfThePlatform() throws Exception {
-        String id = accepted("outage-and-loss");
-        fleet.faults("{\"down\":true}");
+        String id = submitJob("outage-and-loss");
+        fleet.setPlatformFaults("{\"down\":true}");
         fleet.processes.get("entry-1").kill();
         assertEquals(200, fleet.chat("entry-2", Fleet.KEY, "still here", 1).statusCode());
 
-        fleet.faults("{\"down\":false}");
+        fleet.setPlatformFaults("{\"down\":false}");
         fleet.deregister("entry-1");
-        fleet.entry("entry-3");
+        fleet.startEntry("entry-3");
 
         fleet.awaitJob("entry-2", id, "completed");
         assertEquals(ITEMS, fleet.results("entry-2", id).size());
         Awaitility.await()
-                .atMost(PATIENCE)
+                .atMost(AWAIT_TIMEOUT)
                 .ignoreExceptions()
                 .until(() -> fleet.chat("entry-3", Fleet.KEY, "new", 1).statusCode() == 200);
         assertEquals(ITEMS, fleet.results("entry-3", id).size());
@@ -54,17 +54,17 @@
 
     @Test
     void companionAndEntryKilledTogetherLoseNoItem() throws Exception {
-        String id = accepted("two-deaths");
+        String id = submitJob("two-deaths");
         fleet.processes.get("c-engine-1").kill();
         fleet.processes.get("entry-1").kill();
 
         fleet.awaitJob("entry-2", id, "completed");
         assertEquals(ITEMS, fleet.results("entry-2", id).size());
-        // The dead entry may have held all units of the rate; they return once the list shows
-        // the loss.
+        // The killed entry may have owned the team's whole rate. The others get it back once the
+        // platform no longer lists that entry.
         fleet.deregister("entry-1");
         Awaitility.await()
-                .atMost(PATIENCE)
+                .atMost(AWAIT_TIMEOUT)
                 .until(() -> fleet.chat("entry-2", Fleet.KEY, "again", 1).statusCode() == 200);
     }
 }
--- a/system-tests/src/test/java/org/sardinelift/system/DrainRouteTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/DrainRouteTest.java
@@ -5,15 +5,17 @@
 import java.net.http.HttpRequest;
 import org.junit.jupiter.api.Test;
 
-/** The operators' drain ends the process of either role, as SIGTERM does. */
+/**
+ * Guards against a drain by the operators' route that does not end the process, as SIGTERM does.
+ */
 class DrainRouteTest {
     @Test
     void aDrainEndsEntryAndCompanion() throws Exception {
         try (Fleet fleet = Fleet.start()) {
-            fleet.target("engine-1", "registry", true);
-            fleet.target("engine-2", "registry", true);
-            fleet.entry("entry-1");
-            fleet.entry("entry-2");
+            fleet.startTarget("engine-1", "registry", true);
+            fleet.startTarget("engine-2", "registry", true);
+            fleet.startEntry("entry-1");
+            fleet.startEntry("entry-2");
             fleet.awaitServing();
 
             for (String name : new String[] {"c-engine-1", "entry-1"}) {
--- a/system-tests/src/test/java/org/sardinelift/system/ExplainTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/ExplainTest.java
@@ -18,9 +18,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What {@code sardinectl explain} and {@code status} print of a fleet in which things fail. */
+/**
+ * Checks what {@code sardinectl explain} and {@code status} print when calls and processes fail.
+ * Guards against missing steps and against keys in the output.
+ */
 class ExplainTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(30);
     private static final List<String> ENTRIES = List.of("entry-1", "entry-2");
 
     private Fleet fleet;
@@ -28,10 +31,10 @@
     @BeforeEach
     void start() throws IOException {
         fleet = Fleet.start();
-        fleet.target("engine-1", "registry", true, "--token-us", "20000");
-        fleet.target("engine-2", "registry", true, "--token-us", "20000");
-        fleet.entry("entry-1");
-        fleet.entry("entry-2");
+        fleet.startTarget("engine-1", "registry", true, "--token-us", "20000");
+        fleet.startTarget("engine-2", "registry", true, "--token-us", "20000");
+        fleet.startEntry("entry-1");
+        fleet.startEntry("entry-2");
         fleet.awaitServing();
     }
 
@@ -41,46 +44,46 @@
     }
 
     @Test
-    void aRetriedRequestIsToldFromItsAdmissionToItsAnswer() throws Exception {
+    void explainListsARetriedRequestFromAdmissionToAnswer() throws Exception {
         CompletableFuture<HttpResponse<String>> call =
                 CompletableFuture.supplyAsync(() -> chat("entry-1", "long", 100));
-        String dying =
+        String killed =
                 Awaitility.await()
-                        .atMost(PATIENCE)
+                        .atMost(AWAIT_TIMEOUT)
                         .until(this::runningTarget, target -> !target.isEmpty());
-        fleet.processes.get(dying).kill();
+        fleet.processes.get(killed).kill();
         HttpResponse<String> answer = call.join();
         assertEquals(200, answer.statusCode(), answer.body());
 
         String id = requestId(answer);
-        String text = sardinectl("explain", id);
-        String other = dying.equals("engine-1") ? "engine-2" : "engine-1";
+        String text = runSardinectl("explain", id);
+        String other = killed.equals("engine-1") ? "engine-2" : "engine-1";
         assertEquals(
                 List.of("admitted", "routed", "retried", "routed", "answered"),
                 actions(id, "entry-1"),
                 text);
         assertEquals(List.of("started"), actions(id, "c-" + other), text);
-        assertTrue(line(text, "retried").contains("at=c-" + dying), text);
-        assertTrue(line(text, "answered").contains("at=c-" + other), text);
-        assertTrue(line(text, "admitted").contains("team=large"), text);
-        assertTrue(line(text, "routed").contains("candidates="), text);
+        assertTrue(firstLineWith(text, "retried").contains("at=c-" + killed), text);
+        assertTrue(firstLineWith(text, "answered").contains("at=c-" + other), text);
+        assertTrue(firstLineWith(text, "admitted").contains("team=large"), text);
+        assertTrue(firstLineWith(text, "routed").contains("candidates="), text);
 
-        String ofTarget = sardinectl("explain", dying);
-        assertTrue(ofTarget.contains("left out"), ofTarget);
-        assertNoKey(text + ofTarget);
+        String targetText = runSardinectl("explain", killed);
+        assertTrue(targetText.contains("left out"), targetText);
+        assertNoKey(text + targetText);
     }
 
     @Test
-    void aRefusedRequestIsToldWithTheFiguresOfItsRate() throws Exception {
-        fleet.put("template/standard", Fleet.template(5, 10));
+    void explainShowsTheRateOfARefusedRequest() throws Exception {
+        fleet.putObject("template/standard", Fleet.templateJson(5, 10));
         HttpResponse<String> refused =
                 Awaitility.await()
-                        .atMost(PATIENCE)
+                        .atMost(AWAIT_TIMEOUT)
                         .pollInterval(Duration.ofMillis(10))
                         .until(() -> chat("entry-1", "x", 1), each -> each.statusCode() == 429);
 
-        String text = sardinectl("explain", requestId(refused));
-        String line = line(text, "refused");
+        String text = runSardinectl("explain", requestId(refused));
+        String line = firstLineWith(text, "refused");
         Stream.of(
                         "entry-1",
                         "over its rate",
@@ -88,58 +91,58 @@
                         "ratePerSecond=5.0",
                         "team=large")
                 .forEach(part -> assertTrue(line.contains(part), part + " is not in " + line));
-        String ofTeam = sardinectl("explain", "large");
-        assertTrue(ofTeam.contains("configured"), ofTeam);
-        assertNoKey(text + ofTeam);
+        String teamText = runSardinectl("explain", "large");
+        assertTrue(teamText.contains("configured"), teamText);
+        assertNoKey(text + teamText);
     }
 
     @Test
     void aKeyInARefusedPathIsNotShown() throws Exception {
         HttpResponse<String> refused =
-                fleet.send(fleet.call("entry-1", Fleet.KEY, "/v1/" + Fleet.KEY).GET());
+                fleet.send(fleet.callerRequest("entry-1", Fleet.KEY, "/v1/" + Fleet.KEY).GET());
         assertEquals(404, refused.statusCode(), refused.body());
 
-        String text = sardinectl("explain", requestId(refused));
-        assertTrue(line(text, "refused").contains("kind=not_found"), text);
+        String text = runSardinectl("explain", requestId(refused));
+        assertTrue(firstLineWith(text, "refused").contains("kind=not_found"), text);
         assertNoKey(text);
     }
 
     @Test
-    void aJobWhoseHolderWasKilledIsTold() throws Exception {
-        Job job = jobHeldByAnother("entry-1");
+    void explainListsTheTakeoverOfAJobWhoseHolderWasKilled() throws Exception {
+        Job job = submitJobHeldByAnother("entry-1");
         fleet.processes.get(job.holder()).kill();
         Awaitility.await()
-                .atMost(PATIENCE)
+                .atMost(AWAIT_TIMEOUT)
                 .until(
-                        () -> sardinectl("status"),
+                        () -> runSardinectl("status"),
                         status -> status.contains("taken over from " + job.holder()));
         fleet.awaitJob("entry-1", job.id(), "completed");
 
-        String text = sardinectl("explain", job.id());
+        String text = runSardinectl("explain", job.id());
         assertEquals(
                 List.of("job accepted", "job taken over", "job completed"),
                 actions(job.id(), "entry-1").stream()
                         .filter(action -> !action.equals("job late"))
                         .toList(),
                 text);
-        assertTrue(line(text, "job taken over").contains("from=" + job.holder()), text);
+        assertTrue(firstLineWith(text, "job taken over").contains("from=" + job.holder()), text);
         assertTrue(text.contains("no answer from " + job.holder()), text);
-        assertNoKey(text + sardinectl("status"));
+        assertNoKey(text + runSardinectl("status"));
     }
 
     @Test
     void statusShowsTargetsTeamsJobsAndRevisionsOnOneScreen() throws Exception {
-        Job job = jobHeldByAnother("entry-1");
+        Job job = submitJobHeldByAnother("entry-1");
         for (int i = 0; i < 5; i++) {
             assertEquals(200, chat("entry-1", "status " + i, 1).statusCode());
         }
 
-        String status = sardinectl("status");
-        assertTrue(line(status, "c-engine-1").contains("registry"), status);
-        assertTrue(line(status, "large").contains("1000"), status);
-        assertTrue(line(status, job.id()).contains(job.holder()), status);
+        String status = runSardinectl("status");
+        assertTrue(firstLineWith(status, "c-engine-1").contains("registry"), status);
+        assertTrue(firstLineWith(status, "large").contains("1000"), status);
+        assertTrue(firstLineWith(status, job.id()).contains(job.holder()), status);
         ENTRIES.forEach(entry -> assertTrue(status.contains(entry), status));
-        JsonNode json = fleet.tree(sardinectl("status", "--output", "json"));
+        JsonNode json = fleet.parseJson(runSardinectl("status", "--output", "json"));
         assertTrue(json.path("teams").findValuesAsText("team").contains("large"), json.toString());
         assertEquals(job.id(), json.at("/jobs/0/job").asText(), json.toString());
         assertNoKey(status + json);
@@ -147,28 +150,29 @@
 
     private record Job(String id, String holder) {}
 
-    /** Submits jobs to an entry until another one holds the last of them. */
-    private Job jobHeldByAnother(String entry) throws IOException {
+    /** Submits jobs to an entry until one of them is held by another entry; returns that job. */
+    private Job submitJobHeldByAnother(String entry) throws IOException {
         for (int i = 0; ; i++) {
-            HttpResponse<String> answer = fleet.submit(entry, "job-" + i, fleet.job(300, 20));
+            HttpResponse<String> answer = fleet.submit(entry, "job-" + i, fleet.jobLines(300, 20));
             assertEquals(201, answer.statusCode(), answer.body());
-            String id = fleet.tree(answer.body()).path("id").asText();
+            String id = fleet.parseJson(answer.body()).path("id").asText();
             String holder =
                     Awaitility.await()
-                            .atMost(PATIENCE)
+                            .atMost(AWAIT_TIMEOUT)
                             .until(() -> holder(entry, id), name -> !name.isEmpty());
             if (!holder.equals(entry)) {
                 return new Job(id, holder);
             }
             fleet.send(
-                    fleet.call(entry, Fleet.KEY, "/v1/batches/" + id + "/cancel")
+                    fleet.callerRequest(entry, Fleet.KEY, "/v1/batches/" + id + "/cancel")
                             .POST(HttpRequest.BodyPublishers.noBody()));
         }
     }
 
     private String holder(String entry, String id) throws IOException {
-        return fleet.tree(
-                        fleet.send(fleet.call(entry, Fleet.KEY, "/v1/batches/" + id).GET()).body())
+        return fleet.parseJson(
+                        fleet.send(fleet.callerRequest(entry, Fleet.KEY, "/v1/batches/" + id).GET())
+                                .body())
                 .path("holder")
                 .asText();
     }
@@ -183,16 +187,16 @@
 
     private String runningTarget() throws IOException {
         for (String target : List.of("engine-1", "engine-2")) {
-            if (fleet.counters(target, "/load").path("running").asInt() > 0) {
+            if (fleet.fetchFromTarget(target, "/load").path("running").asInt() > 0) {
                 return target;
             }
         }
         return "";
     }
 
-    /** The actions of one instance in the timeline of a subject, in their order. */
+    /** Returns the actions of an instance in the timeline of a subject, in order. */
     private List<String> actions(String subject, String instance) throws IOException {
-        JsonNode json = fleet.tree(sardinectl("explain", subject, "--output", "json"));
+        JsonNode json = fleet.parseJson(runSardinectl("explain", subject, "--output", "json"));
         return Stream.iterate(0, i -> i + 1)
                 .limit(json.path("decisions").size())
                 .map(i -> json.path("decisions").get(i))
@@ -201,7 +205,7 @@
                 .toList();
     }
 
-    private String sardinectl(String... args) throws IOException {
+    private String runSardinectl(String... args) throws IOException {
         String operators =
                 ENTRIES.stream()
                         .map(entry -> "127.0.0.1:" + fleet.processes.get(entry).port("operators"))
@@ -216,7 +220,7 @@
         return output.text();
     }
 
-    private static String line(String text, String part) {
+    private static String firstLineWith(String text, String part) {
         return text.lines().filter(line -> line.contains(part)).findFirst().orElse("");
     }
 
--- a/system-tests/src/test/java/org/sardinelift/system/Fleet.java
+++ b/system-tests/src/test/java/org/sardinelift/system/Fleet.java
@@ -18,7 +18,7 @@
 import org.awaitility.Awaitility;
 import org.sardinelift.core.catalog.KeyDigest;
 
-/** A small fleet of processes on loopback: platform, targets, companions and entries. */
+/** A small fleet of separate processes on loopback: platform, targets, companions, entries. */
 final class Fleet implements AutoCloseable {
     static final String MODEL = "registry-llm";
     static final String KEY = "sl_k1_secretone";
@@ -26,7 +26,7 @@
     private static final String PEPPER = "only for tests";
     private static final int SLOTS = 1_000;
     private static final int HEAP_MB = 128;
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
 
     final ObjectMapper mapper = new ObjectMapper();
     final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -41,23 +41,23 @@
         this.platform = platform;
     }
 
-    /** Starts the platform and writes the configuration: two teams, a model and a plain service. */
+    /** Starts the platform and writes a configuration of two teams, a model and a plain service. */
     static Fleet start() throws IOException {
         Path folder = Files.createTempDirectory("fleet");
         ChildProcess platform =
                 ChildProcess.start(folder.resolve("platform.log"), HEAP_MB, "standins", "platform");
         Fleet fleet = new Fleet(folder, platform);
-        fleet.put("template/standard", template(1_000, 1_000));
-        fleet.put("team/large", "{\"template\":\"standard\"}");
-        fleet.put("team/small", "{\"template\":\"standard\"}");
-        fleet.put("service/registry", "{\"engine\":true,\"models\":[\"" + MODEL + "\"]}");
-        fleet.put("service/tags", "{\"engine\":false,\"repeatableMethods\":[\"GET\"]}");
-        fleet.put("key/k1", key("large", KEY));
-        fleet.put("key/k2", key("small", OTHER_KEY));
+        fleet.putObject("template/standard", templateJson(1_000, 1_000));
+        fleet.putObject("team/large", "{\"template\":\"standard\"}");
+        fleet.putObject("team/small", "{\"template\":\"standard\"}");
+        fleet.putObject("service/registry", "{\"engine\":true,\"models\":[\"" + MODEL + "\"]}");
+        fleet.putObject("service/tags", "{\"engine\":false,\"repeatableMethods\":[\"GET\"]}");
+        fleet.putObject("key/k1", keyJson("large", KEY));
+        fleet.putObject("key/k2", keyJson("small", OTHER_KEY));
         return fleet;
     }
 
-    static String template(int ratePerSecond, int burst) {
+    static String templateJson(int ratePerSecond, int burst) {
         return "{\"ratePerSecond\":"
                 + ratePerSecond
                 + ",\"burst\":"
@@ -67,28 +67,29 @@
                 + "\"],\"services\":[\"tags\"]}";
     }
 
-    private static String key(String team, String key) {
+    private static String keyJson(String team, String key) {
         String digest = KeyDigest.of(PEPPER).digest(key);
         return "{\"team\":\"" + team + "\",\"digest\":\"" + digest + "\"}";
     }
 
-    /** Starts engines of the registry with their companions, and two entries that serve. */
-    void serve(int engines, String... options) throws IOException {
+    /** Starts engines with their companions and two entries, and waits until all entries serve. */
+    void startServing(int engines, String... options) throws IOException {
         for (int i = 1; i <= engines; i++) {
-            target("engine-" + i, "registry", true, options);
+            startTarget("engine-" + i, "registry", true, options);
         }
-        entry("entry-1");
-        entry("entry-2");
+        startEntry("entry-1");
+        startEntry("entry-2");
         awaitServing();
     }
 
-    /** Starts what is started from now on in an availability zone. */
-    void inZone(String name) {
+    /** Sets the availability zone of the processes started from now on. */
+    void useZone(String name) {
         zone = name;
     }
 
-    /** Starts a stand-in target and the companion beside it. */
-    void target(String name, String service, boolean engine, String... options) throws IOException {
+    /** Starts a stand-in target and its companion, {@code c-NAME}. */
+    void startTarget(String name, String service, boolean engine, String... options)
+            throws IOException {
         List<String> args = new ArrayList<>();
         args.add(engine ? "engine" : "plain");
         if (engine) {
@@ -98,25 +99,25 @@
         ChildProcess target =
                 ChildProcess.start(log(name), HEAP_MB, "standins", args.toArray(String[]::new));
         processes.put(name, target);
-        companion(name, service, engine, target.port("address"));
+        startCompanion(name, service, engine, target.port("address"));
     }
 
-    private void companion(String target, String service, boolean engine, int port)
+    private void startCompanion(String target, String service, boolean engine, int port)
             throws IOException {
-        ObjectNode settings = settings("companion", "c-" + target);
+        ObjectNode settings = baseSettings("companion", "c-" + target);
         ObjectNode node = settings.putObject("target");
         node.put("name", target).put("port", port).put("service", service).put("engine", engine);
         node.put("slots", SLOTS);
         if (engine) {
             node.putArray("models").add(MODEL);
         }
-        launch("c-" + target, settings);
+        startProcess("c-" + target, settings);
         register("c-" + target, "companion", target, processes.get("c-" + target).port("peer"));
     }
 
-    /** Starts an entry. */
-    void entry(String name) throws IOException {
-        ObjectNode settings = settings("entry", name);
+    /** Starts an entry and registers it with the platform. */
+    void startEntry(String name) throws IOException {
+        ObjectNode settings = baseSettings("entry", name);
         settings.put("keyPepper", PEPPER);
         settings.putObject("drain").put("delayMs", 200);
         settings.putObject("orders")
@@ -124,18 +125,18 @@
                 .put("leaseValidMs", 1_500)
                 .put("leaseTimeoutMs", 3_000)
                 .put("loadsPerMinute", 600);
-        launch(name, settings);
+        startProcess(name, settings);
         register(name, "entry", "", processes.get(name).port("peer"));
     }
 
-    private ObjectNode settings(String role, String name) {
+    private ObjectNode baseSettings(String role, String name) {
         ObjectNode settings = mapper.createObjectNode();
         settings.put("role", role).put("instance", name).put("zone", zone);
         settings.putObject("platform").put("port", platform.port("address"));
         return settings;
     }
 
-    private void launch(String name, ObjectNode settings) throws IOException {
+    private void startProcess(String name, ObjectNode settings) throws IOException {
         Path file = folder.resolve(name + ".json");
         Files.writeString(file, settings.toString());
         processes.put(
@@ -148,61 +149,61 @@
         return folder.resolve(name + ".log");
     }
 
-    /** Makes the platform's list show an instance at a port. */
+    /** Registers an instance with the platform. */
     void register(String name, String role, String target, int port) throws IOException {
         ObjectNode instance = mapper.createObjectNode();
         instance.put("name", name).put("role", role).put("zone", zone);
         instance.put("host", "127.0.0.1").put("port", port).put("target", target);
         ObjectNode change = mapper.createObjectNode();
         change.putArray("register").add(instance);
-        admin("instances", change.toString());
+        callPlatformAdmin("instances", change.toString());
     }
 
-    /** Takes an instance off the platform's list. */
+    /** Removes an instance from the platform's list. */
     void deregister(String name) throws IOException {
-        admin("instances", "{\"deregister\":[\"" + name + "\"]}");
+        callPlatformAdmin("instances", "{\"deregister\":[\"" + name + "\"]}");
     }
 
-    /** Sets faults of the platform. */
-    void faults(String json) throws IOException {
-        admin("faults", json);
+    /** Sets faults of the platform stand-in. */
+    void setPlatformFaults(String json) throws IOException {
+        callPlatformAdmin("faults", json);
     }
 
-    private void admin(String what, String json) throws IOException {
-        String url = "http://127.0.0.1:" + platform.port("address") + "/admin/" + what;
-        expect(200, send(request(url).POST(HttpRequest.BodyPublishers.ofString(json))));
+    private void callPlatformAdmin(String path, String json) throws IOException {
+        String url = "http://127.0.0.1:" + platform.port("address") + "/admin/" + path;
+        requireStatus(200, send(request(url).POST(HttpRequest.BodyPublishers.ofString(json))));
     }
 
-    /** Writes a configuration object over whatever version is there. */
-    void put(String path, String json) throws IOException {
+    /** Writes a configuration object, whatever its current version. */
+    void putObject(String path, String json) throws IOException {
         String url = "http://127.0.0.1:" + platform.port("address") + "/objects/" + path;
         HttpResponse<String> current = send(request(url).GET());
         long version =
                 current.statusCode() == 200
                         ? mapper.readTree(current.body()).path("version").asLong()
                         : 0;
-        expect(
+        requireStatus(
                 200,
                 send(
                         request(url + "?ifVersion=" + version)
                                 .PUT(HttpRequest.BodyPublishers.ofString(json))));
     }
 
-    /** Withdraws the first team's key. */
+    /** Withdraws {@link #KEY}. */
     void withdrawKey() throws IOException {
-        String key = key("large", KEY);
-        put("key/k1", key.substring(0, key.length() - 1) + ",\"withdrawn\":true}");
+        String key = keyJson("large", KEY);
+        putObject("key/k1", key.substring(0, key.length() - 1) + ",\"withdrawn\":true}");
     }
 
-    /** Waits until every entry is ready, as the balancer does, and serves the model. */
+    /** Waits until every entry reports ready to the balancer and serves the model. */
     void awaitServing() {
-        entries()
+        entryNames()
                 .forEach(
                         name ->
                                 Awaitility.await(name)
-                                        .atMost(PATIENCE)
+                                        .atMost(START_TIMEOUT)
                                         .ignoreExceptions()
-                                        .until(() -> isReady(name) && serves(name)));
+                                        .until(() -> isReady(name) && isServing(name)));
     }
 
     private boolean isReady(String entry) throws IOException {
@@ -210,13 +211,13 @@
         return send(request(url).GET()).statusCode() == 200;
     }
 
-    private boolean serves(String entry) throws IOException {
+    private boolean isServing(String entry) throws IOException {
         return chat(entry, KEY, "ready?", 1).statusCode() == 200;
     }
 
-    private List<String> entries() {
+    private List<String> entryNames() {
         return processes.entrySet().stream()
-                .filter(process -> process.getValue().ready("role").equals("entry"))
+                .filter(process -> process.getValue().readyField("role").equals("entry"))
                 .map(Map.Entry::getKey)
                 .toList();
     }
@@ -229,19 +230,19 @@
         return HttpRequest.newBuilder(URI.create(url)).timeout(Duration.ofSeconds(60));
     }
 
-    HttpRequest.Builder call(String entry, String key, String path) {
+    HttpRequest.Builder callerRequest(String entry, String key, String path) {
         return request(callerUrl(entry, path)).header("Authorization", "Bearer " + key);
     }
 
-    /** One whole chat request. */
+    /** Sends a chat request and returns the unstreamed answer. */
     HttpResponse<String> chat(String entry, String key, String prompt, int tokens)
             throws IOException {
-        return send(chatCall(entry, key, prompt, tokens, false));
+        return send(chatRequest(entry, key, prompt, tokens, false));
     }
 
-    HttpRequest.Builder chatCall(
+    HttpRequest.Builder chatRequest(
             String entry, String key, String prompt, int tokens, boolean stream) {
-        return call(entry, key, "/v1/chat/completions")
+        return callerRequest(entry, key, "/v1/chat/completions")
                 .POST(HttpRequest.BodyPublishers.ofString(chatBody(prompt, tokens, stream)));
     }
 
@@ -252,54 +253,57 @@
         return body.toString();
     }
 
-    /** A whole job of chat items. */
-    String job(int items, int tokens) {
+    /** Returns the lines of a job of chat items. */
+    String jobLines(int items, int tokens) {
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < items; i++) {
             ObjectNode line = mapper.createObjectNode();
             line.put("custom_id", "item-" + i).put("method", "POST");
             line.put("url", "/v1/chat/completions");
-            line.set("body", tree(chatBody("notice " + i, tokens, false)));
+            line.set("body", parseJson(chatBody("notice " + i, tokens, false)));
             lines.append(line).append('\n');
         }
         return lines.toString();
     }
 
-    /** Submits a job and returns the answer. */
+    /** Submits a job and returns the response. */
     HttpResponse<String> submit(String entry, String jobKey, String lines) throws IOException {
         return send(
-                call(entry, KEY, "/v1/batches")
+                callerRequest(entry, KEY, "/v1/batches")
                         .header("Job-Key", jobKey)
                         .POST(HttpRequest.BodyPublishers.ofString(lines)));
     }
 
-    /** Waits until a job has the status and returns its last status body. */
+    /** Waits until a job has a status and returns the body of the status response. */
     JsonNode awaitJob(String entry, String id, String status) {
         return Awaitility.await(id + " " + status)
                 .atMost(Duration.ofSeconds(60))
                 .pollInterval(Duration.ofMillis(100))
                 .ignoreExceptions()
                 .until(
-                        () -> tree(send(call(entry, KEY, "/v1/batches/" + id).GET()).body()),
+                        () ->
+                                parseJson(
+                                        send(callerRequest(entry, KEY, "/v1/batches/" + id).GET())
+                                                .body()),
                         body -> body.path("status").asText().equals(status));
     }
 
-    /** The results of a job, one JSON object a line. */
+    /** Fetches the results of a job, one JSON object per item. */
     List<JsonNode> results(String entry, String id) throws IOException {
-        return send(call(entry, KEY, "/v1/batches/" + id + "/results").GET())
+        return send(callerRequest(entry, KEY, "/v1/batches/" + id + "/results").GET())
                 .body()
                 .lines()
-                .map(this::tree)
+                .map(this::parseJson)
                 .toList();
     }
 
-    /** A counter of a stand-in target. */
-    JsonNode counters(String target, String path) throws IOException {
+    /** Fetches the JSON document at a path of a stand-in target. */
+    JsonNode fetchFromTarget(String target, String path) throws IOException {
         String url = "http://127.0.0.1:" + processes.get(target).port("address") + path;
-        return tree(send(request(url).GET()).body());
+        return parseJson(send(request(url).GET()).body());
     }
 
-    JsonNode tree(String json) {
+    JsonNode parseJson(String json) {
         try {
             return mapper.readTree(json);
         } catch (IOException e) {
@@ -315,14 +319,14 @@
         }
     }
 
-    private static void expect(int status, HttpResponse<String> answer) {
+    private static void requireStatus(int status, HttpResponse<String> answer) {
         if (answer.statusCode() != status) {
             throw new IllegalStateException(answer.statusCode() + " " + answer.body());
         }
     }
 
-    /** Closes a resource with the fleet. */
-    <T extends AutoCloseable> T closing(T resource) {
+    /** Closes a resource when the fleet is closed. */
+    <T extends AutoCloseable> T closeWithFleet(T resource) {
         resources.add(resource);
         return resource;
     }
--- a/system-tests/src/test/java/org/sardinelift/system/OnlineFailureTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/OnlineFailureTest.java
@@ -16,9 +16,13 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.testkit.SilentRelay;
 
-/** What online callers see while processes are killed, frozen and cut off. */
+/**
+ * Online calls while processes are killed, suspended, drained or cut off, and while the platform is
+ * down. Guards against broken streams, calls that fail although a target is left, and rates and
+ * withdrawn keys that don't hold on every entry.
+ */
 class OnlineFailureTest {
-    private static final Duration FEW_SECONDS = Duration.ofSeconds(10);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(10);
     private static final int STREAMS = 8;
 
     private Fleet fleet;
@@ -40,15 +44,15 @@
                         i ->
                                 streams.open(
                                         fleet,
-                                        fleet.chatCall(
+                                        fleet.chatRequest(
                                                 entry, Fleet.KEY, "float " + i, tokens, true)));
-        Awaitility.await().atMost(FEW_SECONDS).until(() -> streams.open() == count);
+        Awaitility.await().atMost(AWAIT_TIMEOUT).until(() -> streams.openCount() == count);
         return streams;
     }
 
-    private void assertWhole(Streams streams, int tokens) throws IOException {
-        for (String body : streams.bodies()) {
-            assertTrue(Streams.whole(body), body);
+    private void assertComplete(Streams streams, int tokens) throws IOException {
+        for (String body : streams.awaitBodies()) {
+            assertTrue(Streams.isComplete(body), body);
             List<String> seen = Streams.tokens(fleet, body);
             assertEquals(tokens, seen.size(), body);
             assertEquals(tokens, seen.stream().distinct().count(), body);
@@ -56,24 +60,24 @@
     }
 
     @Test
-    void streamsGoOnAfterCompanionWasFrozen() throws Exception {
-        fleet.serve(1, "--token-us", "20000");
+    void streamsContinueAfterTheCompanionWasSuspended() throws Exception {
+        fleet.startServing(1, "--token-us", "20000");
         Streams streams = openStreams("entry-1", STREAMS, 100);
 
-        fleet.processes.get("c-engine-1").freeze();
-        Awaitility.await().atMost(FEW_SECONDS).until(() -> !usable("entry-1", "c-engine-1"));
+        fleet.processes.get("c-engine-1").suspend();
+        Awaitility.await().atMost(AWAIT_TIMEOUT).until(() -> !isUsable("entry-1", "c-engine-1"));
         HttpResponse<String> refused = fleet.chat("entry-1", Fleet.KEY, "frozen?", 1);
         assertEquals(503, refused.statusCode(), refused.body());
-        assertEquals("not_run", fleet.tree(refused.body()).path("outcome").asText());
-        fleet.processes.get("c-engine-1").thaw();
+        assertEquals("not_run", fleet.parseJson(refused.body()).path("outcome").asText());
+        fleet.processes.get("c-engine-1").resume();
 
-        assertWhole(streams, 100);
+        assertComplete(streams, 100);
     }
 
-    private boolean usable(String entry, String companion) throws IOException {
+    private boolean isUsable(String entry, String companion) throws IOException {
         String url = "http://127.0.0.1:" + fleet.processes.get(entry).port("operators");
         String body = fleet.send(Fleet.request(url + "/targets").GET()).body();
-        for (JsonNode target : fleet.tree(body).path("targets")) {
+        for (JsonNode target : fleet.parseJson(body).path("targets")) {
             if (target.path("companion").asText().equals(companion)) {
                 return target.path("usable").asBoolean();
             }
@@ -82,56 +86,60 @@
     }
 
     @Test
-    void streamsGoOnAfterConnectionsWentSilent() throws Exception {
-        fleet.target("engine-1", "registry", true, "--token-us", "20000");
+    void streamsContinueAfterTheConnectionsWentSilent() throws Exception {
+        fleet.startTarget("engine-1", "registry", true, "--token-us", "20000");
         SilentRelay relay =
-                fleet.closing(SilentRelay.start(fleet.processes.get("c-engine-1").port("peer")));
+                fleet.closeWithFleet(
+                        SilentRelay.start(fleet.processes.get("c-engine-1").port("peer")));
         fleet.register("c-engine-1", "companion", "engine-1", relay.port());
-        fleet.entry("entry-1");
+        fleet.startEntry("entry-1");
         fleet.awaitServing();
         Streams streams = openStreams("entry-1", STREAMS, 150);
 
         relay.silenceToServer();
         relay.silenceToClient();
 
-        assertWhole(streams, 150);
+        assertComplete(streams, 150);
     }
 
     @Test
     void withdrawnKeyEndsStreamsOnEveryEntry() throws Exception {
-        fleet.serve(1, "--token-us", "20000");
+        fleet.startServing(1, "--token-us", "20000");
         Streams first = openStreams("entry-1", 2, 2_000);
         Streams second = openStreams("entry-2", 2, 2_000);
 
         fleet.withdrawKey();
 
         for (Streams streams : List.of(first, second)) {
-            streams.bodies().forEach(body -> assertTrue(body.contains("key_withdrawn"), body));
+            streams.awaitBodies().forEach(body -> assertTrue(body.contains("key_withdrawn"), body));
         }
         assertEquals(401, fleet.chat("entry-1", Fleet.KEY, "again", 1).statusCode());
         assertEquals(401, fleet.chat("entry-2", Fleet.KEY, "again", 1).statusCode());
         assertEquals(200, fleet.chat("entry-2", Fleet.OTHER_KEY, "others", 1).statusCode());
         Awaitility.await()
-                .atMost(FEW_SECONDS)
-                .until(() -> fleet.counters("engine-1", "/load").path("running").asInt() == 0);
+                .atMost(AWAIT_TIMEOUT)
+                .until(
+                        () ->
+                                fleet.fetchFromTarget("engine-1", "/load").path("running").asInt()
+                                        == 0);
     }
 
     @Test
     void drainedEntryCutsNoStream() throws Exception {
-        fleet.target("engine-1", "registry", true, "--token-us", "100000", "--slots", "1000");
-        fleet.entry("entry-1");
+        fleet.startTarget("engine-1", "registry", true, "--token-us", "100000", "--slots", "1000");
+        fleet.startEntry("entry-1");
         fleet.awaitServing();
         Streams streams = openStreams("entry-1", 1_000, 60);
 
         fleet.processes.get("entry-1").terminate();
 
-        assertWhole(streams, 60);
+        assertComplete(streams, 60);
         assertEquals(143, fleet.processes.get("entry-1").awaitExit());
     }
 
     @Test
     void drainedCompanionCutsNoStreamAndGetsNoNewWork() throws Exception {
-        fleet.serve(2, "--token-us", "20000");
+        fleet.startServing(2, "--token-us", "20000");
         Streams streams = openStreams("entry-1", STREAMS, 100);
 
         fleet.processes.get("c-engine-1").terminate();
@@ -139,12 +147,12 @@
             assertEquals(200, fleet.chat("entry-2", Fleet.KEY, "new " + i, 1).statusCode());
         }
 
-        assertWhole(streams, 100);
+        assertComplete(streams, 100);
     }
 
     @Test
-    void killedCompanionCostsNoWholeAnswer() throws Exception {
-        fleet.serve(2, "--token-us", "20000");
+    void killedCompanionFailsNoCall() throws Exception {
+        fleet.startServing(2, "--token-us", "20000");
         fleet.processes.get("c-engine-1").kill();
 
         for (int i = 0; i < 30; i++) {
@@ -156,10 +164,10 @@
     @Test
     void crashingRequestStopsAfterTwoTargetDeaths() throws Exception {
         for (int i = 1; i <= 4; i++) {
-            fleet.target("engine-" + i, "registry", true, "--crash-marker", "BOOM");
+            fleet.startTarget("engine-" + i, "registry", true, "--crash-marker", "BOOM");
         }
-        fleet.entry("entry-1");
-        fleet.entry("entry-2");
+        fleet.startEntry("entry-1");
+        fleet.startEntry("entry-2");
         fleet.awaitServing();
         Streams innocents = openStreams("entry-1", STREAMS, 4);
 
@@ -171,53 +179,60 @@
 
         long dead =
                 IntStream.rangeClosed(1, 4)
-                        .filter(i -> !fleet.processes.get("engine-" + i).alive())
+                        .filter(i -> !fleet.processes.get("engine-" + i).isAlive())
                         .count();
         assertTrue(dead <= 2, dead + " targets died");
-        assertWhole(innocents, 4);
+        assertComplete(innocents, 4);
         assertEquals(200, fleet.chat("entry-1", Fleet.KEY, "good", 1).statusCode());
         assertEquals(422, fleet.chat("entry-2", Fleet.KEY, "BOOM", 4).statusCode());
     }
 
     @Test
-    void onlineWorkGoesOnWithoutThePlatform() throws Exception {
-        fleet.serve(1, "--token-us", "20000");
-        fleet.target("tags-1", "tags", false);
-        Awaitility.await().atMost(FEW_SECONDS).until(() -> fine("before").statusCode() == 200);
+    void onlineCallsContinueWithoutThePlatform() throws Exception {
+        fleet.startServing(1, "--token-us", "20000");
+        fleet.startTarget("tags-1", "tags", false);
+        Awaitility.await()
+                .atMost(AWAIT_TIMEOUT)
+                .until(() -> postFine("before").statusCode() == 200);
 
-        fleet.faults("{\"down\":true}");
+        fleet.setPlatformFaults("{\"down\":true}");
 
         for (int i = 0; i < 20; i++) {
             assertEquals(200, fleet.chat("entry-1", Fleet.KEY, "away " + i, 1).statusCode());
         }
-        HttpResponse<String> refused = fine("during");
+        HttpResponse<String> refused = postFine("during");
         assertEquals(503, refused.statusCode(), refused.body());
-        assertEquals("not_run", fleet.tree(refused.body()).path("outcome").asText());
+        assertEquals("not_run", fleet.parseJson(refused.body()).path("outcome").asText());
         assertTrue(refused.headers().firstValue("retry-after").isPresent());
 
-        fleet.faults("{\"down\":false}");
-        Awaitility.await().atMost(FEW_SECONDS).until(() -> fine("during").statusCode() == 200);
+        fleet.setPlatformFaults("{\"down\":false}");
+        Awaitility.await()
+                .atMost(AWAIT_TIMEOUT)
+                .until(() -> postFine("during").statusCode() == 200);
         assertEquals(
                 1,
-                fleet.counters("tags-1", "/admin/effects").path("effects").path("during").asInt());
+                fleet.fetchFromTarget("tags-1", "/admin/effects")
+                        .path("effects")
+                        .path("during")
+                        .asInt());
     }
 
-    private HttpResponse<String> fine(String id) throws IOException {
+    private HttpResponse<String> postFine(String id) throws IOException {
         return fleet.send(
-                fleet.call("entry-1", Fleet.KEY, "/services/tags/fines")
+                fleet.callerRequest("entry-1", Fleet.KEY, "/services/tags/fines")
                         .header("Idempotency-Key", id)
                         .POST(HttpRequest.BodyPublishers.ofString(id)));
     }
 
     @Test
     void teamStaysWithinItsRateOverAllEntries() throws Exception {
-        fleet.serve(1, "--token-us", "20000");
-        fleet.put("template/standard", Fleet.template(5, 10));
+        fleet.startServing(1, "--token-us", "20000");
+        fleet.putObject("template/standard", Fleet.templateJson(5, 10));
         Awaitility.await()
-                .atMost(FEW_SECONDS)
+                .atMost(AWAIT_TIMEOUT)
                 .until(() -> fleet.chat("entry-1", Fleet.KEY, "x", 1).statusCode() == 429);
         Awaitility.await()
-                .atMost(FEW_SECONDS)
+                .atMost(AWAIT_TIMEOUT)
                 .until(() -> fleet.chat("entry-2", Fleet.KEY, "x", 1).statusCode() == 429);
         long startNanos = System.nanoTime();
 
--- a/system-tests/src/test/java/org/sardinelift/system/OnlineSessionTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/OnlineSessionTest.java
@@ -18,17 +18,20 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Whole sessions of callers against golden files. */
+/**
+ * Compares sessions of callers with golden files. Guards against unintended changes of the callers'
+ * interface, keys passed to targets, and repeated effects.
+ */
 class OnlineSessionTest {
     private static Fleet fleet;
 
     @BeforeAll
     static void start() throws IOException {
         fleet = Fleet.start();
-        fleet.target("engine-1", "registry", true);
-        fleet.target("tags-1", "tags", false);
-        fleet.entry("entry-1");
-        fleet.entry("entry-2");
+        fleet.startTarget("engine-1", "registry", true);
+        fleet.startTarget("tags-1", "tags", false);
+        fleet.startEntry("entry-1");
+        fleet.startEntry("entry-2");
         fleet.awaitServing();
     }
 
@@ -40,31 +43,35 @@
     @Test
     void onlineSessionMatchesGoldenFile() throws IOException {
         StringBuilder session = new StringBuilder();
-        record(session, fleet.chatCall("entry-1", Fleet.KEY, "tag 4711", 4, false));
-        record(session, fleet.chatCall("entry-1", Fleet.KEY, "tag 4711", 3, true));
-        record(session, fleet.call("entry-2", Fleet.KEY, "/v1/models").GET());
-        record(session, fleet.call("entry-2", Fleet.KEY, "/v1/nothing").GET());
-        record(session, fleet.chatCall("entry-1", "sl_k1_wrong", "tag 4711", 4, false));
-        record(session, fleet.chatCall("entry-1", "nonsense", "tag 4711", 4, false));
-        record(session, post("/v1/chat/completions", "{\"model\":"));
-        record(session, post("/v1/chat/completions", "{\"model\":\"unknown\",\"messages\":[]}"));
-        record(session, post("/services/unknown/x", "{}"));
+        record(session, fleet.chatRequest("entry-1", Fleet.KEY, "tag 4711", 4, false));
+        record(session, fleet.chatRequest("entry-1", Fleet.KEY, "tag 4711", 3, true));
+        record(session, fleet.callerRequest("entry-2", Fleet.KEY, "/v1/models").GET());
+        record(session, fleet.callerRequest("entry-2", Fleet.KEY, "/v1/nothing").GET());
+        record(session, fleet.chatRequest("entry-1", "sl_k1_wrong", "tag 4711", 4, false));
+        record(session, fleet.chatRequest("entry-1", "nonsense", "tag 4711", 4, false));
+        record(session, postRequest("/v1/chat/completions", "{\"model\":"));
+        record(
+                session,
+                postRequest("/v1/chat/completions", "{\"model\":\"unknown\",\"messages\":[]}"));
+        record(session, postRequest("/services/unknown/x", "{}"));
         Golden.check("online-session.txt", session.toString());
     }
 
     @Test
     void batchSessionMatchesGoldenFile() throws IOException {
         StringBuilder session = new StringBuilder();
-        HttpResponse<String> accepted = fleet.submit("entry-1", "evening-1", fleet.job(3, 2));
+        HttpResponse<String> accepted = fleet.submit("entry-1", "evening-1", fleet.jobLines(3, 2));
         record(session, accepted);
-        String id = fleet.tree(accepted.body()).path("id").asText();
+        String id = fleet.parseJson(accepted.body()).path("id").asText();
         fleet.awaitJob("entry-2", id, "completed");
-        record(session, fleet.call("entry-2", Fleet.KEY, "/v1/batches/" + id).GET());
-        record(session, fleet.call("entry-2", Fleet.KEY, "/v1/batches/" + id + "/results").GET());
-        record(session, fleet.submit("entry-2", "evening-1", fleet.job(3, 2)));
-        record(session, fleet.submit("entry-2", "evening-1", fleet.job(4, 2)));
+        record(session, fleet.callerRequest("entry-2", Fleet.KEY, "/v1/batches/" + id).GET());
+        record(
+                session,
+                fleet.callerRequest("entry-2", Fleet.KEY, "/v1/batches/" + id + "/results").GET());
+        record(session, fleet.submit("entry-2", "evening-1", fleet.jobLines(3, 2)));
+        record(session, fleet.submit("entry-2", "evening-1", fleet.jobLines(4, 2)));
         record(session, fleet.submit("entry-1", "evening-2", "{\"custom_id\":1}\nnot json\n"));
-        record(session, fleet.call("entry-1", Fleet.OTHER_KEY, "/v1/batches/" + id).GET());
+        record(session, fleet.callerRequest("entry-1", Fleet.OTHER_KEY, "/v1/batches/" + id).GET());
         Golden.check("batch-session.txt", session.toString());
     }
 
@@ -72,7 +79,8 @@
     void targetSeesNoKeyOfTheCaller() throws IOException {
         HttpResponse<String> answer =
                 fleet.send(
-                        fleet.call("entry-1", Fleet.KEY, "/services/tags/look?api_key=x&tag=1")
+                        fleet.callerRequest(
+                                        "entry-1", Fleet.KEY, "/services/tags/look?api_key=x&tag=1")
                                 .header("X-Api-Key", Fleet.KEY)
                                 .header("Cookie", "key=" + Fleet.KEY)
                                 .GET());
@@ -85,27 +93,27 @@
 
     @Test
     void resentIdempotencyKeyRunsOnceThroughAnyEntry() throws IOException {
-        HttpResponse<String> first = fleet.send(fine("entry-1", "fine-77"));
+        HttpResponse<String> first = fleet.send(fineRequest("entry-1", "fine-77"));
         HttpResponse<String> second =
                 Awaitility.await()
                         .until(
-                                () -> fleet.send(fine("entry-2", "fine-77")),
+                                () -> fleet.send(fineRequest("entry-2", "fine-77")),
                                 answer -> answer.statusCode() != 409);
 
         assertEquals(200, first.statusCode(), first.body());
         assertEquals(first.body(), second.body());
-        JsonNode effects = fleet.counters("tags-1", "/admin/effects");
+        JsonNode effects = fleet.fetchFromTarget("tags-1", "/admin/effects");
         assertEquals(1, effects.path("effects").path("{\"fine\":77}").asInt(), effects.toString());
     }
 
-    private static HttpRequest.Builder fine(String entry, String id) {
-        return fleet.call(entry, Fleet.KEY, "/services/tags/fines")
+    private static HttpRequest.Builder fineRequest(String entry, String id) {
+        return fleet.callerRequest(entry, Fleet.KEY, "/services/tags/fines")
                 .header("Idempotency-Key", id)
                 .POST(HttpRequest.BodyPublishers.ofString("{\"fine\":77}"));
     }
 
-    private static HttpRequest.Builder post(String path, String body) {
-        return fleet.call("entry-1", Fleet.KEY, path)
+    private static HttpRequest.Builder postRequest(String path, String body) {
+        return fleet.callerRequest("entry-1", Fleet.KEY, path)
                 .POST(HttpRequest.BodyPublishers.ofString(body));
     }
 
@@ -123,7 +131,7 @@
         session.append(answer.body().strip()).append("\n\n");
     }
 
-    /** Compares with a golden file; identifiers that differ from run to run are masked. */
+    /** Compares with a golden file. Values that differ from run to run are masked. */
     private static final class Golden {
         static void check(String name, String actual) throws IOException {
             String masked =
@@ -138,10 +146,12 @@
                     Path.of(System.getProperty("workspace.root"))
                             .resolve("system-tests/src/test/resources/golden")
                             .resolve(name);
-            Path seen = Path.of("target", name);
-            Files.createDirectories(seen.toAbsolutePath().getParent());
-            Files.writeString(seen, masked);
-            assertTrue(Files.exists(file), "no golden file yet; what was seen is in " + seen);
+            Path actualFile = Path.of("target", name);
+            Files.createDirectories(actualFile.toAbsolutePath().getParent());
+            Files.writeString(actualFile, masked);
+            assertTrue(
+                    Files.exists(file),
+                    "golden file missing; the session seen is in " + actualFile);
             assertEquals(Files.readString(file), masked);
         }
     }
--- a/system-tests/src/test/java/org/sardinelift/system/RolloutTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/RolloutTest.java
@@ -21,185 +21,196 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A model's version is changed under traffic, by an operator's command. */
+/**
+ * Rolls out a model version under traffic with {@code sardinectl}. Guards against failed calls, too
+ * few serving targets, and orders of a superseded controller that take effect.
+ */
 class RolloutTest {
     private static final int ENGINES = 4;
-    private static final String NAME = "registry/" + Fleet.MODEL;
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
+    private static final String ROLLOUT_NAME = "registry/" + Fleet.MODEL;
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(60);
 
     private Fleet fleet;
     private final List<String> failures = new CopyOnWriteArrayList<>();
-    private final List<Thread> callers = new ArrayList<>();
-    private volatile boolean calling = true;
+    private final List<Thread> threads = new ArrayList<>();
+    private volatile boolean isRunning = true;
     private final AtomicInteger calls = new AtomicInteger();
-    private volatile long mostBusy;
+    private volatile long maxBusy;
 
     /**
-     * The engines are sent the numbers, by which the tests see them, but take any order: what holds
-     * old ones back is the companion.
+     * The engines receive the fencing numbers, so that the tests can read them, but don't check
+     * them: the companion must hold back orders with old numbers.
      */
     @BeforeEach
     void start() throws IOException {
         fleet = Fleet.start();
-        fleet.put(
+        fleet.putObject(
                 "service/registry",
                 "{\"engine\":true,\"checksFence\":true,\"models\":[\"" + Fleet.MODEL + "\"]}");
         for (int i = 1; i <= ENGINES; i++) {
-            fleet.target("engine-" + i, "registry", true, "--load-ms", "400", "--no-fence-check");
+            fleet.startTarget(
+                    "engine-" + i, "registry", true, "--load-ms", "400", "--no-fence-check");
         }
-        fleet.entry("entry-1");
-        fleet.entry("entry-2");
+        fleet.startEntry("entry-1");
+        fleet.startEntry("entry-2");
         fleet.awaitServing();
     }
 
     @AfterEach
     void stop() throws Exception {
-        endTraffic();
+        stopTraffic();
         fleet.close();
     }
 
     @Test
     void aVersionIsChangedWithoutAFailedCallAndWithEnoughTargetsServing() throws Exception {
-        traffic("entry-1");
-        traffic("entry-2");
-        watchEngines();
-        JsonNode started = ctl(0, "rollout", "start", "registry", toVersion("2"));
+        startTraffic("entry-1");
+        startTraffic("entry-2");
+        monitorBusyEngines();
+        JsonNode started = runSardinectl(0, "rollout", "start", "registry", optionsForVersion("2"));
         assertEquals("started", started.path("outcome").asText());
-        ctl(1, "rollout", "start", "registry", toVersion("3"));
+        runSardinectl(1, "rollout", "start", "registry", optionsForVersion("3"));
 
         awaitPhase("COMPLETED");
-        endTraffic();
+        stopTraffic();
         assertEquals(List.of("2", "2", "2", "2"), versions());
         assertEquals(List.of(), failures);
         assertTrue(calls.get() > ENGINES, calls + " calls");
-        assertEquals(1, mostBusy, "three of four serve throughout");
+        assertEquals(1, maxBusy, "most engines busy at once; three of four must serve");
     }
 
     @Test
-    void aFailedLoadGoesBackByItselfAndSaysWhy() throws Exception {
-        engineFaults("engine-3", "{\"failVersion\":\"3\"}");
-        traffic("entry-1");
-        ctl(0, "rollout", "start", "registry", toVersion("3"));
+    void aFailedLoadIsRolledBackAndTheReasonIsReported() throws Exception {
+        setEngineFaults("engine-3", "{\"failVersion\":\"3\"}");
+        startTraffic("entry-1");
+        runSardinectl(0, "rollout", "start", "registry", optionsForVersion("3"));
 
         JsonNode end = awaitPhase("ROLLED_BACK");
-        endTraffic();
+        stopTraffic();
         assertTrue(end.path("reason").asText().contains("c-engine-3"), end.toString());
         assertTrue(end.path("reason").asText().contains("can't be loaded"), end.toString());
         assertEquals(List.of("1", "1", "1", "1"), versions());
-        assertTrue(fences("engine-1").size() >= 2, "it was moved and went back");
+        assertTrue(
+                acceptedFences("engine-1").size() >= 2,
+                "orders of engine-1: to the new version and back");
         assertEquals(List.of(), failures);
     }
 
     @Test
-    void aFrozenControllerIsReplacedAndNoneOfItsOrdersTakesEffectLater() throws Exception {
+    void aSuspendedControllerIsReplacedAndNoneOfItsOrdersTakesEffectLater() throws Exception {
         for (int i = 1; i <= ENGINES; i++) {
-            engineFaults("engine-" + i, "{\"loadMs\":2000}");
+            setEngineFaults("engine-" + i, "{\"loadMs\":2000}");
         }
-        ctl(0, "rollout", "start", "registry", toVersion("2"));
-        Awaitility.await().atMost(PATIENCE).until(() -> !fences("engine-1").isEmpty());
-        String first = holder();
-        fleet.processes.get(first).freeze();
-        Awaitility.await().atMost(PATIENCE).until(() -> !holder().equals(first));
-        String second = holder();
+        runSardinectl(0, "rollout", "start", "registry", optionsForVersion("2"));
+        Awaitility.await().atMost(AWAIT_TIMEOUT).until(() -> !acceptedFences("engine-1").isEmpty());
+        String first = leaseHolder();
+        fleet.processes.get(first).suspend();
+        Awaitility.await().atMost(AWAIT_TIMEOUT).until(() -> !leaseHolder().equals(first));
+        String second = leaseHolder();
         assertNotEquals(first, second);
-        long claimed = fence();
+        long newFence = leaseFence();
         Awaitility.await()
-                .atMost(PATIENCE)
-                .until(() -> allFences().anyMatch(number -> number >= claimed << 20));
-        fleet.processes.get(first).thaw();
+                .atMost(AWAIT_TIMEOUT)
+                .until(() -> allAcceptedFences().anyMatch(number -> number >= newFence << 20));
+        fleet.processes.get(first).resume();
 
         awaitPhase("COMPLETED");
         assertEquals(List.of("2", "2", "2", "2"), versions());
         for (int i = 1; i <= ENGINES; i++) {
-            List<Long> given = fences("engine-" + i);
-            assertEquals(given.stream().sorted().toList(), given, "engine-" + i);
+            List<Long> accepted = acceptedFences("engine-" + i);
+            assertEquals(accepted.stream().sorted().toList(), accepted, "engine-" + i);
         }
-        assertEquals(claimed, fence(), "the woken one took nothing back");
-        assertFalse(fences("engine-4").isEmpty());
+        assertEquals(newFence, leaseFence(), "the resumed controller must not take the lease back");
+        assertFalse(acceptedFences("engine-4").isEmpty());
     }
 
-    private static String[] toVersion(String version) {
+    private static String[] optionsForVersion(String version) {
         return new String[] {
             "--model", Fleet.MODEL, "--model-version", version, "--least-serving", "0.75"
         };
     }
 
-    private JsonNode ctl(int exitCode, String first, String second, String third, String... more)
+    private JsonNode runSardinectl(
+            int exitCode, String first, String second, String third, String... more)
             throws IOException {
         String[] args =
                 Stream.concat(
                                 Stream.of(first, second, third),
-                                Stream.concat(Stream.of(more), Stream.of(common())))
+                                Stream.concat(Stream.of(more), Stream.of(commonOptions())))
                         .toArray(String[]::new);
         ChildProcess.Output output = ChildProcess.run(fleet.log("ctl"), "sardinectl", args);
         assertEquals(exitCode, output.exitCode(), output.text());
-        return fleet.tree(output.text());
+        return fleet.parseJson(output.text());
     }
 
-    private String[] common() {
+    private String[] commonOptions() {
         String platform = "127.0.0.1:" + fleet.platform.port("address");
         return new String[] {"--platform", platform, "--output", "json"};
     }
 
     private JsonNode awaitPhase(String phase) {
         return Awaitility.await(phase)
-                .atMost(PATIENCE)
+                .atMost(AWAIT_TIMEOUT)
                 .pollInterval(Duration.ofMillis(500))
                 .until(
-                        () -> ctl(0, "rollout", "status", NAME).at("/rollouts/0"),
+                        () -> runSardinectl(0, "rollout", "status", ROLLOUT_NAME).at("/rollouts/0"),
                         status -> status.path("phase").asText().equals(phase));
     }
 
-    private JsonNode lease() throws IOException {
+    private JsonNode readLease() throws IOException {
         String url =
                 "http://127.0.0.1:"
                         + fleet.platform.port("address")
                         + "/objects/rollout-lease/controller";
-        return fleet.tree(
-                fleet.tree(fleet.send(Fleet.request(url).GET()).body()).path("value").asText());
+        return fleet.parseJson(
+                fleet.parseJson(fleet.send(Fleet.request(url).GET()).body())
+                        .path("value")
+                        .asText());
     }
 
-    private String holder() throws IOException {
-        return lease().path("instance").asText();
+    private String leaseHolder() throws IOException {
+        return readLease().path("instance").asText();
     }
 
-    private long fence() throws IOException {
-        return lease().path("fence").asLong();
+    private long leaseFence() throws IOException {
+        return readLease().path("fence").asLong();
     }
 
     private List<String> versions() throws IOException {
         List<String> versions = new ArrayList<>();
         for (int i = 1; i <= ENGINES; i++) {
             versions.add(
-                    fleet.counters("engine-" + i, "/v1/models").at("/data/0/version").asText());
+                    fleet.fetchFromTarget("engine-" + i, "/v1/models")
+                            .at("/data/0/version")
+                            .asText());
         }
         return versions;
     }
 
-    private List<Long> fences(String engine) throws IOException {
-        JsonNode orders = fleet.counters(engine, "/admin/orders").path("orders");
+    private List<Long> acceptedFences(String engine) throws IOException {
+        JsonNode orders = fleet.fetchFromTarget(engine, "/admin/orders").path("orders");
         return StreamSupport.stream(orders.spliterator(), false)
                 .map(order -> order.path("fence").asLong())
                 .toList();
     }
 
-    private Stream<Long> allFences() throws IOException {
+    private Stream<Long> allAcceptedFences() throws IOException {
         List<Long> all = new ArrayList<>();
         for (int i = 1; i <= ENGINES; i++) {
-            all.addAll(fences("engine-" + i));
+            all.addAll(acceptedFences("engine-" + i));
         }
         return all.stream();
     }
 
-    private void engineFaults(String engine, String json) throws IOException {
+    private void setEngineFaults(String engine, String json) throws IOException {
         String url =
                 "http://127.0.0.1:" + fleet.processes.get(engine).port("address") + "/admin/orders";
         fleet.send(Fleet.request(url).POST(HttpRequest.BodyPublishers.ofString(json)));
     }
 
-    /** One call after another, until the traffic ends. */
-    private void traffic(String entry) {
-        background(
+    /** Sends one call after another in the background until {@link #stopTraffic}. */
+    private void startTraffic(String entry) {
+        startLoop(
                 () -> {
                     int status = fleet.chat(entry, Fleet.KEY, "float " + calls, 2).statusCode();
                     calls.incrementAndGet();
@@ -209,47 +220,49 @@
                 });
     }
 
-    private void watchEngines() {
-        background(
+    private void monitorBusyEngines() {
+        startLoop(
                 () -> {
-                    long busy = IntStream.rangeClosed(1, ENGINES).filter(this::busy).count();
-                    mostBusy = Math.max(mostBusy, busy);
+                    long busy = IntStream.rangeClosed(1, ENGINES).filter(this::isBusy).count();
+                    maxBusy = Math.max(maxBusy, busy);
                 });
     }
 
-    private boolean busy(int engine) {
+    private boolean isBusy(int engine) {
         try {
-            return fleet.counters("engine-" + engine, "/admin/orders").path("busy").asBoolean();
+            return fleet.fetchFromTarget("engine-" + engine, "/admin/orders")
+                    .path("busy")
+                    .asBoolean();
         } catch (IOException e) {
             failures.add(e.toString());
             return false;
         }
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws IOException;
     }
 
-    private void background(Work work) {
+    private void startLoop(Task task) {
         Thread thread =
                 new Thread(
                         () -> {
-                            while (calling) {
+                            while (isRunning) {
                                 try {
-                                    work.run();
+                                    task.run();
                                 } catch (IOException e) {
                                     failures.add(e.toString());
                                 }
                             }
                         });
-        callers.add(thread);
+        threads.add(thread);
         thread.start();
     }
 
-    private void endTraffic() throws InterruptedException {
-        calling = false;
-        for (Thread caller : callers) {
-            caller.join();
+    private void stopTraffic() throws InterruptedException {
+        isRunning = false;
+        for (Thread thread : threads) {
+            thread.join();
         }
     }
 }
--- a/system-tests/src/test/java/org/sardinelift/system/SoakTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/SoakTest.java
@@ -10,11 +10,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Short runs of scripts/soak.sh: a seed that never failed, and each one that did. */
+/**
+ * Short runs of scripts/soak.sh, which injects random faults into a fleet of processes: with a seed
+ * that never failed, and with each one that did.
+ */
 class SoakTest {
     @TempDir private Path logs;
 
-    private Run soak(String seed, String seconds) throws Exception {
+    private Run runSoak(String seed, String seconds) throws Exception {
         Path root = Path.of(System.getProperty("workspace.root"));
         ProcessBuilder builder =
                 new ProcessBuilder(root.resolve("scripts/soak.sh").toString(), seed)
@@ -29,21 +32,21 @@
 
     private record Run(int exitCode, String text) {}
 
-    /** 15: a worker denied a job that two others had accepted on their disks. */
+    /** Seed 15 failed: a worker denied a job that two others had accepted on their disks. */
     @ParameterizedTest
     @ValueSource(strings = {"1", "15"})
-    void promisesHoldUnderRandomFaults(String seed) throws Exception {
-        Run run = soak(seed, "12");
+    void guaranteesHoldUnderRandomFaults(String seed) throws Exception {
+        Run run = runSoak(seed, "12");
 
         assertEquals(0, run.exitCode(), run.text());
         assertTrue(run.text().contains("call 200="), run.text());
         assertTrue(run.text().contains("job completed="), run.text());
     }
 
-    /** A soak that can't fail would show nothing. */
+    /** Guards against a soak that reports success whatever happens. */
     @Test
-    void aProgramThatIsNoServerFailsTheSoak() throws Exception {
-        Run run = soak("no seed", "1");
+    void anInvalidSeedFailsTheSoak() throws Exception {
+        Run run = runSoak("no seed", "1");
 
         assertTrue(run.exitCode() != 0, run.text());
     }
--- a/system-tests/src/test/java/org/sardinelift/system/ZoneLossTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/ZoneLossTest.java
@@ -13,24 +13,27 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** All processes of an availability zone are lost in the same instant. */
+/**
+ * All processes of an availability zone are killed at once. Guards against streams of the other
+ * zone that break, and against a job of the lost entry that is not completed.
+ */
 class ZoneLossTest {
     private static final int ITEMS = 200;
     private static final int STREAMS = 20;
-    private static final Duration FEW_SECONDS = Duration.ofSeconds(15);
-    private static final List<String> LOST = List.of("entry-1", "c-engine-1", "engine-1");
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(15);
+    private static final List<String> LOST_PROCESSES = List.of("entry-1", "c-engine-1", "engine-1");
 
     private Fleet fleet;
 
     @BeforeEach
     void start() throws IOException {
         fleet = Fleet.start();
-        fleet.inZone("hinchinbrook");
-        fleet.target("engine-2", "registry", true, "--token-us", "20000");
-        fleet.entry("entry-2");
-        fleet.inZone("moreton");
-        fleet.target("engine-1", "registry", true, "--token-us", "20000");
-        fleet.entry("entry-1");
+        fleet.useZone("hinchinbrook");
+        fleet.startTarget("engine-2", "registry", true, "--token-us", "20000");
+        fleet.startEntry("entry-2");
+        fleet.useZone("moreton");
+        fleet.startTarget("engine-1", "registry", true, "--token-us", "20000");
+        fleet.startEntry("entry-1");
         fleet.awaitServing();
     }
 
@@ -42,20 +45,20 @@
     @Test
     @Tag("known-red")
     void theOtherZoneServesOnAndCompletesTheLostEntrysJob() throws Exception {
-        String body = fleet.submit("entry-1", "before-the-tide", fleet.job(ITEMS, 4)).body();
-        String job = fleet.tree(body).path("id").asText();
+        String body = fleet.submit("entry-1", "before-the-tide", fleet.jobLines(ITEMS, 4)).body();
+        String job = fleet.parseJson(body).path("id").asText();
         Streams streams = new Streams();
         for (int i = 0; i < STREAMS; i++) {
-            streams.open(fleet, fleet.chatCall("entry-2", Fleet.KEY, "tag " + i, 100, true));
+            streams.open(fleet, fleet.chatRequest("entry-2", Fleet.KEY, "tag " + i, 100, true));
         }
-        Awaitility.await().atMost(FEW_SECONDS).until(() -> streams.open() == STREAMS);
+        Awaitility.await().atMost(AWAIT_TIMEOUT).until(() -> streams.openCount() == STREAMS);
 
-        LOST.forEach(name -> fleet.processes.get(name).kill());
+        LOST_PROCESSES.forEach(name -> fleet.processes.get(name).kill());
 
         assertEquals(200, fleet.chat("entry-2", Fleet.KEY, "at once", 1).statusCode());
         assertEquals(200, fleet.chat("entry-2", Fleet.OTHER_KEY, "at once", 1).statusCode());
-        for (String answer : streams.bodies()) {
-            assertTrue(Streams.whole(answer), answer);
+        for (String answer : streams.awaitBodies()) {
+            assertTrue(Streams.isComplete(answer), answer);
             assertEquals(100, Streams.tokens(fleet, answer).stream().distinct().count(), answer);
         }
         fleet.awaitJob("entry-2", job, "completed");
