--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Builds the server and puts it where the deploy file looks for it, with a class-data archive that
-# halves the processor time of a start. deploy/classes.lst is made by scripts/class-list.sh.
+# Builds the server and copies it to the path that the deploy file names, with a class-data archive
+# that halves the CPU time of a start. scripts/class-list.sh creates deploy/classes.lst.
 set -eu
 cd "$(dirname "$0")/.."
 mvn -B -ntp -q -DskipTests package
--- a/measure.sh
+++ b/measure.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts a fleet on stand-ins and measures it. The argument names the measurement: measures (the
-# default: batch throughput, online tails, worst-served team, wrong refusals), latency (what entry
-# and companion add), or throughput (what one entry and one companion carry).
+# Starts a fleet against stand-ins and measures it. The argument names the measurement: measures
+# (the default: batch throughput, tail latency of online calls, worst-served team, wrong refusals),
+# latency (added by entry and companion), or throughput (of one entry and one companion).
 set -euo pipefail
 cd "$(dirname "$0")"
 source scripts/fleet.sh
@@ -16,7 +16,7 @@
 
 bench() { java -Xmx512m -jar bench/target/bench.jar "$@" --out "$RESULTS"; }
 
-# teams_file: configuration with one team for each row of TEAMS
+# teams_file: prints a configuration with one team per row of TEAMS
 teams_file() {
   local rows="" row name rate burst
   for row in "${TEAMS[@]}"; do
@@ -42,7 +42,7 @@
   await_key "$key"
 }
 
-# one_path ENGINE-OPTIONS...: one engine, one companion, one entry
+# one_path ENGINE-OPTIONS...: starts and configures one engine, one companion and one entry
 one_path() {
   start engine-1 standins engine --models registry-llm --slots "$SLOTS" "$@"
   companion companion-1 moreton engine-1 registry true '["registry-llm"]'
--- a/quickstart.sh
+++ b/quickstart.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds sardinelift, starts the whole path on stand-ins as separate processes on loopback, runs a
-# few online calls and one batch job through it, prints what came back and stops all it started.
+# Builds sardinelift, starts a whole fleet against stand-ins as separate processes on loopback,
+# sends a few online calls and one batch job through it, prints the answers and stops all processes.
 set -euo pipefail
 cd "$(dirname "$0")"
 source scripts/fleet.sh
--- a/scripts/class-list.sh
+++ b/scripts/class-list.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Lists the classes that a gateway and a worker load in their usual work, for the class-data archive
-# that the build makes: runs both as processes against stand-ins. Writes deploy/classes.lst.
+# Lists the classes that a gateway and a worker load in normal operation, for the class-data archive
+# of the build. Runs both as processes against stand-ins and writes deploy/classes.lst.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 run_dir=$(mktemp -d)
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,5 +1,5 @@
-# Functions that start a small fleet on stand-ins as separate processes on loopback. Sourced.
-# All processes are stopped, by process id, when the sourcing script ends.
+# Functions that start a small fleet against stand-ins, as separate processes on loopback. This file
+# is sourced; all processes are stopped, by process id, when the sourcing script exits.
 
 readonly PEPPER="stand-ins only"
 readonly READY_TIMEOUT_S=30
@@ -32,18 +32,18 @@
   exit 1
 }
 
-# port NAME FIELD: port of an address in the ready line of NAME
+# port NAME FIELD: prints the port of an address in the ready line of NAME
 port() { sed -n "s/.*\"$2\":\"[^\"]*:\([0-9]*\)\".*/\1/p" "$run_dir/$1.out"; }
 
 ctl() { java -Xmx64m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -jar sardinectl/target/sardinectl.jar "$@"; }
 admin() { java -Xmx64m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -jar standins/target/standins.jar admin "$@"; }
 
-# build: all jars, quietly
+# build: builds all jars
 build() {
   mvn -B -ntp -q package -DskipTests
 }
 
-# platform: starts the platform's stand-in
+# platform: starts the platform stand-in
 platform() {
   start platform standins platform
   platform_port=$(port platform address)
@@ -51,7 +51,7 @@
   export SARDINELIFT_PEPPER="$PEPPER"
 }
 
-# companion NAME ZONE TARGET SERVICE ENGINE: starts a companion beside the stand-in TARGET
+# companion NAME ZONE TARGET SERVICE ENGINE [MODELS]: starts the companion of the stand-in TARGET
 companion() {
   cat > "$run_dir/$1.json" <<SETTINGS
 {
@@ -80,16 +80,16 @@
   register "$1" entry "$2" ""
 }
 
-# register NAME ROLE ZONE TARGET: the platform comes to know the instance
+# register NAME ROLE ZONE TARGET: registers the instance with the platform
 register() {
   admin --to "127.0.0.1:$platform_port" --path /admin/instances --json \
     "{\"register\":[{\"name\":\"$1\",\"role\":\"$2\",\"zone\":\"$3\",\"host\":\"127.0.0.1\",\"port\":$(port "$1" peer),\"target\":\"$4\"}]}" > "$run_dir/admin.out"
 }
 
-# issue TEAM: issues a key and prints it
+# issue TEAM: issues a key for the team and prints it
 issue() { ctl keys issue "$1" --output json | sed -n 's/.*"key" *: *"\([^"]*\)".*/\1/p'; }
 
-# await_key KEY: waits until the entry at SARDINELIFT_ENTRY serves the key
+# await_key KEY: waits until the entry at SARDINELIFT_ENTRY accepts the key
 await_key() {
   for _ in $(seq 50); do
     SARDINELIFT_KEY=$1 ctl ask --model registry-llm --max-tokens 1 "ready?" \
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Plays random faults on a fleet of processes. Usage: scripts/soak.sh [SEED...]; without seeds one is
-# drawn from the clock. SOAK_SECONDS, SOAK_ZONES and SOAK_GATEWAYS (in each zone) set the size;
-# SOAK_LOGS the folder for the logs of each seed. Needs a built workspace (mvn package).
+# Injects random faults into a fleet of processes. Usage: scripts/soak.sh [SEED...]; without a seed,
+# the current time is used. SOAK_SECONDS, SOAK_ZONES and SOAK_GATEWAYS (per zone) set duration and
+# size, SOAK_LOGS the folder for the logs of each seed. Needs a built workspace (mvn package).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 jar=sardinelift/target/sardinelift.jar
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds everything, checks format and lint, and runs all tests.
+# Builds all modules, checks format and lint, and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")"
 exec mvn -B -ntp verify
