--- a/bench/src/main/java/org/sardinelift/bench/load/BatchJob.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/BatchJob.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 
@@ -97,7 +97,7 @@
 
     private static JsonNode json(HttpClient client, HttpCall call) {
         try {
-            HttpAnswer answer = client.call(call).join();
+            BufferedHttpResponse answer = client.call(call).join();
             if (answer.status() >= FIRST_ERROR_STATUS) {
                 throw new IllegalStateException(
                         call.method() + " " + call.uri() + " was refused: " + answer.text());
--- a/bench/src/main/java/org/sardinelift/bench/load/EngineCompletions.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/EngineCompletions.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.concurrent.CompletionException;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 
@@ -49,7 +49,7 @@
                         new byte[0],
                         READ_TIMEOUT);
         try {
-            HttpAnswer answer = client.call(call).join();
+            BufferedHttpResponse answer = client.call(call).join();
             return answer.status() == OK
                     ? OptionalLong.of(MAPPER.readTree(answer.text()).path("completed").asLong())
                     : OptionalLong.empty();
--- a/bench/src/main/java/org/sardinelift/bench/load/StreamTimer.java
+++ b/bench/src/main/java/org/sardinelift/bench/load/StreamTimer.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongConsumer;
-import org.sardinelift.http.HttpAnswerListener;
+import org.sardinelift.http.HttpResponseListener;
 
 /** Measures the times of the events of one streamed answer. */
-final class StreamTimer implements HttpAnswerListener {
+final class StreamTimer implements HttpResponseListener {
     private static final byte[] EVENT_PREFIX = {'d', 'a', 't', 'a', ':', ' ', '{'};
 
     private final Arrival arrival;
--- a/bench/src/main/java/org/sardinelift/bench/slope/CompanionFleet.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/CompanionFleet.java
@@ -21,9 +21,9 @@
 import org.sardinelift.entry.peer.PeerMesh;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.objects.HttpObjectStore;
+import org.sardinelift.protocol.ConnectionTimings;
 import org.sardinelift.protocol.FrameConnection;
 import org.sardinelift.protocol.FrameListener;
-import org.sardinelift.protocol.LinkTimings;
 import org.sardinelift.protocol.generated.Frame;
 import org.sardinelift.protocol.generated.Hello;
 import org.sardinelift.protocol.generated.Lane;
@@ -105,7 +105,7 @@
         return CrashGuard.of(
                 "entry-1",
                 defaults(SettingsFile.parse("{}", PoisonBounds::read)),
-                PeerMesh.of(group, null, () -> hello, LinkTimings.defaults()),
+                PeerMesh.of(group, null, () -> hello, ConnectionTimings.defaults()),
                 HttpObjectStore.create(
                         HttpClient.create(group, TIMEOUT, null), LOOPBACK, 1, TIMEOUT),
                 group);
@@ -131,7 +131,7 @@
 
     private static LinkOpener.Link open(InstanceInfo companion, Lane lane, FrameListener listener) {
         FrameConnection connection = new DiscardingConnection(companion.name());
-        listener.onUp(connection);
+        listener.onConnected(connection);
         if (lane == Lane.CONTROL) {
             listener.onFrame(connection, Frame.loadReport(report(companion)));
         }
--- a/bench/src/main/java/org/sardinelift/bench/slope/ConnectionSlopes.java
+++ b/bench/src/main/java/org/sardinelift/bench/slope/ConnectionSlopes.java
@@ -19,11 +19,11 @@
 import java.util.stream.LongStream;
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.bench.load.ProcessSample;
+import org.sardinelift.protocol.ConnectionTimings;
 import org.sardinelift.protocol.FrameConnection;
 import org.sardinelift.protocol.FrameLink;
 import org.sardinelift.protocol.FrameListener;
 import org.sardinelift.protocol.FrameServer;
-import org.sardinelift.protocol.LinkTimings;
 import org.sardinelift.protocol.generated.Frame;
 import org.sardinelift.protocol.generated.Hello;
 import org.sardinelift.protocol.generated.Lane;
@@ -150,7 +150,7 @@
                 0,
                 null,
                 () -> hello("companion-1"),
-                LinkTimings.defaults(),
+                ConnectionTimings.defaults(),
                 new ConnectionCounter(new AtomicInteger()));
     }
 
@@ -161,7 +161,7 @@
                 port,
                 null,
                 () -> hello("entry-1"),
-                LinkTimings.defaults(),
+                ConnectionTimings.defaults(),
                 new ConnectionCounter(up));
     }
 
@@ -187,7 +187,7 @@
 
     private record ConnectionCounter(AtomicInteger up) implements FrameListener {
         @Override
-        public void onUp(FrameConnection connection) {
+        public void onConnected(FrameConnection connection) {
             up.incrementAndGet();
         }
 
@@ -195,7 +195,7 @@
         public void onFrame(FrameConnection connection, Frame frame) {}
 
         @Override
-        public void onDown(FrameConnection connection, String reason) {
+        public void onDisconnected(FrameConnection connection, String reason) {
             up.decrementAndGet();
         }
     }
--- a/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
+++ b/companion/src/main/java/org/sardinelift/companion/CompanionProcess.java
@@ -49,7 +49,7 @@
 import org.sardinelift.runtime.ControlThread;
 import org.sardinelift.runtime.Metrics;
 import org.sardinelift.runtime.Telemetry;
-import org.sardinelift.runtime.tls.TlsFiles;
+import org.sardinelift.runtime.tls.MutualTls;
 import org.tinylog.Logger;
 
 /** A running companion. */
@@ -154,8 +154,8 @@
 
     private void startControl() {
         control.execute(this::report);
-        control.repeat(settings.target().probeInterval(), probe::probeNow);
-        control.repeat(settings.modelsPollInterval(), models::poll);
+        control.scheduleRepeatedly(settings.target().probeInterval(), probe::probeNow);
+        control.scheduleRepeatedly(settings.modelsPollInterval(), models::poll);
         control.execute(calls::tick);
     }
 
@@ -283,7 +283,7 @@
             throws IOException {
         return settings.peerTls().isEmpty()
                 ? null
-                : TlsFiles.open(settings.peerTls().get()).server();
+                : MutualTls.open(settings.peerTls().get()).serverContexts();
     }
 
     private OrderGuard createOrderGuard(HttpClient client, CompanionSettings.Address platform) {
@@ -308,7 +308,7 @@
     }
 
     private void onExplainQuery(FrameConnection connection, ExplainQuery query) {
-        connection.send(DecisionFrames.answer(query, settings.instance(), log));
+        connection.send(DecisionFrames.toResultFrame(query, settings.instance(), log));
     }
 
     private void onOrder(FrameConnection connection, Order order) {
--- a/companion/src/main/java/org/sardinelift/companion/CompanionSettings.java
+++ b/companion/src/main/java/org/sardinelift/companion/CompanionSettings.java
@@ -6,7 +6,7 @@
 import org.sardinelift.companion.call.CallSettings;
 import org.sardinelift.companion.target.TargetSettings;
 import org.sardinelift.protocol.ConnectionLimits;
-import org.sardinelift.protocol.LinkTimings;
+import org.sardinelift.protocol.ConnectionTimings;
 import org.sardinelift.runtime.tls.PlaintextCheck;
 import org.sardinelift.runtime.tls.TlsSettings;
 import org.sardinelift.settings.SettingsNode;
@@ -47,7 +47,7 @@
         Duration modelsPollInterval,
         int maxWaitingOrders,
         int orderTries,
-        LinkTimings timings,
+        ConnectionTimings timings,
         ConnectionLimits limits,
         CallSettings calls,
         Duration reportInterval,
@@ -108,13 +108,13 @@
     }
 
     /** Companions open no connections to other processes, so they have no backoff settings. */
-    private static LinkTimings readTimings(SettingsNode node) {
-        LinkTimings defaults = LinkTimings.defaults();
-        return new LinkTimings(
-                node.millis("heartbeatMs", (int) defaults.heartbeat().toMillis()),
-                node.millis("silenceMs", (int) defaults.silence().toMillis()),
-                defaults.reconnectMin(),
-                defaults.reconnectMax());
+    private static ConnectionTimings readTimings(SettingsNode node) {
+        ConnectionTimings defaults = ConnectionTimings.defaults();
+        return new ConnectionTimings(
+                node.millis("heartbeatMs", (int) defaults.heartbeatInterval().toMillis()),
+                node.millis("silenceMs", (int) defaults.silenceTimeout().toMillis()),
+                defaults.minReconnectDelay(),
+                defaults.maxReconnectDelay());
     }
 
     private static ConnectionLimits readLimits(SettingsNode node) {
--- a/companion/src/main/java/org/sardinelift/companion/call/Attempt.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/Attempt.java
@@ -40,8 +40,8 @@
         this.receivedMs = receivedMs;
         this.telemetry = telemetry;
         String parent = start.getTraceparent() == null ? "" : start.getTraceparent();
-        span = telemetry.hop("companion.call", SpanKind.SERVER, parent);
-        currentStage = telemetry.hop("companion.queue", SpanKind.INTERNAL, traceparent());
+        span = telemetry.startSpan("companion.call", SpanKind.SERVER, parent);
+        currentStage = telemetry.startSpan("companion.queue", SpanKind.INTERNAL, traceparent());
     }
 
     AttemptId id() {
@@ -97,7 +97,7 @@
     /** Starts the span of the call at the target and returns its trace context. */
     String startTargetSpan() {
         currentStage.end();
-        currentStage = telemetry.hop("companion.target", SpanKind.CLIENT, traceparent());
+        currentStage = telemetry.startSpan("companion.target", SpanKind.CLIENT, traceparent());
         return Telemetry.traceparent(currentStage);
     }
 
--- a/companion/src/main/java/org/sardinelift/companion/call/CallManager.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/CallManager.java
@@ -119,7 +119,8 @@
 
     /** Checks deadlines and expires old outcomes; runs more often while there are calls. */
     public void tick() {
-        tickTimer.within(active.isEmpty() ? settings.idleTickInterval() : settings.tickInterval());
+        tickTimer.scheduleWithin(
+                active.isEmpty() ? settings.idleTickInterval() : settings.tickInterval());
         long now = now();
         for (Attempt attempt : List.copyOf(active.values())) {
             gate.recordProgress(attempt.key(), attempt.response().length());
@@ -213,7 +214,7 @@
         attempts.put(id, attempt);
         active.put(attempt.key(), attempt);
         hasActiveCalls = true;
-        tickTimer.within(settings.tickInterval());
+        tickTimer.scheduleWithin(settings.tickInterval());
         onCallsChanged.run();
         perform(gate.submit(now, attempt.gateCall(target.canResume())));
     }
--- a/companion/src/main/java/org/sardinelift/companion/call/TargetResponseRelay.java
+++ b/companion/src/main/java/org/sardinelift/companion/call/TargetResponseRelay.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.sardinelift.http.HttpAnswerListener;
+import org.sardinelift.http.HttpResponseListener;
 import org.sardinelift.protocol.generated.FailureKind;
 import org.sardinelift.protocol.generated.Finish;
 import org.sardinelift.protocol.generated.RunOutcome;
 
 /** Forwards the target's response to the buffer of one attempt, on the connection's event loop. */
-final class TargetResponseRelay implements HttpAnswerListener {
+final class TargetResponseRelay implements HttpResponseListener {
     private static final int OK = 200;
 
     private final Attempt attempt;
--- a/companion/src/main/java/org/sardinelift/companion/link/EntryConnections.java
+++ b/companion/src/main/java/org/sardinelift/companion/link/EntryConnections.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void onUp(FrameConnection connection) {
+    public void onConnected(FrameConnection connection) {
         control.execute(() -> register(connection));
     }
 
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void onDown(FrameConnection connection, String reason) {
+    public void onDisconnected(FrameConnection connection, String reason) {
         control.execute(
                 () -> {
                     connections.remove(key(connection), connection);
--- a/companion/src/main/java/org/sardinelift/companion/link/LoadReporter.java
+++ b/companion/src/main/java/org/sardinelift/companion/link/LoadReporter.java
@@ -70,6 +70,6 @@
     }
 
     private void scheduleNext() {
-        timer.within(Duration.ofNanos(pacer.nanosUntilDue(System.nanoTime())));
+        timer.scheduleWithin(Duration.ofNanos(pacer.nanosUntilDue(System.nanoTime())));
     }
 }
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetClient.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetClient.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import org.sardinelift.http.HttpAnswerListener;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
+import org.sardinelift.http.HttpResponseListener;
 import org.sardinelift.protocol.generated.Start;
 
 /** HTTP client that sends calls to the target and resumes interrupted ones. */
@@ -81,7 +81,7 @@
      * @param listener receives the response
      * @return cancels the call when run
      */
-    public Runnable send(Start start, String traceparent, HttpAnswerListener listener) {
+    public Runnable send(Start start, String traceparent, HttpResponseListener listener) {
         byte[] body = start.getBody() == null ? new byte[0] : start.getBody();
         Map<String, String> headers = headers(start);
         addTraceparent(headers, traceparent);
@@ -98,7 +98,7 @@
      * @return cancels the call when run
      */
     public Runnable resume(
-            String requestId, long offset, String traceparent, HttpAnswerListener listener) {
+            String requestId, long offset, String traceparent, HttpResponseListener listener) {
         String id = URLEncoder.encode(requestId, StandardCharsets.UTF_8);
         Map<String, String> headers = new HashMap<>(Map.of(REQUEST_ID, requestId));
         addTraceparent(headers, traceparent);
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetControlClient.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetControlClient.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import org.sardinelift.companion.order.OrderExecutor;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.protocol.generated.Order;
@@ -78,7 +78,7 @@
                                         : configured);
     }
 
-    private LoadedModels read(HttpAnswer response) {
+    private LoadedModels read(BufferedHttpResponse response) {
         try {
             JsonNode body = MAPPER.readTree(response.text());
             Map<String, String> versions = new TreeMap<>();
--- a/companion/src/main/java/org/sardinelift/companion/target/TargetProbe.java
+++ b/companion/src/main/java/org/sardinelift/companion/target/TargetProbe.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.sardinelift.core.gate.EngineLoad;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.runtime.ControlThread;
@@ -76,7 +76,7 @@
         onResult.accept(result);
     }
 
-    private Result result(HttpAnswer response, Throwable error) {
+    private Result result(BufferedHttpResponse response, Throwable error) {
         if (error != null || response == null) {
             return new Result(false, Optional.empty());
         }
--- a/companion/src/test/java/org/sardinelift/companion/CallGateTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/CallGateTest.java
@@ -56,7 +56,7 @@
                                         .isPresent());
         Finish preempted = rig.batch.finishOf("b1").or(() -> rig.batch.finishOf("b2")).get();
         assertEquals(FailureKind.PREEMPTED, preempted.getFailure());
-        await().until(() -> !rig.target.call(preempted.getRequestId()).open());
+        await().until(() -> !rig.target.call(preempted.getRequestId()).isOpen());
     }
 
     @Test
@@ -93,8 +93,8 @@
         }
         rig.online.start(FakeEntry.call("o1", Lane.ONLINE));
         await().until(() -> rig.target.hasReceived("o1"));
-        String preempted = rig.target.call("b1").open() ? "b2" : "b1";
-        await().until(() -> !rig.target.call(preempted).open());
+        String preempted = rig.target.call("b1").isOpen() ? "b2" : "b1";
+        await().until(() -> !rig.target.call(preempted).isOpen());
         rig.target.startResponse("o1");
         rig.target.endResponse("o1");
         await().until(() -> rig.target.resumeRequest(preempted) != null);
@@ -228,6 +228,6 @@
         Finish refused = finish(rig.online, "o3");
         assertEquals(FailureKind.TARGET_LEAVING, refused.getFailure());
         assertEquals(RunOutcome.NOT_RUN, refused.getOutcome());
-        assertTrue(rig.target.call("o1").open());
+        assertTrue(rig.target.call("o1").isOpen());
     }
 }
--- a/companion/src/test/java/org/sardinelift/companion/CompanionProcessTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/CompanionProcessTest.java
@@ -69,7 +69,7 @@
         rig.online.start(FakeEntry.call("r1", Lane.ONLINE));
         await().until(() -> rig.target.hasReceived("r1"));
         rig.online.cancel("r1");
-        await().until(() -> !rig.target.call("r1").open());
+        await().until(() -> !rig.target.call("r1").isOpen());
         await().until(() -> rig.online.finishOf("r1").isPresent());
         assertEquals(FailureKind.CANCELLED, rig.online.finishOf("r1").get().getFailure());
         assertEquals(RunOutcome.UNKNOWN, rig.online.finishOf("r1").get().getOutcome());
--- a/companion/src/test/java/org/sardinelift/companion/FakeEntry.java
+++ b/companion/src/test/java/org/sardinelift/companion/FakeEntry.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 import java.util.stream.Stream;
+import org.sardinelift.protocol.ConnectionTimings;
 import org.sardinelift.protocol.FrameConnection;
 import org.sardinelift.protocol.FrameLink;
 import org.sardinelift.protocol.FrameListener;
-import org.sardinelift.protocol.LinkTimings;
 import org.sardinelift.protocol.generated.Cancel;
 import org.sardinelift.protocol.generated.Data;
 import org.sardinelift.protocol.generated.ExplainResult;
@@ -29,8 +29,8 @@
 
 /** One lane of an entry, controlled by the test. */
 final class FakeEntry implements FrameListener, AutoCloseable {
-    private static final LinkTimings TIMINGS =
-            new LinkTimings(
+    private static final ConnectionTimings TIMINGS =
+            new ConnectionTimings(
                     Duration.ofMillis(100),
                     Duration.ofSeconds(5),
                     Duration.ofMillis(10),
@@ -46,7 +46,7 @@
     }
 
     static FakeEntry connect(
-            EventLoopGroup group, String name, int port, Lane lane, LinkTimings timings) {
+            EventLoopGroup group, String name, int port, Lane lane, ConnectionTimings timings) {
         FakeEntry entry = new FakeEntry();
         entry.link =
                 FrameLink.open(
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void onUp(FrameConnection opened) {
+    public void onConnected(FrameConnection opened) {
         connection = opened;
         connections.incrementAndGet();
     }
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public void onDown(FrameConnection lost, String reason) {
+    public void onDisconnected(FrameConnection lost, String reason) {
         if (connection == lost) {
             connection = null;
         }
--- a/companion/src/test/java/org/sardinelift/companion/OperatorRoutesTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/OperatorRoutesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 
@@ -60,7 +60,7 @@
         assertEquals("{\"ready\":false,\"reason\":\"draining\"}", send("GET", "/readyz").text());
     }
 
-    private HttpAnswer send(String method, String path) throws Exception {
+    private BufferedHttpResponse send(String method, String path) throws Exception {
         String after = rig.companion.readyLine().split("\"operators\":\"127.0.0.1:")[1];
         int port = Integer.parseInt(after.substring(0, after.indexOf('"')));
         HttpCall call =
--- a/companion/src/test/java/org/sardinelift/companion/SilentPathTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/SilentPathTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.protocol.LinkTimings;
+import org.sardinelift.protocol.ConnectionTimings;
 import org.sardinelift.protocol.generated.FailureKind;
 import org.sardinelift.protocol.generated.Lane;
 import org.sardinelift.protocol.generated.RequestState;
@@ -16,8 +16,8 @@
 
 /** Network paths between an entry and a companion that drop all bytes without a reset. */
 class SilentPathTest {
-    private static final LinkTimings TIMINGS =
-            new LinkTimings(
+    private static final ConnectionTimings TIMINGS =
+            new ConnectionTimings(
                     Duration.ofMillis(50),
                     Duration.ofMillis(500),
                     Duration.ofMillis(10),
--- a/entry/src/main/java/org/sardinelift/entry/CompanionConnections.java
+++ b/entry/src/main/java/org/sardinelift/entry/CompanionConnections.java
@@ -33,9 +33,9 @@
     FrameListener interceptResults(String companion, FrameListener next) {
         return new FrameListener() {
             @Override
-            public void onUp(FrameConnection connection) {
+            public void onConnected(FrameConnection connection) {
                 connections.put(companion, connection);
-                next.onUp(connection);
+                next.onConnected(connection);
             }
 
             @Override
@@ -48,9 +48,9 @@
             }
 
             @Override
-            public void onDown(FrameConnection connection, String reason) {
+            public void onDisconnected(FrameConnection connection, String reason) {
                 connections.remove(companion, connection);
-                next.onDown(connection, reason);
+                next.onDisconnected(connection, reason);
             }
         };
     }
--- a/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryProcess.java
@@ -23,7 +23,7 @@
 import org.sardinelift.protocol.generated.Lane;
 import org.sardinelift.runtime.ControlThread;
 import org.sardinelift.runtime.Metrics;
-import org.sardinelift.runtime.tls.TlsFiles;
+import org.sardinelift.runtime.tls.MutualTls;
 import org.tinylog.Logger;
 
 /** A process of the entry role, which accepts callers' requests and sends them to companions. */
@@ -159,7 +159,7 @@
     }
 
     private void startDrain() {
-        if (services.readiness().draining()) {
+        if (services.readiness().isDraining()) {
             return;
         }
         services.readiness().announceDrain();
@@ -172,7 +172,7 @@
     }
 
     private void stopAcceptingWork(CompletableFuture<Void> batchDrained) {
-        services.readiness().closeToWork();
+        services.readiness().stopAcceptingWork();
         long deadline = System.nanoTime() + settings.drainTimeout().toNanos();
         CompletableFuture.allOf(batchDrained, services.limiter().leave())
                 .thenRun(() -> services.control().execute(() -> awaitCalls(deadline)));
@@ -180,7 +180,7 @@
 
     private void awaitCalls(long deadlineNanos) {
         ControlThread control = services.control();
-        int callsLeft = Math.max(services.callsInFlight(), callerServer.answersDue());
+        int callsLeft = Math.max(services.callsInFlight(), callerServer.pendingResponses());
         if (callsLeft == 0) {
             drained.complete(null);
         } else if (System.nanoTime() - deadlineNanos >= 0) {
@@ -221,8 +221,8 @@
             if (settings.peerTls().isEmpty()) {
                 return new Certificates(caller, null, null);
             }
-            TlsFiles peer = TlsFiles.open(settings.peerTls().get());
-            return new Certificates(caller, peer.server(), peer.client());
+            MutualTls peer = MutualTls.open(settings.peerTls().get());
+            return new Certificates(caller, peer.serverContexts(), peer.clientContexts());
         }
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/EntryServices.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntryServices.java
@@ -115,7 +115,7 @@
         limiter = createLimiter();
         readiness = Readiness.of(config::isReady, limiter::isReady, config::isIsolated);
         crashGuard = CrashGuard.of(settings.instance(), settings.poison(), peers, store, group);
-        DecisionLog log = DecisionLog.of(settings.explainEntries());
+        DecisionLog log = DecisionLog.of(settings.maxDecisions());
         decisions = DecisionRecorder.of(log, System::currentTimeMillis);
         dispatcher = createDispatcher(log);
         calls = RunningCalls.of(config::catalog);
@@ -191,21 +191,21 @@
     }
 
     void start() {
-        membership.listen(dispatcher::update);
-        membership.listen(peers::update);
-        membership.addInstanceListListener(limiter::onList);
-        config.listen((before, after) -> calls.onCatalogChanged(after));
-        config.listen(limiter);
-        config.listen(ConfigChangeRecorder.of(decisions));
-        config.listen((before, after) -> requestCounter.retainTeams(teamNames(after)));
-        limiter.listen(reclaimMonitor);
+        membership.addListener(dispatcher::update);
+        membership.addListener(peers::update);
+        membership.addInstanceListListener(limiter::onInstancesListed);
+        config.addListener((before, after) -> calls.onCatalogChanged(after));
+        config.addListener(limiter);
+        config.addListener(ConfigChangeRecorder.of(decisions));
+        config.addListener((before, after) -> requestCounter.retainTeams(teamNames(after)));
+        limiter.setSharesListener(reclaimMonitor);
         limiter.start();
         config.start(readiness::isAccepting);
         membership.start();
         crashGuard.setSuspectListener(dispatcher::requeueSuspects);
         crashGuard.start(control);
-        control.repeat(settings.orders().pollInterval(), orders::poll);
-        control.repeat(METRICS_INTERVAL, this::updateMetrics);
+        control.scheduleRepeatedly(settings.orders().pollInterval(), orders::poll);
+        control.scheduleRepeatedly(METRICS_INTERVAL, this::updateMetrics);
     }
 
     private void updateMetrics() {
@@ -267,7 +267,7 @@
                         calls,
                         ServiceFilter.of(
                                 config::catalog,
-                                requests.deadline(),
+                                requests.defaultDeadline(),
                                 requests.maxDeadline(),
                                 requests.prefixChars()),
                         LimitFilter.of(limiter, limiter::share, decisions, requestCounter),
@@ -287,7 +287,7 @@
                 new OperatorRoutes.Sources(
                         settings.instance(),
                         settings.zone(),
-                        readiness::notReady,
+                        readiness::notReadyReason,
                         config::catalog,
                         dispatcher::candidates,
                         this::callsInFlight,
@@ -357,9 +357,9 @@
     private final class CompanionEvents implements CompanionListener {
         @Override
         public void onConnection(String instance, boolean isConnected) {
-            membership.onConnection(instance, isConnected);
+            membership.onConnectionChanged(instance, isConnected);
             if (!isConnected) {
-                orders.onLost(instance);
+                orders.onConnectionLost(instance);
             }
         }
 
--- a/entry/src/main/java/org/sardinelift/entry/EntrySettings.java
+++ b/entry/src/main/java/org/sardinelift/entry/EntrySettings.java
@@ -14,7 +14,7 @@
 import org.sardinelift.entry.filter.IdempotencyBounds;
 import org.sardinelift.entry.order.OrderSettings;
 import org.sardinelift.objects.CallBudget;
-import org.sardinelift.protocol.LinkTimings;
+import org.sardinelift.protocol.ConnectionTimings;
 import org.sardinelift.runtime.tls.PlaintextCheck;
 import org.sardinelift.runtime.tls.ServerTlsSettings;
 import org.sardinelift.runtime.tls.TlsSettings;
@@ -46,7 +46,7 @@
  * @param orders bounds of orders to targets
  * @param drainDelay time between reporting not ready and refusing new work
  * @param drainTimeout longest time to wait for running calls to end
- * @param explainEntries maximum number of decisions kept in memory
+ * @param maxDecisions maximum number of decisions kept in memory
  * @param traceFile file to which each span is written as one JSON line
  * @param otlpEndpoint URL of an OTLP collector
  * @param traceRatio fraction of new traces that are recorded, 0 to 1
@@ -69,7 +69,7 @@
         ConfigTimings config,
         MembershipTimings membership,
         LimitBounds limits,
-        LinkTimings links,
+        ConnectionTimings links,
         CallBounds calls,
         PoisonBounds poison,
         IdempotencyBounds idempotency,
@@ -77,7 +77,7 @@
         OrderBounds orders,
         Duration drainDelay,
         Duration drainTimeout,
-        int explainEntries,
+        int maxDecisions,
         Optional<Path> traceFile,
         Optional<String> otlpEndpoint,
         double traceRatio,
@@ -160,13 +160,13 @@
                 millis(node, "goneAfterMs", defaults.goneAfter()));
     }
 
-    private static LinkTimings readLinkTimings(SettingsNode node) {
-        LinkTimings defaults = LinkTimings.defaults();
-        return new LinkTimings(
-                millis(node, "heartbeatMs", defaults.heartbeat()),
-                millis(node, "silenceMs", defaults.silence()),
-                millis(node, "reconnectMinMs", defaults.reconnectMin()),
-                millis(node, "reconnectMaxMs", defaults.reconnectMax()));
+    private static ConnectionTimings readLinkTimings(SettingsNode node) {
+        ConnectionTimings defaults = ConnectionTimings.defaults();
+        return new ConnectionTimings(
+                millis(node, "heartbeatMs", defaults.heartbeatInterval()),
+                millis(node, "silenceMs", defaults.silenceTimeout()),
+                millis(node, "reconnectMinMs", defaults.minReconnectDelay()),
+                millis(node, "reconnectMaxMs", defaults.maxReconnectDelay()));
     }
 
     private static Duration millis(SettingsNode node, String name, Duration defaultValue) {
--- a/entry/src/main/java/org/sardinelift/entry/Explainer.java
+++ b/entry/src/main/java/org/sardinelift/entry/Explainer.java
@@ -68,7 +68,7 @@
         this.companions = companions;
         this.fleet = fleet;
         this.control = control;
-        peers.listen(this);
+        peers.addListener(this);
         companions.setResultListener(
                 (name, result) -> control.execute(() -> onResult(name, result)));
     }
@@ -94,7 +94,7 @@
         PendingQuery query = new PendingQuery(exchange, lastQueryNumber, subject, limit);
         queries.put(query.number, query);
         Set<String> names = subject.isEmpty() ? Set.of() : Set.of(subject);
-        query.decisions.addAll(DecisionFrames.find(log, instance, names, limit));
+        query.decisions.addAll(DecisionFrames.findDecisions(log, instance, names, limit));
         query.answered.add(instance);
         sendQueries(query, otherEntries(), peers::send, () -> queryCompanions(query));
     }
@@ -191,13 +191,14 @@
     }
 
     @Override
-    public void onUp(FrameConnection connection) {}
+    public void onConnected(FrameConnection connection) {}
 
     @Override
     public void onFrame(FrameConnection connection, Frame frame) {
         if (frame.isSetExplainQuery()) {
             ExplainQuery query = frame.getExplainQuery();
-            control.execute(() -> connection.send(DecisionFrames.answer(query, instance, log)));
+            control.execute(
+                    () -> connection.send(DecisionFrames.toResultFrame(query, instance, log)));
         } else if (frame.isSetExplainResult()) {
             ExplainResult result = frame.getExplainResult();
             String peer = connection.peer().getInstance();
@@ -206,7 +207,7 @@
     }
 
     @Override
-    public void onDown(FrameConnection connection, String reason) {}
+    public void onDisconnected(FrameConnection connection, String reason) {}
 
     private static int parseLimit(@Nullable String text) {
         try {
--- a/entry/src/main/java/org/sardinelift/entry/Readiness.java
+++ b/entry/src/main/java/org/sardinelift/entry/Readiness.java
@@ -13,7 +13,7 @@
     private final BooleanSupplier isConfigured;
     private final BooleanSupplier hasLimits;
     private final BooleanSupplier isIsolated;
-    private volatile boolean draining;
+    private volatile boolean isDraining;
     private volatile boolean isRefusingWork;
 
     private Readiness(
@@ -30,25 +30,25 @@
 
     /** Reports not ready, so that the load balancer sends requests elsewhere; accepts new work. */
     void announceDrain() {
-        draining = true;
+        isDraining = true;
     }
 
     /** Refuses new work from now on. */
-    void closeToWork() {
+    void stopAcceptingWork() {
         isRefusingWork = true;
     }
 
-    boolean draining() {
-        return draining;
+    boolean isDraining() {
+        return isDraining;
     }
 
     boolean isAccepting() {
-        return notReady().isEmpty();
+        return notReadyReason().isEmpty();
     }
 
     /** Returns why the load balancer should not send requests here, or empty. */
-    Optional<String> notReady() {
-        if (draining) {
+    Optional<String> notReadyReason() {
+        if (isDraining) {
             return Optional.of("draining");
         }
         return refusal().map(Problem::detail);
--- a/entry/src/main/java/org/sardinelift/entry/RequestBounds.java
+++ b/entry/src/main/java/org/sardinelift/entry/RequestBounds.java
@@ -8,7 +8,7 @@
  * Bounds of callers' requests.
  *
  * @param httpLimits bounds of the callers' port
- * @param deadline deadline of a call whose caller sets none
+ * @param defaultDeadline deadline of a call whose caller sets none
  * @param maxDeadline longest deadline that a caller may set
  * @param maxUnsentBytes maximum bytes of a response that wait for a slow caller
  * @param prefixChars leading characters of a prompt by which calls are taken to share a prefix
@@ -17,7 +17,7 @@
  */
 public record RequestBounds(
         HttpLimits httpLimits,
-        Duration deadline,
+        Duration defaultDeadline,
         Duration maxDeadline,
         int maxUnsentBytes,
         int prefixChars,
--- a/entry/src/main/java/org/sardinelift/entry/batch/BatchHttp.java
+++ b/entry/src/main/java/org/sardinelift/entry/batch/BatchHttp.java
@@ -192,12 +192,12 @@
 
         @Override
         public boolean isWritable() {
-            return exchange.writable();
+            return exchange.isWritable();
         }
 
         @Override
         public boolean isOpen() {
-            return exchange.open();
+            return exchange.isOpen();
         }
 
         @Override
@@ -215,7 +215,7 @@
         }
 
         private void begin() {
-            if (!exchange.started()) {
+            if (!exchange.isStarted()) {
                 exchange.start(
                         OK,
                         Map.of(
--- a/entry/src/main/java/org/sardinelift/entry/call/AttemptSpan.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/AttemptSpan.java
@@ -15,7 +15,7 @@
     }
 
     static AttemptSpan start(Telemetry telemetry, CallSpec spec, int attempt, String companion) {
-        Span span = telemetry.hop("entry.attempt", SpanKind.CLIENT, spec.traceparent());
+        Span span = telemetry.startSpan("entry.attempt", SpanKind.CLIENT, spec.traceparent());
         span.setAttribute("request.id", spec.requestId());
         span.setAttribute("attempt", attempt);
         span.setAttribute("companion", companion);
--- a/entry/src/main/java/org/sardinelift/entry/call/CompanionLink.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CompanionLink.java
@@ -223,7 +223,7 @@
     private FrameListener listener(Lane lane) {
         return new FrameListener() {
             @Override
-            public void onUp(FrameConnection connection) {
+            public void onConnected(FrameConnection connection) {
                 connections.put(lane, connection);
                 notifyConnection(lane, true);
                 runs.values().forEach(run -> run.onUp(CompanionLink.this, lane, connection));
@@ -237,7 +237,7 @@
             }
 
             @Override
-            public void onDown(FrameConnection connection, String reason) {
+            public void onDisconnected(FrameConnection connection, String reason) {
                 if (!connections.remove(lane, connection)) {
                     return;
                 }
--- a/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
+++ b/entry/src/main/java/org/sardinelift/entry/call/CrashGuard.java
@@ -81,9 +81,9 @@
      * @param control the control thread
      */
     public void start(ControlThread control) {
-        peers.listen(new EvidenceListener());
+        peers.addListener(new EvidenceListener());
         control.execute(this::readQuarantine);
-        control.repeat(bounds.refresh(), this::readQuarantine);
+        control.scheduleRepeatedly(bounds.refresh(), this::readQuarantine);
     }
 
     /**
@@ -225,7 +225,7 @@
 
     private final class EvidenceListener implements FrameListener {
         @Override
-        public void onUp(FrameConnection connection) {}
+        public void onConnected(FrameConnection connection) {}
 
         @Override
         public void onFrame(FrameConnection connection, Frame frame) {
@@ -235,6 +235,6 @@
         }
 
         @Override
-        public void onDown(FrameConnection connection, String reason) {}
+        public void onDisconnected(FrameConnection connection, String reason) {}
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/ConfigController.java
@@ -104,10 +104,10 @@
      */
     public void start(BooleanSupplier isAccepting) {
         isAcceptingRequests = isAccepting;
-        peers.listen(new RevisionListener());
+        peers.addListener(new RevisionListener());
         control.execute(this::step);
-        control.repeat(STEP_INTERVAL, this::step);
-        control.repeat(timings.gossipInterval(), this::broadcastRevision);
+        control.scheduleRepeatedly(STEP_INTERVAL, this::step);
+        control.scheduleRepeatedly(timings.gossipInterval(), this::broadcastRevision);
     }
 
     /**
@@ -143,7 +143,7 @@
      *
      * @param listener the listener, called on the control thread
      */
-    public void listen(CatalogListener listener) {
+    public void addListener(CatalogListener listener) {
         listeners.add(listener);
     }
 
@@ -324,7 +324,7 @@
 
     private final class RevisionListener implements FrameListener {
         @Override
-        public void onUp(FrameConnection connection) {}
+        public void onConnected(FrameConnection connection) {}
 
         @Override
         public void onFrame(FrameConnection connection, Frame frame) {
@@ -335,6 +335,6 @@
         }
 
         @Override
-        public void onDown(FrameConnection connection, String reason) {}
+        public void onDisconnected(FrameConnection connection, String reason) {}
     }
 }
--- a/entry/src/main/java/org/sardinelift/entry/control/FleetLimiter.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/FleetLimiter.java
@@ -106,7 +106,7 @@
     /** Starts to acquire a share of the limits and to lend tokens. */
     public void start() {
         startNanos = System.nanoTime();
-        peers.listen(new LoanListener());
+        peers.addListener(new LoanListener());
         control.execute(this::tick);
     }
 
@@ -115,7 +115,7 @@
      *
      * @param listed the listed instances
      */
-    public void onList(List<InstanceInfo> listed) {
+    public void onInstancesListed(List<InstanceInfo> listed) {
         Set<String> entries =
                 listed.stream()
                         .filter(info -> info.role().equals(ROLE))
@@ -165,7 +165,7 @@
      *
      * @param listener the listener, called on the control thread
      */
-    public void listen(SharesListener listener) {
+    public void setSharesListener(SharesListener listener) {
         store.setListener(listener);
     }
 
@@ -295,7 +295,7 @@
 
     private final class LoanListener implements FrameListener {
         @Override
-        public void onUp(FrameConnection connection) {
+        public void onConnected(FrameConnection connection) {
             control.execute(
                     () -> {
                         limit.onConnected(Set.copyOf(peers.connected()));
@@ -317,8 +317,8 @@
         }
 
         @Override
-        public void onDown(FrameConnection connection, String reason) {
-            onUp(connection);
+        public void onDisconnected(FrameConnection connection, String reason) {
+            onConnected(connection);
         }
 
         private void onBorrow(String peer, Borrow borrow) {
--- a/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
+++ b/entry/src/main/java/org/sardinelift/entry/control/MembershipController.java
@@ -51,7 +51,7 @@
     /** Starts reading the list of instances. */
     public void start() {
         control.execute(this::poll);
-        control.repeat(timings.pollInterval(), this::poll);
+        control.scheduleRepeatedly(timings.pollInterval(), this::poll);
     }
 
     /**
@@ -68,7 +68,7 @@
      *
      * @param listener the listener, called on the control thread
      */
-    public void listen(Consumer<FleetView> listener) {
+    public void addListener(Consumer<FleetView> listener) {
         listeners.add(listener);
     }
 
@@ -96,7 +96,7 @@
      * @param instance its name
      * @param isConnected whether a connection is open now
      */
-    public void onConnection(String instance, boolean isConnected) {
+    public void onConnectionChanged(String instance, boolean isConnected) {
         applyEvent(() -> membership.onConnectionChanged(instance, isConnected));
     }
 
--- a/entry/src/main/java/org/sardinelift/entry/filter/AnswerWriter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/AnswerWriter.java
@@ -63,7 +63,7 @@
         if (isEnded) {
             return;
         }
-        unsentBytes = exchange.writable() ? 0 : unsentBytes + part.length;
+        unsentBytes = exchange.isWritable() ? 0 : unsentBytes + part.length;
         if (unsentBytes > maxUnsentBytes) {
             isEnded = true;
             exchange.abort();
--- a/entry/src/main/java/org/sardinelift/entry/filter/DispatchFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/DispatchFilter.java
@@ -28,7 +28,7 @@
         }
         CallHandle handle = dispatcher.dispatch(call.spec(), call.listener());
         call.setHandle(handle);
-        call.exchange().onClose(() -> handle.cancel("the caller has disconnected"));
+        call.exchange().addCloseListener(() -> handle.cancel("the caller has disconnected"));
         if (call.isAnswered()) {
             handle.cancel("the call was ended while it was being dispatched");
         }
--- a/entry/src/main/java/org/sardinelift/entry/filter/TraceFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/TraceFilter.java
@@ -38,10 +38,10 @@
     public void apply(CallContext call, Runnable next) {
         String parent = call.exchange().header(TRACEPARENT_HEADER);
         boolean isValid = parent != null && TRACEPARENT_PATTERN.matcher(parent).matches();
-        Span span = telemetry.hop("entry.call", SpanKind.SERVER, isValid ? parent : "");
+        Span span = telemetry.startSpan("entry.call", SpanKind.SERVER, isValid ? parent : "");
         span.setAttribute("request.id", call.requestId());
         String callTraceparent = Telemetry.traceparent(span);
-        Span queue = telemetry.hop("entry.queue", SpanKind.INTERNAL, callTraceparent);
+        Span queue = telemetry.startSpan("entry.queue", SpanKind.INTERNAL, callTraceparent);
         call.traceparent(callTraceparent);
         call.setDispatchListener(queue::end);
         call.setLocalAnswerListener(
--- a/entry/src/main/java/org/sardinelift/entry/http/OperatorRoutes.java
+++ b/entry/src/main/java/org/sardinelift/entry/http/OperatorRoutes.java
@@ -30,7 +30,7 @@
      *
      * @param instance name of this instance
      * @param zone availability zone
-     * @param notReady why the load balancer should not send requests here, or empty
+     * @param notReadyReason why the load balancer should not send requests here, or empty
      * @param catalog configuration in force
      * @param targets state of each known target
      * @param callsInFlight number of calls in flight
@@ -44,7 +44,7 @@
     public record Sources(
             String instance,
             String zone,
-            Supplier<Optional<String>> notReady,
+            Supplier<Optional<String>> notReadyReason,
             Supplier<Catalog> catalog,
             Supplier<List<Candidate>> targets,
             Supplier<Integer> callsInFlight,
@@ -93,7 +93,7 @@
     }
 
     private void respondReadiness(HttpExchange exchange) {
-        Optional<String> reason = sources.notReady().get();
+        Optional<String> reason = sources.notReadyReason().get();
         ObjectNode answer = MAPPER.createObjectNode().put("ready", reason.isEmpty());
         reason.ifPresent(text -> answer.put("reason", text));
         exchange.respondJson(reason.isEmpty() ? 200 : 503, answer.toString());
@@ -149,7 +149,7 @@
                 MAPPER.createObjectNode()
                         .put("instance", sources.instance())
                         .put("zone", sources.zone())
-                        .put("ready", sources.notReady().get().isEmpty())
+                        .put("ready", sources.notReadyReason().get().isEmpty())
                         .put("callsUnderWay", sources.callsInFlight().get())
                         .put("peers", sources.peers().get());
         answer.set("config", configNode());
--- a/entry/src/main/java/org/sardinelift/entry/order/OrderController.java
+++ b/entry/src/main/java/org/sardinelift/entry/order/OrderController.java
@@ -106,7 +106,7 @@
      *
      * @param companion its name
      */
-    public void onLost(String companion) {
+    public void onConnectionLost(String companion) {
         control.execute(
                 () -> {
                     if (planner != null) {
--- a/entry/src/main/java/org/sardinelift/entry/peer/PeerMesh.java
+++ b/entry/src/main/java/org/sardinelift/entry/peer/PeerMesh.java
@@ -12,10 +12,10 @@
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.core.fleet.FleetView;
 import org.sardinelift.core.fleet.InstanceInfo;
+import org.sardinelift.protocol.ConnectionTimings;
 import org.sardinelift.protocol.FrameConnection;
 import org.sardinelift.protocol.FrameLink;
 import org.sardinelift.protocol.FrameListener;
-import org.sardinelift.protocol.LinkTimings;
 import org.sardinelift.protocol.generated.Frame;
 import org.sardinelift.protocol.generated.Hello;
 
@@ -29,7 +29,7 @@
     private final EventLoopGroup group;
     private final @Nullable Supplier<SslContext> tls;
     private final Supplier<Hello> self;
-    private final LinkTimings timings;
+    private final ConnectionTimings timings;
     private final Map<String, FrameConnection> connections = new ConcurrentHashMap<>();
     private final Map<String, Link> links = new ConcurrentHashMap<>();
     private final List<FrameListener> listeners = new CopyOnWriteArrayList<>();
@@ -38,7 +38,7 @@
             EventLoopGroup group,
             @Nullable Supplier<SslContext> tls,
             Supplier<Hello> self,
-            LinkTimings timings) {
+            ConnectionTimings timings) {
         this.group = group;
         this.tls = tls;
         this.self = self;
@@ -58,7 +58,7 @@
             EventLoopGroup group,
             @Nullable Supplier<SslContext> tls,
             Supplier<Hello> self,
-            LinkTimings timings) {
+            ConnectionTimings timings) {
         return new PeerMesh(group, tls, self, timings);
     }
 
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void listen(FrameListener listener) {
+    public void addListener(FrameListener listener) {
         listeners.add(listener);
     }
 
@@ -142,10 +142,10 @@
     /** Registers the newest connection of each peer and forwards its events to the listeners. */
     private final class ConnectionRegistry implements FrameListener {
         @Override
-        public void onUp(FrameConnection connection) {
+        public void onConnected(FrameConnection connection) {
             if (isEntry(connection)) {
                 connections.put(connection.peer().getInstance(), connection);
-                notifyListeners(listener -> listener.onUp(connection));
+                notifyListeners(listener -> listener.onConnected(connection));
             }
         }
 
@@ -157,10 +157,10 @@
         }
 
         @Override
-        public void onDown(FrameConnection connection, String reason) {
+        public void onDisconnected(FrameConnection connection, String reason) {
             if (isEntry(connection)
                     && connections.remove(connection.peer().getInstance(), connection)) {
-                notifyListeners(listener -> listener.onDown(connection, reason));
+                notifyListeners(listener -> listener.onDisconnected(connection, reason));
             }
         }
 
--- a/entry/src/main/java/org/sardinelift/entry/peer/Peers.java
+++ b/entry/src/main/java/org/sardinelift/entry/peer/Peers.java
@@ -36,5 +36,5 @@
      *
      * @param listener the listener
      */
-    void listen(FrameListener listener);
+    void addListener(FrameListener listener);
 }
--- a/entry/src/test/java/org/sardinelift/entry/CallOutcomeTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/CallOutcomeTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.protocol.generated.FailureKind;
 import org.sardinelift.protocol.generated.Frame;
 import org.sardinelift.protocol.generated.QueryAnswer;
@@ -56,11 +56,11 @@
                     self.sendData(start, 0, "data: a\n\ndata: b\n\n");
                     self.sendFinish(start, 18);
                 });
-        CompletableFuture<HttpAnswer> answer = chat(entry);
+        CompletableFuture<BufferedHttpResponse> answer = chat(entry);
         await().until(() -> companion.starts.size() == 1);
         companion.disconnectAll("first");
 
-        HttpAnswer completeAnswer = answer.get(20, TimeUnit.SECONDS);
+        BufferedHttpResponse completeAnswer = answer.get(20, TimeUnit.SECONDS);
         assertEquals("data: a\n\ndata: b\n\n", completeAnswer.text());
         assertEquals(1, companion.starts.size());
     }
@@ -71,7 +71,7 @@
         EntryProcess entry = fixture.startEntry("e1");
         plain.onStart((self, start) -> self.disconnectAll("second"));
 
-        HttpAnswer answer =
+        BufferedHttpResponse answer =
                 fixture.send(
                         entry, "POST", "/services/plain/fines", EntryFixture.authorized(), "{}");
 
@@ -100,7 +100,7 @@
                     (self, query) -> answer(self, self.starts.get(0), RequestState.NOT_STARTED));
         }
 
-        HttpAnswer answer =
+        BufferedHttpResponse answer =
                 fixture.send(
                         entry, "POST", "/services/plain/fines", EntryFixture.authorized(), "{}");
 
@@ -118,7 +118,7 @@
                     self.sendFinish(start, 0, RunOutcome.UNKNOWN, FailureKind.TARGET_UNREACHABLE);
                 });
 
-        HttpAnswer answer = fixture.chat(entry, CHAT);
+        BufferedHttpResponse answer = fixture.chat(entry, CHAT);
 
         assertFalse(answer.text().contains("not_run"), answer.text());
         assertEquals(1, companion.starts.size());
@@ -140,7 +140,7 @@
         }
         EntryProcess entry = fixture.startEntry("e1");
 
-        HttpAnswer answer = fixture.chat(entry, CHAT);
+        BufferedHttpResponse answer = fixture.chat(entry, CHAT);
 
         assertEquals(502, answer.status());
         assertTrue(answer.text().contains("\"outcome\":\"unknown\""), answer.text());
@@ -173,7 +173,7 @@
                     self.sendFinish(start, 9, RunOutcome.RUN, FailureKind.TARGET_DIED);
                 });
 
-        HttpAnswer answer = fixture.chat(entry, CHAT);
+        BufferedHttpResponse answer = fixture.chat(entry, CHAT);
 
         assertTrue(answer.text().startsWith("data: a\n\nevent: error\n"), answer.text());
         assertTrue(answer.text().contains("\"outcome\":\"run\""));
@@ -212,9 +212,10 @@
         String poison = CHAT.replace("tag 7", "poison");
 
         for (int copy = 0; copy < 20; copy++) {
-            HttpAnswer crashingAnswer = fixture.chat(entry, poison);
+            BufferedHttpResponse crashingAnswer = fixture.chat(entry, poison);
             assertEquals(422, crashingAnswer.status(), crashingAnswer.text());
-            HttpAnswer innocentAnswer = fixture.chat(entry, CHAT.replace("tag 7", "tag " + copy));
+            BufferedHttpResponse innocentAnswer =
+                    fixture.chat(entry, CHAT.replace("tag 7", "tag " + copy));
             assertEquals(200, innocentAnswer.status(), innocentAnswer.text());
         }
 
@@ -233,7 +234,7 @@
         }
     }
 
-    private CompletableFuture<HttpAnswer> chat(EntryProcess entry) throws Exception {
+    private CompletableFuture<BufferedHttpResponse> chat(EntryProcess entry) throws Exception {
         return fixture.client.call(
                 fixture.request(
                         entry, "POST", "/v1/chat/completions", EntryFixture.authorized(), CHAT));
--- a/entry/src/test/java/org/sardinelift/entry/CrashingRequestTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/CrashingRequestTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.protocol.generated.FailureKind;
 import org.sardinelift.protocol.generated.RunOutcome;
 import org.sardinelift.protocol.generated.Start;
@@ -57,8 +57,8 @@
                 chat(entry, "warm " + call).get(30, TimeUnit.SECONDS);
             }
         }
-        List<CompletableFuture<HttpAnswer>> crashingAnswers = new ArrayList<>();
-        List<CompletableFuture<HttpAnswer>> innocentAnswers = new ArrayList<>();
+        List<CompletableFuture<BufferedHttpResponse>> crashingAnswers = new ArrayList<>();
+        List<CompletableFuture<BufferedHttpResponse>> innocentAnswers = new ArrayList<>();
         for (int copy = 0; copy < 10; copy++) {
             for (EntryProcess entry : List.of(first, second)) {
                 crashingAnswers.add(chat(entry, "poison"));
@@ -66,10 +66,10 @@
             }
         }
 
-        for (CompletableFuture<HttpAnswer> answer : innocentAnswers) {
+        for (CompletableFuture<BufferedHttpResponse> answer : innocentAnswers) {
             assertEquals(200, answer.get(30, TimeUnit.SECONDS).status(), answer.get().text());
         }
-        for (CompletableFuture<HttpAnswer> answer : crashingAnswers) {
+        for (CompletableFuture<BufferedHttpResponse> answer : crashingAnswers) {
             String text = answer.get(30, TimeUnit.SECONDS).text();
             assertTrue(
                     text.contains("crashes_targets") || text.contains("\"outcome\":\"not_run\""),
@@ -80,7 +80,8 @@
         assertTrue(deaths.get() <= 2, deaths.get() + " targets died");
     }
 
-    private CompletableFuture<HttpAnswer> chat(EntryProcess entry, String text) throws Exception {
+    private CompletableFuture<BufferedHttpResponse> chat(EntryProcess entry, String text)
+            throws Exception {
         String body = "{\"model\":\"m1\",\"messages\":[{\"content\":\"" + text + "\"}]}";
         return fixture.client.call(
                 fixture.request(
--- a/entry/src/test/java/org/sardinelift/entry/EntryFixture.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryFixture.java
@@ -19,7 +19,7 @@
 import org.sardinelift.core.catalog.KeyEntry;
 import org.sardinelift.core.catalog.ServiceSpec;
 import org.sardinelift.core.catalog.TeamTemplate;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.objects.InstancesResult;
@@ -164,7 +164,7 @@
                 Duration.ofSeconds(20));
     }
 
-    HttpAnswer send(
+    BufferedHttpResponse send(
             EntryProcess entry,
             String method,
             String path,
@@ -174,7 +174,7 @@
         return client.call(request(entry, method, path, headers, body)).get(20, TimeUnit.SECONDS);
     }
 
-    HttpAnswer chat(EntryProcess entry, String body) throws Exception {
+    BufferedHttpResponse chat(EntryProcess entry, String body) throws Exception {
         return send(entry, "POST", "/v1/chat/completions", authorized(), body);
     }
 
--- a/entry/src/test/java/org/sardinelift/entry/EntryProcessTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryProcessTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.protocol.generated.Start;
 
 /** Guards against calls that are lost, run for the wrong team or run without a valid key. */
@@ -34,7 +34,7 @@
         FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
         EntryProcess entry = fixture.startEntry("e1");
 
-        HttpAnswer answer = fixture.chat(entry, CHAT);
+        BufferedHttpResponse answer = fixture.chat(entry, CHAT);
 
         assertEquals(200, answer.status());
         assertEquals(CHAT, answer.text());
@@ -59,8 +59,9 @@
         FakeCompanion companion = fixture.startCompanion("c1", "engine", "m1");
         EntryProcess entry = fixture.startEntry("e1");
 
-        HttpAnswer none = fixture.send(entry, "POST", "/v1/chat/completions", Map.of(), CHAT);
-        HttpAnswer wrong =
+        BufferedHttpResponse none =
+                fixture.send(entry, "POST", "/v1/chat/completions", Map.of(), CHAT);
+        BufferedHttpResponse wrong =
                 fixture.send(
                         entry,
                         "POST",
--- a/entry/src/test/java/org/sardinelift/entry/EntryTlsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/EntryTlsTest.java
@@ -30,10 +30,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
-import org.sardinelift.runtime.tls.TlsFiles;
+import org.sardinelift.runtime.tls.MutualTls;
 import org.sardinelift.runtime.tls.TlsSettings;
 
 /**
@@ -84,10 +84,10 @@
     }
 
     private Supplier<SslContext> companionTls() throws IOException {
-        return TlsFiles.open(files("first", "companion")).server();
+        return MutualTls.open(files("first", "companion")).serverContexts();
     }
 
-    private HttpAnswer chat(EntryProcess entry, SslContext tls) throws Exception {
+    private BufferedHttpResponse chat(EntryProcess entry, SslContext tls) throws Exception {
         HttpClient client = HttpClient.create(fixture.group, Duration.ofSeconds(5), () -> tls);
         HttpCall call =
                 fixture.request(
@@ -132,7 +132,7 @@
         FakeCompanion companion = fixture.startCompanion("c1", "engine", companionTls(), "m1");
         EntryProcess entry = fixture.startEntry("e1", settings("second", "entry"));
 
-        HttpAnswer answer = chat(entry, callerTls());
+        BufferedHttpResponse answer = chat(entry, callerTls());
 
         assertEquals(200, answer.status());
         assertEquals(CHAT, answer.text());
--- a/entry/src/test/java/org/sardinelift/entry/ExplainerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/ExplainerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 
 /**
  * Guards against explanations that miss decisions of other entries, leave out instances that did
@@ -71,7 +71,7 @@
         return MAPPER.readTree(fixture.getFromOperatorPort(entry, "/explain?subject=" + subject));
     }
 
-    private static String id(HttpAnswer answer) {
+    private static String id(BufferedHttpResponse answer) {
         return answer.header("x-request-id");
     }
 
--- a/entry/src/test/java/org/sardinelift/entry/FakeCompanion.java
+++ b/entry/src/test/java/org/sardinelift/entry/FakeCompanion.java
@@ -14,10 +14,10 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.objects.InstancesResult;
+import org.sardinelift.protocol.ConnectionTimings;
 import org.sardinelift.protocol.FrameConnection;
 import org.sardinelift.protocol.FrameListener;
 import org.sardinelift.protocol.FrameServer;
-import org.sardinelift.protocol.LinkTimings;
 import org.sardinelift.protocol.generated.Cancel;
 import org.sardinelift.protocol.generated.Data;
 import org.sardinelift.protocol.generated.FailureKind;
@@ -60,7 +60,13 @@
         this.models = models;
         this.server =
                 FrameServer.start(
-                        group, "127.0.0.1", 0, tls, this::hello, LinkTimings.defaults(), this);
+                        group,
+                        "127.0.0.1",
+                        0,
+                        tls,
+                        this::hello,
+                        ConnectionTimings.defaults(),
+                        this);
     }
 
     static FakeCompanion start(
@@ -171,7 +177,7 @@
     }
 
     @Override
-    public void onUp(FrameConnection connection) {
+    public void onConnected(FrameConnection connection) {
         connections.add(connection);
         if (connection.peer().getLane() == Lane.CONTROL) {
             connection.send(Frame.loadReport(loadReport(false, true)));
@@ -194,7 +200,7 @@
     }
 
     @Override
-    public void onDown(FrameConnection connection, String reason) {
+    public void onDisconnected(FrameConnection connection, String reason) {
         connections.remove(connection);
     }
 
--- a/entry/src/test/java/org/sardinelift/entry/IdempotencyTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/IdempotencyTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.protocol.generated.FailureKind;
 import org.sardinelift.protocol.generated.RunOutcome;
 
@@ -36,18 +36,18 @@
 
     @Test
     void aResendThroughAnotherEntryGetsTheRecordedAnswer() throws Exception {
-        HttpAnswer first =
+        BufferedHttpResponse first =
                 sendFine(fixture.startEntry("e1"), "{\"fine\":1}").get(20, TimeUnit.SECONDS);
         EntryProcess other = fixture.startEntry("e2");
 
         await().until(
                         () -> {
-                            HttpAnswer resent = sendFine(other, "{\"fine\":1}").get();
+                            BufferedHttpResponse resent = sendFine(other, "{\"fine\":1}").get();
                             return resent.status() == 200 && resent.text().equals(first.text());
                         });
 
         assertEquals(1, plain.starts.size());
-        HttpAnswer reused = sendFine(other, "{\"fine\":2}").get(20, TimeUnit.SECONDS);
+        BufferedHttpResponse reused = sendFine(other, "{\"fine\":2}").get(20, TimeUnit.SECONDS);
         assertEquals(422, reused.status());
         assertTrue(reused.text().contains("idempotency_key_reused"));
         assertEquals(1, plain.starts.size());
@@ -58,10 +58,10 @@
         EntryProcess entry = fixture.startEntry("e1");
         EntryProcess other = fixture.startEntry("e2");
         plain.onStart((self, start) -> {});
-        CompletableFuture<HttpAnswer> first = sendFine(entry, "{}");
+        CompletableFuture<BufferedHttpResponse> first = sendFine(entry, "{}");
         await().until(() -> plain.starts.size() == 1);
 
-        HttpAnswer second = sendFine(other, "{}").get(20, TimeUnit.SECONDS);
+        BufferedHttpResponse second = sendFine(other, "{}").get(20, TimeUnit.SECONDS);
 
         assertEquals(409, second.status());
         assertEquals("1", second.header("retry-after"));
@@ -75,7 +75,7 @@
         EntryProcess entry = fixture.startEntry("e1");
         fixture.platform.loseAnswers(1);
 
-        HttpAnswer answer = sendFine(entry, "{}").get(20, TimeUnit.SECONDS);
+        BufferedHttpResponse answer = sendFine(entry, "{}").get(20, TimeUnit.SECONDS);
 
         assertEquals(200, answer.status());
         assertEquals(1, plain.starts.size());
@@ -86,7 +86,7 @@
         EntryProcess entry = fixture.startEntry("e1");
         fixture.platform.down(true);
 
-        HttpAnswer answer = sendFine(entry, "{}").get(20, TimeUnit.SECONDS);
+        BufferedHttpResponse answer = sendFine(entry, "{}").get(20, TimeUnit.SECONDS);
 
         assertEquals(503, answer.status());
         assertTrue(answer.text().contains("\"outcome\":\"not_run\""));
@@ -121,7 +121,7 @@
         assertEquals(200, sendFine(entry, "{}").get(20, TimeUnit.SECONDS).status());
     }
 
-    private CompletableFuture<HttpAnswer> sendFine(EntryProcess entry, String body)
+    private CompletableFuture<BufferedHttpResponse> sendFine(EntryProcess entry, String body)
             throws Exception {
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
         headers.put("idempotency-key", "notice-7");
--- a/entry/src/test/java/org/sardinelift/entry/IgnoringAnswerListener.java
+++ b/entry/src/test/java/org/sardinelift/entry/IgnoringAnswerListener.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.Map;
-import org.sardinelift.http.HttpAnswerListener;
+import org.sardinelift.http.HttpResponseListener;
 
 /** A listener that ignores the answer. */
-final class IgnoringAnswerListener implements HttpAnswerListener {
+final class IgnoringAnswerListener implements HttpResponseListener {
     @Override
     public void onHead(int status, List<Map.Entry<String, String>> headers) {}
 
--- a/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/KeyAndDrainTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.sardinelift.core.limit.Shares;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.kinds.DecodeResult;
 import org.sardinelift.objects.kinds.SharesCodec;
@@ -56,14 +56,14 @@
                     self.sendHead(start, 200, "text/event-stream");
                     self.sendData(start, 0, "data: a\n\n");
                 });
-        CompletableFuture<HttpAnswer> stream = chat(entry, "tag 7");
+        CompletableFuture<BufferedHttpResponse> stream = chat(entry, "tag 7");
         await().until(() -> companion.starts.size() == 1);
         // Sent on the same connection after the stream's first part, which has thus arrived.
         assertEquals(200, chat(entry, "tag 6").get(20, TimeUnit.SECONDS).status());
 
         fixture.withdrawKey();
 
-        HttpAnswer endedAnswer = stream.get(20, TimeUnit.SECONDS);
+        BufferedHttpResponse endedAnswer = stream.get(20, TimeUnit.SECONDS);
         assertTrue(endedAnswer.text().contains("event: error"), endedAnswer.text());
         assertTrue(endedAnswer.text().contains("\"kind\":\"key_withdrawn\""));
         await().until(() -> companion.cancels.size() == 1);
@@ -80,7 +80,7 @@
                     self.sendHead(start, 200, "text/event-stream");
                     self.sendData(start, 0, "data: a\n\n");
                 });
-        List<CompletableFuture<HttpAnswer>> streams = new ArrayList<>();
+        List<CompletableFuture<BufferedHttpResponse>> streams = new ArrayList<>();
         for (int call = 0; call < STREAMS; call++) {
             streams.add(chat(entry, "tag " + call));
         }
@@ -98,7 +98,7 @@
 
         drained.get(20, TimeUnit.SECONDS);
         entry.close();
-        for (CompletableFuture<HttpAnswer> stream : streams) {
+        for (CompletableFuture<BufferedHttpResponse> stream : streams) {
             assertEquals("data: a\n\ndata: b\n\n", stream.get(20, TimeUnit.SECONDS).text());
         }
     }
@@ -170,12 +170,13 @@
                         + EntryFixture.KEY
                         + "\"}";
 
-        HttpAnswer answer = fixture.send(entry, "POST", "/v1/batches", headers, line);
+        BufferedHttpResponse answer = fixture.send(entry, "POST", "/v1/batches", headers, line);
 
         assertEquals(400, answer.status(), answer.text());
     }
 
-    private CompletableFuture<HttpAnswer> chat(EntryProcess entry, String text) throws Exception {
+    private CompletableFuture<BufferedHttpResponse> chat(EntryProcess entry, String text)
+            throws Exception {
         String body = "{\"model\":\"m1\",\"messages\":[{\"content\":\"" + text + "\"}]}";
         return fixture.client.call(
                 fixture.request(
--- a/entry/src/test/java/org/sardinelift/entry/MalformedRequestTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/MalformedRequestTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.sardinelift.core.outcome.ProblemKind;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 
 /**
@@ -72,7 +72,8 @@
         String route =
                 Map.of("chat", "/v1/chat/completions", "text", "/v1/completions")
                         .getOrDefault(path, path);
-        HttpAnswer answer = fixture.send(entry, method, route, EntryFixture.authorized(), body);
+        BufferedHttpResponse answer =
+                fixture.send(entry, method, route, EntryFixture.authorized(), body);
         assertProblem(answer, status, kind);
     }
 
@@ -124,7 +125,7 @@
                 fixture.request(entry, "POST", "/v1/completions", EntryFixture.authorized(), "");
         byte[] body = "{\"model\":\"m1\",\"prompt\":\"x\"}".getBytes(StandardCharsets.UTF_8);
         body[body.length - 3] = (byte) 0xff;
-        HttpAnswer answer =
+        BufferedHttpResponse answer =
                 fixture.client
                         .call(
                                 new HttpCall(
@@ -144,7 +145,7 @@
     void aDeadlineMustBeANumber() throws Exception {
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
         headers.put("x-timeout-ms", "soon");
-        HttpAnswer answer =
+        BufferedHttpResponse answer =
                 fixture.send(
                         entry,
                         "POST",
@@ -154,7 +155,7 @@
         assertProblem(answer, 400, "malformed_request");
     }
 
-    private static void assertProblem(HttpAnswer answer, int status, String kind) {
+    private static void assertProblem(BufferedHttpResponse answer, int status, String kind) {
         assertEquals(status, answer.status(), answer.text());
         assertEquals("application/problem+json", answer.header("content-type"));
         assertTrue(answer.text().contains("\"kind\":\"" + kind + "\""), answer.text());
--- a/entry/src/test/java/org/sardinelift/entry/ReadinessTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/ReadinessTest.java
@@ -24,7 +24,7 @@
                 "this instance holds no share of the limits and reaches no entry to borrow from",
                 reason());
         hasLimits = true;
-        assertTrue(readiness.notReady().isEmpty());
+        assertTrue(readiness.notReadyReason().isEmpty());
         isIsolated = true;
         assertEquals("this instance can't tell whether keys still hold", reason());
     }
@@ -36,11 +36,11 @@
         readiness.announceDrain();
         assertEquals("draining", reason());
         assertTrue(readiness.refusal().isEmpty());
-        readiness.closeToWork();
+        readiness.stopAcceptingWork();
         assertEquals("draining", readiness.refusal().orElseThrow().kind().label());
     }
 
     private String reason() {
-        return readiness.notReady().orElseThrow();
+        return readiness.notReadyReason().orElseThrow();
     }
 }
--- a/entry/src/test/java/org/sardinelift/entry/SubmissionLimitTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/SubmissionLimitTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.core.catalog.KeyDigest;
 import org.sardinelift.core.catalog.KeyEntry;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 
 /** Guards against submissions of jobs that are not counted against their team's rate and burst. */
 class SubmissionLimitTest {
@@ -42,14 +42,14 @@
         EntryProcess entry = fixture.startEntry("e1");
         useUpBurst(entry, "night-1");
 
-        HttpAnswer refused = submit(entry, "night-2");
+        BufferedHttpResponse refused = submit(entry, "night-2");
 
         assertEquals(429, refused.status());
         assertTrue(refused.text().contains("\"kind\":\"rate_limited\""), refused.text());
         assertTrue(refused.text().contains("\"outcome\":\"not_run\""), refused.text());
         int seconds = Integer.parseInt(refused.header("retry-after"));
         assertTrue(seconds >= 1 && seconds <= SECONDS_TO_BURST, "" + seconds);
-        HttpAnswer jobs = fixture.send(entry, "GET", "/v1/batches", key(), "");
+        BufferedHttpResponse jobs = fixture.send(entry, "GET", "/v1/batches", key(), "");
         assertTrue(jobs.text().contains("night-1") && !jobs.text().contains("night-2"));
     }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    private HttpAnswer submit(EntryProcess entry, String jobKey) throws Exception {
+    private BufferedHttpResponse submit(EntryProcess entry, String jobKey) throws Exception {
         Map<String, String> headers =
                 Map.of("authorization", "Bearer " + SLOW_KEY, "job-key", jobKey);
         return fixture.client
--- a/entry/src/test/java/org/sardinelift/entry/TeamIsolationTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/TeamIsolationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 
 /**
  * Guards against a caller that acts for another team, by naming it in headers, queries or bodies,
@@ -45,7 +45,7 @@
         headers.put("x-team", "blue");
         headers.put("team", "blue");
 
-        HttpAnswer answer =
+        BufferedHttpResponse answer =
                 fixture.send(
                         entry,
                         "POST",
@@ -59,8 +59,8 @@
 
     @Test
     void anotherTeamsIdempotencyKeyIsItsOwn() throws Exception {
-        HttpAnswer blue = sendIdempotent(EntryFixture.KEY, "{\"of\":\"blue\"}");
-        HttpAnswer red = sendIdempotent(EntryFixture.OTHER_TEAMS_KEY, "{\"of\":\"red\"}");
+        BufferedHttpResponse blue = sendIdempotent(EntryFixture.KEY, "{\"of\":\"blue\"}");
+        BufferedHttpResponse red = sendIdempotent(EntryFixture.OTHER_TEAMS_KEY, "{\"of\":\"red\"}");
 
         assertEquals("{\"of\":\"blue\"}", blue.text());
         assertEquals("{\"of\":\"red\"}", red.text());
@@ -75,14 +75,14 @@
 
         for (String method : List.of("GET", "POST")) {
             for (String route : List.of(path, path + "/results", path + "/cancel")) {
-                HttpAnswer answer =
+                BufferedHttpResponse answer =
                         fixture.send(
                                 entry, method, route, headers(EntryFixture.OTHER_TEAMS_KEY), "");
                 assertTrue(List.of(404, 405).contains(answer.status()), route + answer.text());
                 assertFalse(answer.text().contains("custom_id"), answer.text());
             }
         }
-        HttpAnswer own = fixture.send(entry, "GET", path, headers(EntryFixture.KEY), "");
+        BufferedHttpResponse own = fixture.send(entry, "GET", path, headers(EntryFixture.KEY), "");
         assertEquals(200, own.status(), own.text());
         assertFalse(own.text().contains("\"status\":\"cancel"), own.text());
         assertTrue(plain.cancels.isEmpty());
@@ -96,13 +96,13 @@
     private String submit(String key) throws Exception {
         Map<String, String> headers = headers(key);
         headers.put("Job-Key", "evening");
-        HttpAnswer answer = fixture.send(entry, "POST", "/v1/batches", headers, ITEM);
+        BufferedHttpResponse answer = fixture.send(entry, "POST", "/v1/batches", headers, ITEM);
         Matcher id = JOB_ID.matcher(answer.text());
         assertTrue(id.find(), answer.text());
         return id.group(1);
     }
 
-    private HttpAnswer sendIdempotent(String key, String body) throws Exception {
+    private BufferedHttpResponse sendIdempotent(String key, String body) throws Exception {
         Map<String, String> headers = headers(key);
         headers.put("Idempotency-Key", "same-key");
         return fixture.send(entry, "POST", "/services/plain/fine", headers, body);
--- a/entry/src/test/java/org/sardinelift/entry/TraceTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/TraceTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.protocol.generated.FailureKind;
 import org.sardinelift.protocol.generated.RunOutcome;
 import org.sardinelift.protocol.generated.Start;
@@ -54,7 +54,7 @@
         return folder.resolve("spans");
     }
 
-    private HttpAnswer chat(EntryProcess entry, String model) throws Exception {
+    private BufferedHttpResponse chat(EntryProcess entry, String model) throws Exception {
         Map<String, String> headers = new HashMap<>(EntryFixture.authorized());
         headers.put("traceparent", "00-" + TRACE_ID + "-" + CALLER_SPAN + "-01");
         String body = "{\"model\":\"%s\",\"messages\":[{\"content\":\"a\"}]}".formatted(model);
@@ -165,7 +165,7 @@
         headers.put("traceparent", "00-" + TRACE_ID + "-" + CALLER_SPAN + "-01");
         List<String> paths = List.of("/v1/models", "/v1/batches", "/v1/batches/none/results");
         for (String path : paths) {
-            HttpAnswer answer = fixture.send(entry, "GET", path, headers, "");
+            BufferedHttpResponse answer = fixture.send(entry, "GET", path, headers, "");
             assertFalse(answer.header("x-request-id").isEmpty(), path);
         }
 
@@ -180,7 +180,7 @@
         CompletableFuture<Start> started = new CompletableFuture<>();
         companion.onStart((self, start) -> started.complete(start));
         EntryProcess entry = entry();
-        CompletableFuture<HttpAnswer> answer =
+        CompletableFuture<BufferedHttpResponse> answer =
                 CompletableFuture.supplyAsync(
                         () -> {
                             try {
--- a/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
@@ -31,7 +31,7 @@
     void listenersReceiveThePreviousAndTheNewCatalogWhenAKeyIsWithdrawn() {
         put(new KeyEntry("k1", "north", "00ff", false), 0);
         List<Boolean> withdrawn = new CopyOnWriteArrayList<>();
-        config.listen(
+        config.addListener(
                 (before, after) -> {
                     if (before.keys().containsKey("k1")) {
                         withdrawn.add(before.keys().get("k1").isWithdrawn());
--- a/entry/src/test/java/org/sardinelift/entry/control/FakePeers.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/FakePeers.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public synchronized void listen(FrameListener listener) {
+    public synchronized void addListener(FrameListener listener) {
         listeners.add(listener);
     }
 
--- a/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
@@ -128,7 +128,7 @@
                 ENTRIES.stream()
                         .map(it -> new InstanceInfo(it, "entry", "riga", "127.0.0.1", 1, "", false))
                         .toList();
-        control.execute(() -> limiter.onList(listed));
+        control.execute(() -> limiter.onInstancesListed(listed));
         limiter.start();
         links.values().forEach(LinkedPeers::connect);
     }
@@ -160,7 +160,7 @@
         }
 
         void connect() {
-            listeners.forEach(listener -> listener.onUp(new SenderConnection(self)));
+            listeners.forEach(listener -> listener.onConnected(new SenderConnection(self)));
         }
 
         @Override
@@ -182,7 +182,7 @@
         }
 
         @Override
-        public void listen(FrameListener listener) {
+        public void addListener(FrameListener listener) {
             listeners.add(listener);
         }
     }
--- a/entry/src/test/java/org/sardinelift/entry/peer/PeerMeshTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/peer/PeerMeshTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.sardinelift.core.fleet.FleetView;
 import org.sardinelift.core.fleet.InstanceInfo;
+import org.sardinelift.protocol.ConnectionTimings;
 import org.sardinelift.protocol.FrameConnection;
 import org.sardinelift.protocol.FrameListener;
 import org.sardinelift.protocol.FrameServer;
-import org.sardinelift.protocol.LinkTimings;
 import org.sardinelift.protocol.generated.Frame;
 import org.sardinelift.protocol.generated.Hello;
 import org.sardinelift.protocol.generated.Lane;
@@ -45,7 +45,7 @@
         Set<String> received = new ConcurrentSkipListSet<>();
         for (String name : List.of("e1", "e2", "e3")) {
             start(name);
-            meshes.get(name).listen(new RecordingListener(name, received));
+            meshes.get(name).addListener(new RecordingListener(name, received));
         }
         meshes.values().forEach(mesh -> mesh.update(view()));
         await().until(() -> meshes.values().stream().allMatch(m -> m.connected().size() == 2));
@@ -64,7 +64,7 @@
 
     private void start(String name) throws BindException {
         Hello hello = new Hello(name, name + "-1", "entry", "riga", Lane.CONTROL, 1, 0);
-        PeerMesh mesh = PeerMesh.of(group, null, () -> hello, LinkTimings.defaults());
+        PeerMesh mesh = PeerMesh.of(group, null, () -> hello, ConnectionTimings.defaults());
         meshes.put(name, mesh);
         servers.put(
                 name,
@@ -74,7 +74,7 @@
                         0,
                         null,
                         () -> hello,
-                        LinkTimings.defaults(),
+                        ConnectionTimings.defaults(),
                         mesh.inboundListener()));
     }
 
@@ -92,7 +92,7 @@
 
     private record RecordingListener(String name, Set<String> received) implements FrameListener {
         @Override
-        public void onUp(FrameConnection connection) {}
+        public void onConnected(FrameConnection connection) {}
 
         @Override
         public void onFrame(FrameConnection connection, Frame frame) {
@@ -100,6 +100,6 @@
         }
 
         @Override
-        public void onDown(FrameConnection connection, String reason) {}
+        public void onDisconnected(FrameConnection connection, String reason) {}
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/GatewayProcess.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/GatewayProcess.java
@@ -16,7 +16,7 @@
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.http.HttpLimits;
 import org.sardinelift.http.HttpServer;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** A running gateway: receives callers' requests and forwards them to targets. */
 public final class GatewayProcess implements AutoCloseable {
@@ -174,19 +174,19 @@
     public void drain() {
         long startedAt = System.nanoTime();
         isStopping = true;
-        Event.of("process.stopping").with("answers_due", callerServer.answersDue()).info();
+        LogEvent.of("process.stopping").with("answers_due", callerServer.pendingResponses()).info();
         node.loop().execute(node.network()::announceLeaving);
         callerServer.announceClose();
         long deadline = startedAt + settings.node().gracePeriod().minus(EXIT_RESERVE).toNanos();
         sleepUntil(Math.min(deadline, startedAt + BALANCER_REMOVAL_TIME.toNanos()));
         callerServer.stopAccepting();
-        callerServer.closeIdle();
-        while (callerServer.answersDue() > 0 && System.nanoTime() - deadline < 0) {
+        callerServer.closeIdleConnections();
+        while (callerServer.pendingResponses() > 0 && System.nanoTime() - deadline < 0) {
             sleep();
-            callerServer.closeIdle();
+            callerServer.closeIdleConnections();
         }
-        Event.of("process.stopped")
-                .with("answers_due", callerServer.answersDue())
+        LogEvent.of("process.stopped")
+                .with("answers_due", callerServer.pendingResponses())
                 .with("ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt))
                 .info();
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/Node.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/Node.java
@@ -30,7 +30,7 @@
 import org.sardinelift.objects.RateLimitedObjectStore;
 import org.sardinelift.runtime.ControlThread;
 import org.sardinelift.runtime.Metrics;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * The components that gateways and workers share: one thread for traffic and one for control, the
@@ -168,7 +168,7 @@
     }
 
     private void logStoreCalls() {
-        Event event = Event.of("store.calls");
+        LogEvent event = LogEvent.of("store.calls");
         store.callCounts().forEach((name, count) -> event.with(name, count));
         event.info();
     }
@@ -180,7 +180,7 @@
         instances.start();
         snapshots.start();
         network.start();
-        control.repeat(STORE_CALL_LOG_INTERVAL, this::logStoreCalls);
+        control.scheduleRepeatedly(STORE_CALL_LOG_INTERVAL, this::logStoreCalls);
     }
 
     private void onPlan(ServingPlan plan) {
--- a/gateway/src/main/java/org/sardinelift/gateway/WorkerProcess.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/WorkerProcess.java
@@ -12,7 +12,7 @@
 import org.sardinelift.gateway.job.JobWorker;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.http.HttpServer;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** A running worker: stores batch jobs and runs their items. */
 public final class WorkerProcess implements AutoCloseable {
@@ -120,7 +120,7 @@
     /** Hands the jobs over to other workers and waits until finished items are recorded. */
     public void drain() {
         long startedAt = System.nanoTime();
-        Event.of("process.stopping").info();
+        LogEvent.of("process.stopping").info();
         node.loop()
                 .execute(
                         () -> {
@@ -131,7 +131,7 @@
         do {
             sleep();
         } while (!worker.isIdle() && System.nanoTime() - deadline < 0);
-        Event.of("process.stopped")
+        LogEvent.of("process.stopped")
                 .with("ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt))
                 .info();
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/CallPipeline.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/CallPipeline.java
@@ -11,7 +11,7 @@
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.http.HttpHandler;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** Assembles the components that admit and forward calls. */
 public final class CallPipeline {
@@ -83,7 +83,7 @@
     private static void recordTargetDeath(
             TargetDeathCounter deaths, long request, String target, String source) {
         if (deaths.onTargetDeath(request, target, System.nanoTime())) {
-            Event.of("target.died")
+            LogEvent.of("target.died")
                     .with("target", target)
                     .with("request_hash", Long.toHexString(request))
                     .with("source", source)
--- a/gateway/src/main/java/org/sardinelift/gateway/call/ErrorResponses.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ErrorResponses.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 import org.sardinelift.http.HttpExchange;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** Error responses that the gateway itself sends, with the reason as JSON. */
 final class ErrorResponses {
@@ -85,7 +85,7 @@
                         + detail.replace('"', '\'').replace('\\', '/')
                         + "\"}";
         exchange.respond(kind.status, headers, body.getBytes(StandardCharsets.UTF_8));
-        Event.of("call.refused")
+        LogEvent.of("call.refused")
                 .with("call", callId)
                 .with("status", kind.status)
                 .with("kind", kind.label)
--- a/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedCall.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/ForwardedCall.java
@@ -21,7 +21,7 @@
 import org.sardinelift.gateway.call.TargetTable.Target;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpExchange;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** An admitted call from its arrival to the end of its response, across all attempts. */
 final class ForwardedCall {
@@ -86,7 +86,7 @@
         if (call.earlierWait().isZero()) {
             context.retryTimes().onNewCall(arrivedAt);
         }
-        exchange.onClose(this::onCallerDisconnected);
+        exchange.addCloseListener(this::onCallerDisconnected);
         timeout =
                 context.loop()
                         .schedule(this::onTimeout, call.timeout().toNanos(), TimeUnit.NANOSECONDS);
@@ -301,7 +301,7 @@
             runs++;
         }
         overallOutcome = overallOutcome.combine(outcome);
-        Event.of("call.attempt_failed")
+        LogEvent.of("call.attempt_failed")
                 .with("call", call.id())
                 .with("target", from.target().id())
                 .with("reason", reason)
@@ -330,7 +330,7 @@
         if (isHeadForwarded) {
             finish("cut");
             exchange.abort();
-            Event.of("call.cut")
+            LogEvent.of("call.cut")
                     .with("call", call.id())
                     .with("reason", reason)
                     .with("events", events)
@@ -403,7 +403,7 @@
 
     private void log(String event, @Nullable TargetAttempt from) {
         long now = context.now();
-        Event.of(event)
+        LogEvent.of(event)
                 .with("call", call.id())
                 .with("team", call.team())
                 .with("route", call.route().name())
--- a/gateway/src/main/java/org/sardinelift/gateway/call/JobProxy.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/JobProxy.java
@@ -13,12 +13,12 @@
 import org.sardinelift.gateway.job.JobApi.JobCall;
 import org.sardinelift.gateway.job.JobPaths;
 import org.sardinelift.gateway.peer.PeerNetwork;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
+import org.sardinelift.http.HttpCallException;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.http.HttpExchange;
-import org.sardinelift.http.HttpFailure;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * Forwards callers' batch job calls to workers, one after the other until one answers; each of
@@ -99,7 +99,7 @@
         }
 
         void tryNextWorker() {
-            if (!exchange.open()) {
+            if (!exchange.isOpen()) {
                 return;
             }
             if (!workers.hasNext()) {
@@ -123,7 +123,8 @@
                     mayBeStored ? null : RETRY_AFTER);
         }
 
-        private void onAnswer(Peer worker, @Nullable HttpAnswer answer, @Nullable Throwable error) {
+        private void onAnswer(
+                Peer worker, @Nullable BufferedHttpResponse answer, @Nullable Throwable error) {
             if (answer == null) {
                 mayBeStored |= mayHaveBeenReceived(error);
                 log(worker, 0, String.valueOf(error));
@@ -144,7 +145,7 @@
         }
 
         private void log(Peer worker, int status, @Nullable String reason) {
-            Event.of("job.call")
+            LogEvent.of("job.call")
                     .with("job", job)
                     .with("method", method)
                     .with("worker", worker.name())
@@ -154,13 +155,13 @@
         }
     }
 
-    private static String contentType(HttpAnswer answer) {
+    private static String contentType(BufferedHttpResponse answer) {
         String type = answer.header("content-type");
         return type == null ? "application/json" : type;
     }
 
     private static boolean mayHaveBeenReceived(@Nullable Throwable error) {
         Throwable cause = error instanceof CompletionException ? error.getCause() : error;
-        return !(cause instanceof HttpFailure failure) || failure.mayHaveRun();
+        return !(cause instanceof HttpCallException failure) || failure.mayHaveRun();
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/call/TargetAttempt.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/TargetAttempt.java
@@ -10,12 +10,12 @@
 import org.sardinelift.core.stream.StreamEvent;
 import org.sardinelift.gateway.HeaderNames;
 import org.sardinelift.gateway.call.TargetTable.Target;
-import org.sardinelift.http.HttpAnswerListener;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
+import org.sardinelift.http.HttpResponseListener;
 
 /** One attempt of a call at one target. Used on the event loop. */
-final class TargetAttempt implements HttpAnswerListener {
+final class TargetAttempt implements HttpResponseListener {
     private static final int MISDIRECTED = 421;
     private static final int SUCCESS_CLASS = 2;
     private static final int STATUS_CLASS_SIZE = 100;
--- a/gateway/src/main/java/org/sardinelift/gateway/call/TargetTable.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/call/TargetTable.java
@@ -16,7 +16,7 @@
 import org.sardinelift.core.plan.RegisteredTarget;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** The registered targets with their health and load. Used on the event loop. */
 public final class TargetTable {
@@ -268,8 +268,8 @@
      */
     public void onMisdirected(Target target) {
         target.isMisdirected = true;
-        client.closeIdle(target.registration.host(), target.registration.port());
-        Event.of("target.misdirected").with("target", target.id()).warn();
+        client.closeIdleConnections(target.registration.host(), target.registration.port());
+        LogEvent.of("target.misdirected").with("target", target.id()).warn();
     }
 
     /**
@@ -282,8 +282,8 @@
         if (!target.health.onSilent(System.nanoTime())) {
             return;
         }
-        Event.of("target.silent").with("target", target.id()).with("reason", reason).warn();
-        client.closeIdle(target.registration.host(), target.registration.port());
+        LogEvent.of("target.silent").with("target", target.id()).with("reason", reason).warn();
+        client.closeIdleConnections(target.registration.host(), target.registration.port());
         long now = System.nanoTime();
         target.brokenAt.values().removeIf(at -> now - at >= DEATH_DETECTION_WINDOW.toNanos());
         target.brokenAt.keySet().forEach(request -> deathListener.onDeath(request, target.id()));
@@ -343,7 +343,7 @@
         boolean hasAnswered = status != null && status == OK;
         target.health.onProbeEnded(hasAnswered, System.nanoTime());
         if (hasAnswered) {
-            Event.of("target.answers").with("target", target.id()).info();
+            LogEvent.of("target.answers").with("target", target.id()).info();
             return;
         }
         loop.schedule(() -> probe(target), PROBE_INTERVAL.toMillis() + 1, TimeUnit.MILLISECONDS);
@@ -356,7 +356,7 @@
      */
     public void onCallFailed(Target target) {
         if (target.health.onFailure(System.nanoTime())) {
-            Event.of("target.paused").with("target", target.id()).warn();
+            LogEvent.of("target.paused").with("target", target.id()).warn();
         }
     }
 }
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/InstanceFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/InstanceFeed.java
@@ -14,7 +14,7 @@
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.objects.WriteResult;
 import org.sardinelift.runtime.ControlThread;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 import org.tinylog.Logger;
 
 /**
@@ -127,7 +127,7 @@
         storeAvailability.onResult(result);
         boolean isRegistered = result instanceof WriteResult.Written;
         if (isRegistered) {
-            Event.of("instance.registered").with("address", address.toString()).info();
+            LogEvent.of("instance.registered").with("address", address.toString()).info();
         }
         if (isRegistered) {
             // Of instances that register at the same time, each lists those that did so before it.
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/PeerSnapshots.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/PeerSnapshots.java
@@ -11,12 +11,12 @@
 import org.sardinelift.core.peer.Peer;
 import org.sardinelift.core.peer.PeerRole;
 import org.sardinelift.gateway.peer.PeerNetwork;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.runtime.ControlThread;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * Exchanges the configuration and the targets with peers: a newer configuration at once, the
@@ -194,14 +194,14 @@
             TargetFeed.Snapshot peerList = SnapshotJson.read(text, receivedAt);
             targetFeed.applyIfNewer(peerList, "peer " + peer.name());
         } catch (JsonProcessingException e) {
-            Event.of("targets.unreadable")
+            LogEvent.of("targets.unreadable")
                     .with("peer", peer.name())
                     .with("reason", e.getOriginalMessage())
                     .warn();
         }
     }
 
-    private CompletableFuture<HttpAnswer> fetch(Peer peer, String path) {
+    private CompletableFuture<BufferedHttpResponse> fetch(Peer peer, String path) {
         return client.call(
                 HttpCall.of(
                         peer.host(),
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/PlanFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/PlanFeed.java
@@ -12,7 +12,7 @@
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.objects.WatchResult;
 import org.sardinelift.runtime.ControlThread;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * Provides the configuration in force, read from the store and, while the store is unavailable,
@@ -123,7 +123,7 @@
     public void applyIfNewer(String value, String source) {
         Decoded<ServingPlan> decoded = adapter.decodePlan(value);
         if (decoded instanceof Decoded.Unreadable<ServingPlan> unreadable) {
-            Event.of("plan.unreadable")
+            LogEvent.of("plan.unreadable")
                     .with("source", source)
                     .with("reason", unreadable.reason())
                     .with("kept_version", version())
@@ -136,7 +136,7 @@
             return;
         }
         current = new CurrentPlan(plan, value);
-        Event.of("plan.applied")
+        LogEvent.of("plan.applied")
                 .with("version", plan.version())
                 .with("before", previousVersion)
                 .with("source", source)
@@ -202,7 +202,7 @@
 
     private void onPlanObject(@Nullable StoredObject object) {
         if (object == null) {
-            Event.of("plan.deleted").with("kept_version", version()).error();
+            LogEvent.of("plan.deleted").with("kept_version", version()).error();
         } else {
             applyIfNewer(object.value(), "watch");
         }
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/StoreAvailability.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/StoreAvailability.java
@@ -4,7 +4,7 @@
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.WatchResult;
 import org.sardinelift.objects.WriteResult;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** Tracks whether the platform's store answers this instance, and logs changes. */
 public final class StoreAvailability {
@@ -57,8 +57,8 @@
         long now = System.nanoTime();
         boolean isAvailableNow = failure.isEmpty();
         if (isAvailableNow != isAvailable || !isKnown) {
-            Event event =
-                    Event.of(isAvailableNow ? "store.regained" : "store.lost")
+            LogEvent event =
+                    LogEvent.of(isAvailableNow ? "store.regained" : "store.lost")
                             .with("reason", failure.isEmpty() ? null : failure);
             if (isAvailableNow) {
                 event.info();
--- a/gateway/src/main/java/org/sardinelift/gateway/feed/TargetFeed.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/feed/TargetFeed.java
@@ -16,7 +16,7 @@
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.StoredObject;
 import org.sardinelift.runtime.ControlThread;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * Provides the targets, which it lists from the store at intervals. A list costs as much as a watch
@@ -191,7 +191,7 @@
                 storeAvailability.nanosSinceRegained() < REREGISTRATION_TIME.toNanos();
         Map<String, RegisteredTarget> previous = registry.targets();
         if (!registry.apply(readable, unreadable, list.revision(), keepMissing)) {
-            Event.of("targets.stale")
+            LogEvent.of("targets.stale")
                     .with("revision", list.revision())
                     .with("source", source)
                     .warn();
@@ -224,7 +224,7 @@
         String reason = ((Decoded.Unreadable<RegisteredTarget>) decoded).reason();
         unreadable.add(name);
         if (!reason.equals(loggedReasons.put(name, reason))) {
-            Event.of("target.unreadable").with("target", name).with("reason", reason).warn();
+            LogEvent.of("target.unreadable").with("target", name).with("reason", reason).warn();
         }
     }
 
@@ -236,7 +236,7 @@
                 .filter(entry -> !entry.equals(previous.get(entry.id())))
                 .forEach(
                         entry ->
-                                Event.of(entry.isLeaving() ? "target.leaving" : "target.listed")
+                                LogEvent.of(entry.isLeaving() ? "target.leaving" : "target.listed")
                                         .with("target", entry.id())
                                         .with("address", entry.host() + ":" + entry.port())
                                         .with("zone", entry.zone())
@@ -246,7 +246,7 @@
                 .filter(id -> !updated.containsKey(id))
                 .forEach(
                         id ->
-                                Event.of("target.gone")
+                                LogEvent.of("target.gone")
                                         .with("target", id)
                                         .with("source", source)
                                         .info());
--- a/gateway/src/main/java/org/sardinelift/gateway/job/ItemRun.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/ItemRun.java
@@ -10,12 +10,12 @@
 import org.sardinelift.core.stream.StreamEvent;
 import org.sardinelift.gateway.call.LoadHeader;
 import org.sardinelift.gateway.call.TargetTable.Target;
-import org.sardinelift.http.HttpAnswerListener;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
+import org.sardinelift.http.HttpResponseListener;
 
 /** A run of an item on a target. On the event loop. */
-final class ItemRun implements HttpAnswerListener {
+final class ItemRun implements HttpResponseListener {
     private static final int MISDIRECTED = 421;
     private static final int UNPROCESSABLE = 422;
     private static final int SUCCESS_STATUS_CLASS = 2;
--- a/gateway/src/main/java/org/sardinelift/gateway/job/ItemRunner.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/ItemRunner.java
@@ -33,7 +33,7 @@
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * Runs the items of the jobs assigned to this worker in slots that online calls leave free, and
@@ -217,7 +217,7 @@
             boolean wasAssigned = assignedJobIds.contains(id);
             boolean isAssigned = assignment.isAssignedHere(id, wasAssigned, claims, now);
             if (isAssigned != wasAssigned) {
-                Event.of(isAssigned ? "job.taken" : "job.left").with("job", id).info();
+                LogEvent.of(isAssigned ? "job.taken" : "job.left").with("job", id).info();
                 network.onLocalChange();
             }
             if (isAssigned) {
@@ -287,7 +287,7 @@
     }
 
     private void giveUp(JobProgress job, ItemProgress item, String reason) {
-        Event.of("item.given_up")
+        LogEvent.of("item.given_up")
                 .with("job", job.spec().id())
                 .with("item", item.item().id())
                 .with("reason", reason)
@@ -449,7 +449,7 @@
         network.targetLoads().onOwnCallsChanged(run.target().id(), ITEM_ENDED);
         network.onSlotFreed();
         WorkerMetrics.setRunningItems(runs().size());
-        Event.of("item.run_ended")
+        LogEvent.of("item.run_ended")
                 .with("job", run.scheduledItem().job().spec().id())
                 .with("item", run.item().item().id())
                 .with("target", run.target().id())
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobRecorder.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobRecorder.java
@@ -11,7 +11,7 @@
 import org.sardinelift.core.joblog.JobProgress;
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.WriteResult;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** Writes results to the store, one record of a job at a time. On the event loop. */
 final class JobRecorder {
@@ -79,7 +79,7 @@
             jobs.onRecordWritten(job, number, batch);
             long ageMs = System.currentTimeMillis() - job.spec().submittedMs();
             batch.forEach(each -> WorkerMetrics.observeResultAge(ageMs));
-            Event.of("job.recorded")
+            LogEvent.of("job.recorded")
                     .with("job", job.spec().id())
                     .with("record", number)
                     .with("results", batch.size())
@@ -101,7 +101,7 @@
                         result -> {
                             if (result instanceof ReadResult.Found found) {
                                 jobs.apply(found.object());
-                                Event.of("job.record_found")
+                                LogEvent.of("job.record_found")
                                         .with("job", job.spec().id())
                                         .with("record", number)
                                         .info();
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobRegistry.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobRegistry.java
@@ -13,7 +13,7 @@
 import org.sardinelift.core.joblog.JobProgress;
 import org.sardinelift.core.joblog.JobSpec;
 import org.sardinelift.objects.StoredObject;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** The jobs known to this worker, built from their stored objects; on the event loop. */
 final class JobRegistry {
@@ -50,13 +50,13 @@
     void apply(StoredObject object) {
         Optional<JobObject> parsed = JobObject.parse(object.key().name());
         if (parsed.isEmpty()) {
-            Event.of("job.unreadable").with("object", object.key().name()).warn();
+            LogEvent.of("job.unreadable").with("object", object.key().name()).warn();
             return;
         }
         try {
             apply(parsed.get(), object.value());
         } catch (IllegalArgumentException e) {
-            Event.of("job.unreadable")
+            LogEvent.of("job.unreadable")
                     .with("object", object.key().name())
                     .with("reason", e.getMessage())
                     .error();
@@ -170,7 +170,7 @@
     void onJobEnded(JobProgress job) {
         if (!job.hasEnded()) {
             job.end();
-            Event.of("job.ended").with("job", job.spec().id()).info();
+            LogEvent.of("job.ended").with("job", job.spec().id()).info();
             changeListener.accept(job);
         }
     }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobService.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobService.java
@@ -22,7 +22,7 @@
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpExchange;
 import org.sardinelift.objects.ReadResult;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /** Answers gateways' calls about batch jobs. On the event loop. */
 final class JobService {
@@ -226,7 +226,7 @@
                 return;
             }
             isAnswered = true;
-            Event.of("job.submitted")
+            LogEvent.of("job.submitted")
                     .with("job", spec.id())
                     .with("team", spec.team())
                     .with("items", spec.items().size())
@@ -331,7 +331,7 @@
         storage.createEnd(id, System.nanoTime() + END_TIMEOUT.toNanos())
                 .thenAccept(
                         created -> {
-                            Event.of("job.end")
+                            LogEvent.of("job.end")
                                     .with("job", id)
                                     .with("stored", created.name())
                                     .info();
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobSpool.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobSpool.java
@@ -24,10 +24,10 @@
 import org.sardinelift.gateway.feed.StoreAvailability;
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.http.HttpCall;
+import org.sardinelift.http.HttpCallException;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.http.HttpExchange;
-import org.sardinelift.http.HttpFailure;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * Writes jobs to the disks of several workers while the store is unavailable, and moves them to the
@@ -145,13 +145,13 @@
             restore(Job.fromJson(text), retention);
         } catch (IllegalArgumentException e) {
             // The file is kept for an operator to inspect; the other jobs are restored.
-            Event.of("spool.unreadable").with("reason", e.getMessage()).error();
+            LogEvent.of("spool.unreadable").with("reason", e.getMessage()).error();
         }
     }
 
     private void restore(Job job, Duration retention) {
         long ageMs = System.currentTimeMillis() - job.header().submittedMs();
-        Event.of("spool.found").with("job", job.id()).with("age_ms", ageMs).info();
+        LogEvent.of("spool.found").with("job", job.id()).with("age_ms", ageMs).info();
         if (ageMs > retention.toMillis()) {
             // Another worker may have stored, closed and removed it long ago.
             folder().delete(job.id());
@@ -232,7 +232,7 @@
                                         }));
         return outcome.thenApply(
                 result -> {
-                    Event.of("job.spooled")
+                    LogEvent.of("job.spooled")
                             .with("job", id)
                             .with("outcome", result.name())
                             .with("copies", count.copies())
@@ -257,8 +257,9 @@
                             }
                             Throwable cause = error.getCause() == null ? error : error.getCause();
                             boolean isUnclear =
-                                    !(error instanceof HttpFailure failure) || failure.mayHaveRun();
-                            Event.of("spool.copy_failed")
+                                    !(error instanceof HttpCallException failure)
+                                            || failure.mayHaveRun();
+                            LogEvent.of("spool.copy_failed")
                                     .with("job", job.id())
                                     .with("peer", peer.name())
                                     .with("reason", cause.toString())
@@ -299,7 +300,7 @@
     void onJobStored(String job) {
         if (pendingJobs.remove(job) != null) {
             folder().delete(job);
-            Event.of("spool.stored").with("job", job).with("left", pendingJobs.size()).info();
+            LogEvent.of("spool.stored").with("job", job).with("left", pendingJobs.size()).info();
         }
     }
 
--- a/gateway/src/main/java/org/sardinelift/gateway/job/JobSweeper.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/JobSweeper.java
@@ -13,7 +13,7 @@
 import org.sardinelift.gateway.peer.PeerNetwork;
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.objects.WriteResult;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * Removes the objects of closed jobs after the retention time of their results. The header is
@@ -110,7 +110,7 @@
     private void removeObjects(String id, List<JobObject> objects, int index) {
         if (index == objects.size()) {
             jobs.remove(id);
-            Event.of("job.removed").with("job", id).with("objects", objects.size()).info();
+            LogEvent.of("job.removed").with("job", id).with("objects", objects.size()).info();
             removeNext();
             return;
         }
--- a/gateway/src/main/java/org/sardinelift/gateway/job/RetirementWatch.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/RetirementWatch.java
@@ -10,14 +10,14 @@
 import org.sardinelift.gateway.NodeSettings;
 import org.sardinelift.gateway.PlatformAdapter;
 import org.sardinelift.gateway.feed.StoreAvailability;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.objects.ObjectKey;
 import org.sardinelift.objects.ObjectStore;
 import org.sardinelift.objects.ReadResult;
 import org.sardinelift.runtime.ControlThread;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * Polls for an operator's request to retire this instance, hands its work over to other instances
@@ -94,7 +94,7 @@
     private void onRequested(ObjectKey key) {
         if (!isRequested) {
             isRequested = true;
-            Event.of("retirement.asked").with("role", PeerRole.WORKER.label()).info();
+            LogEvent.of("retirement.asked").with("role", PeerRole.WORKER.label()).info();
         }
         workload.successorState().thenAcceptAsync(state -> proceed(key, state), control::execute);
     }
@@ -106,7 +106,7 @@
                         ? successor != SuccessorState.NONE
                         : successor == SuccessorState.PRESENT;
         if (isHandedOver != wasHandedOver) {
-            Event.of(isHandedOver ? "retirement.handing_over" : "retirement.stays").info();
+            LogEvent.of(isHandedOver ? "retirement.handing_over" : "retirement.stays").info();
             if (isHandedOver) {
                 workload.handOver();
             } else {
@@ -139,11 +139,11 @@
                 .thenAcceptAsync(answer -> onReported(key, isDone, answer), control::execute);
     }
 
-    private void onReported(ObjectKey key, boolean isDone, Optional<HttpAnswer> answer) {
+    private void onReported(ObjectKey key, boolean isDone, Optional<BufferedHttpResponse> answer) {
         boolean isReported = answer.filter(response -> response.status() == OK).isPresent();
-        Event.of("retirement.reported")
+        LogEvent.of("retirement.reported")
                 .with("done", isDone)
-                .with("status", answer.map(HttpAnswer::status).orElse(0))
+                .with("status", answer.map(BufferedHttpResponse::status).orElse(0))
                 .with(
                         "answer",
                         answer.map(response -> new String(response.body(), StandardCharsets.UTF_8))
--- a/gateway/src/main/java/org/sardinelift/gateway/job/SpoolFolder.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/job/SpoolFolder.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Executors;
 import java.util.stream.Stream;
 import java.util.zip.CRC32;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * A folder on a small disk with one file for each job, written and synced by a thread of its own. A
@@ -50,7 +50,7 @@
                         .forEach(file -> load(file, documents));
             }
         } catch (IOException e) {
-            Event.of("spool.unreadable")
+            LogEvent.of("spool.unreadable")
                     .with("folder", folder.toString())
                     .with("reason", e.toString())
                     .error();
@@ -64,12 +64,12 @@
             int lineEnd = text.indexOf('\n');
             String document = text.substring(lineEnd + 1);
             if (lineEnd < 1 || !text.substring(0, lineEnd).equals(checksum(document))) {
-                Event.of("spool.torn").with("file", file.getFileName().toString()).warn();
+                LogEvent.of("spool.torn").with("file", file.getFileName().toString()).warn();
                 return;
             }
             documents.add(document);
         } catch (IOException e) {
-            Event.of("spool.unreadable")
+            LogEvent.of("spool.unreadable")
                     .with("file", file.getFileName().toString())
                     .with("reason", e.toString())
                     .error();
@@ -102,7 +102,7 @@
             file.force(true);
             return true;
         } catch (IOException e) {
-            Event.of("spool.not_written").with("job", job).with("reason", e.toString()).error();
+            LogEvent.of("spool.not_written").with("job", job).with("reason", e.toString()).error();
             return false;
         }
     }
@@ -120,7 +120,7 @@
                     try {
                         Files.deleteIfExists(fileOf(job));
                     } catch (IOException e) {
-                        Event.of("spool.not_deleted")
+                        LogEvent.of("spool.not_deleted")
                                 .with("job", job)
                                 .with("reason", e.toString())
                                 .warn();
--- a/gateway/src/main/java/org/sardinelift/gateway/peer/PeerNetwork.java
+++ b/gateway/src/main/java/org/sardinelift/gateway/peer/PeerNetwork.java
@@ -33,7 +33,7 @@
 import org.sardinelift.protocol.generated.PeerReport;
 import org.sardinelift.protocol.generated.TargetUse;
 import org.sardinelift.protocol.generated.TeamCount;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 
 /**
  * Exchange of UDP reports with the other instances, and the state built from them: live peers,
@@ -326,7 +326,7 @@
     private void introduceToSeeds() {
         PeerReport report = reportBuilder.buildIncremental();
         report.setIntroduce(true);
-        byte[] bytes = channel.bytes(report);
+        byte[] bytes = channel.serialize(report);
         settings.seedHosts().stream()
                 .filter(host -> !host.equals(settings.internalAddress().host()))
                 .forEach(
@@ -347,7 +347,7 @@
         targetLoads.expire(now);
         for (String gone : peers.removeSilent(now)) {
             quota.onPeerRemoved(gone);
-            Event.of("peer.forgotten").with("peer", gone).info();
+            LogEvent.of("peer.forgotten").with("peer", gone).info();
         }
         detectLostPeers(now);
         if (now - fleetReportSentAt >= OTHER_ZONE_HEARTBEAT_INTERVAL.toNanos()) {
@@ -393,7 +393,7 @@
         long pauseMs = wallClockMs - lastWallClockMs - monotonicMs;
         if (pauseMs > MIN_PROCESS_PAUSE.toMillis()) {
             quota.onPause(now);
-            Event.of("process.paused").with("standstill_ms", pauseMs).warn();
+            LogEvent.of("process.paused").with("standstill_ms", pauseMs).warn();
         }
         lastWallClockMs = wallClockMs;
         lastMonotonicNanos = now;
@@ -411,7 +411,7 @@
         lost.forEach(
                 name -> {
                     livePeerNames.remove(name);
-                    Event.of("peer.lost").with("peer", name).warn();
+                    LogEvent.of("peer.lost").with("peer", name).warn();
                 });
     }
 
@@ -442,7 +442,7 @@
         if (receivers.isEmpty()) {
             return;
         }
-        byte[] bytes = channel.bytes(report);
+        byte[] bytes = channel.serialize(report);
         receivers.forEach(
                 peer -> {
                     channel.send(bytes, new InetSocketAddress(peer.host(), peer.port()));
@@ -466,7 +466,8 @@
                 .ifPresent(
                         peer ->
                                 relay.onReport(
-                                        peer, relayed.isEmpty() ? bytes : channel.bytes(report)));
+                                        peer,
+                                        relayed.isEmpty() ? bytes : channel.serialize(report)));
         boolean isFromOwnZone = report.getZone().equals(settings.zone());
         relayed.forEach(each -> onRelayedReport(each, isFromOwnZone));
         listeners.forEach(Listener::onLoadsUpdated);
@@ -475,7 +476,7 @@
     private void onRelayedReport(ByteBuffer buffer, boolean isFromOwnZone) {
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
-        Optional<Peer> sender = ReportChannel.read(bytes).flatMap(this::onReport);
+        Optional<Peer> sender = ReportChannel.deserialize(bytes).flatMap(this::onReport);
         // The relay of the own zone has already sent the report to all instances of the zone.
         if (!isFromOwnZone) {
             sender.ifPresent(peer -> relay.onReport(peer, bytes));
@@ -492,7 +493,7 @@
         }
         boolean hasJoined = result == PeerTable.ReportResult.JOINED;
         if (livePeerNames.add(peer.name()) || hasJoined) {
-            Event.of("peer.joined")
+            LogEvent.of("peer.joined")
                     .with("peer", peer.name())
                     .with("incarnation", peer.incarnation())
                     .info();
@@ -543,7 +544,8 @@
     }
 
     private void introduceTo(String host, int port) {
-        channel.send(channel.bytes(reportBuilder.buildFull()), new InetSocketAddress(host, port));
+        channel.send(
+                channel.serialize(reportBuilder.buildFull()), new InetSocketAddress(host, port));
     }
 
     private static Map<String, TargetCalls> toTargetCalls(PeerReport report) {
--- a/http/src/main/java/org/sardinelift/http/HttpAnswer.java
+++ b/http/src/main/java/org/sardinelift/http/BufferedHttpResponse.java
@@ -12,7 +12,8 @@
  * @param headers headers in order
  * @param body body bytes
  */
-public record HttpAnswer(int status, List<Map.Entry<String, String>> headers, byte[] body) {
+public record BufferedHttpResponse(
+        int status, List<Map.Entry<String, String>> headers, byte[] body) {
 
     /**
      * First value of a header.
--- a/http/src/main/java/org/sardinelift/http/ClientExchange.java
+++ b/http/src/main/java/org/sardinelift/http/ClientExchange.java
@@ -21,7 +21,7 @@
 
     private final HttpClient client;
     private final HttpCall call;
-    private final HttpAnswerListener listener;
+    private final HttpResponseListener listener;
     private volatile @Nullable Channel channel;
     private volatile boolean isCancelled;
     private boolean isPooled;
@@ -33,7 +33,7 @@
     private long lastByteNanos;
     private @Nullable ScheduledFuture<?> silenceTimer;
 
-    ClientExchange(HttpClient client, HttpCall call, HttpAnswerListener listener) {
+    ClientExchange(HttpClient client, HttpCall call, HttpResponseListener listener) {
         this.client = client;
         this.call = call;
         this.listener = listener;
@@ -89,7 +89,7 @@
     }
 
     private void checkSilence(Channel target) {
-        long limitNanos = call.silence().toNanos();
+        long limitNanos = call.silenceTimeout().toNanos();
         long silentNanos = System.nanoTime() - lastByteNanos;
         if (isDone) {
             return;
@@ -97,7 +97,7 @@
         if (silentNanos >= limitNanos) {
             fail(
                     new TimeoutException(
-                            "no byte received for " + call.silence().toMillis() + " ms"),
+                            "no byte received for " + call.silenceTimeout().toMillis() + " ms"),
                     true);
             target.close();
             return;
--- a/http/src/main/java/org/sardinelift/http/HttpCall.java
+++ b/http/src/main/java/org/sardinelift/http/HttpCall.java
@@ -14,7 +14,7 @@
  * @param headers request headers in order; content-length is added, and host if absent
  * @param body body bytes, empty for none
  * @param silence maximum time without any byte of the response before the call fails
- * @param freshConnection whether a new connection must be used, since the peer may be about to
+ * @param needsFreshConnection whether a new connection must be used, since the peer may be about to
  *     close an idle one
  */
 public record HttpCall(
@@ -24,8 +24,8 @@
         String uri,
         List<Map.Entry<String, String>> headers,
         byte[] body,
-        Duration silence,
-        boolean freshConnection) {
+        Duration silenceTimeout,
+        boolean needsFreshConnection) {
 
     /**
      * Creates a request that may be sent over an idle connection.
--- a/http/src/main/java/org/sardinelift/http/HttpFailure.java
+++ b/http/src/main/java/org/sardinelift/http/HttpCallException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** Thrown when a call got no complete response. */
-public final class HttpFailure extends IOException {
+public final class HttpCallException extends IOException {
     private final boolean mayHaveRun;
 
-    HttpFailure(Throwable cause, boolean mayHaveRun) {
+    HttpCallException(Throwable cause, boolean mayHaveRun) {
         super(String.valueOf(cause.getMessage()), cause);
         this.mayHaveRun = mayHaveRun;
     }
--- a/http/src/main/java/org/sardinelift/http/HttpClient.java
+++ b/http/src/main/java/org/sardinelift/http/HttpClient.java
@@ -121,9 +121,9 @@
      * @param listener receives the response
      * @return cancels the call when run: its connection is closed
      */
-    public Runnable send(HttpCall call, HttpAnswerListener listener) {
+    public Runnable send(HttpCall call, HttpResponseListener listener) {
         ClientExchange exchange = new ClientExchange(this, call, listener);
-        Channel pooled = call.freshConnection() ? null : pollIdle(call);
+        Channel pooled = call.needsFreshConnection() ? null : pollIdle(call);
         if (pooled != null) {
             exchange.sendOver(pooled, true);
         } else {
@@ -136,14 +136,14 @@
      * Sends a request and buffers the complete response.
      *
      * @param call the request
-     * @return the response; fails with {@link HttpFailure} if there is none
+     * @return the response; fails with {@link HttpCallException} if there is none
      */
-    public CompletableFuture<HttpAnswer> call(HttpCall call) {
-        CompletableFuture<HttpAnswer> response = new CompletableFuture<>();
+    public CompletableFuture<BufferedHttpResponse> call(HttpCall call) {
+        CompletableFuture<BufferedHttpResponse> response = new CompletableFuture<>();
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         send(
                 call,
-                new HttpAnswerListener() {
+                new HttpResponseListener() {
                     private int status;
                     private List<Map.Entry<String, String>> headers = List.of();
 
@@ -160,12 +160,13 @@
 
                     @Override
                     public void onEnd() {
-                        response.complete(new HttpAnswer(status, headers, body.toByteArray()));
+                        response.complete(
+                                new BufferedHttpResponse(status, headers, body.toByteArray()));
                     }
 
                     @Override
                     public void onFailure(Throwable cause, boolean mayHaveRun) {
-                        response.completeExceptionally(new HttpFailure(cause, mayHaveRun));
+                        response.completeExceptionally(new HttpCallException(cause, mayHaveRun));
                     }
                 });
         return response;
@@ -222,7 +223,7 @@
      * @param host address
      * @param port port
      */
-    public void closeIdle(String host, int port) {
+    public void closeIdleConnections(String host, int port) {
         ConcurrentLinkedDeque<IdleConnection> pool = idleConnections.remove(host + ":" + port);
         if (pool != null) {
             List.copyOf(pool).forEach(entry -> entry.channel().close());
--- a/http/src/main/java/org/sardinelift/http/HttpExchange.java
+++ b/http/src/main/java/org/sardinelift/http/HttpExchange.java
@@ -32,7 +32,7 @@
     private final byte[] body;
     private final BooleanSupplier keepAlive;
     private final Runnable onResponseWritten;
-    private final AtomicBoolean started = new AtomicBoolean();
+    private final AtomicBoolean isStarted = new AtomicBoolean();
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile boolean isCloseAnnounced;
     private final Queue<ChannelFutureListener> closeListeners = new ConcurrentLinkedQueue<>();
@@ -158,7 +158,7 @@
      */
     public void respond(
             int status, List<Map.Entry<String, String>> responseHeaders, byte[] responseBody) {
-        if (!started.compareAndSet(false, true)) {
+        if (!isStarted.compareAndSet(false, true)) {
             return;
         }
         DefaultFullHttpResponse response =
@@ -202,7 +202,7 @@
      * @param responseHeaders headers in order
      */
     public void start(int status, List<Map.Entry<String, String>> responseHeaders) {
-        if (!started.compareAndSet(false, true)) {
+        if (!isStarted.compareAndSet(false, true)) {
             return;
         }
         DefaultHttpResponse response =
@@ -222,14 +222,14 @@
      * @param part body bytes
      */
     public void write(byte[] part) {
-        if (started.get() && !ended.get()) {
+        if (isStarted.get() && !ended.get()) {
             channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(part)));
         }
     }
 
     /** Ends a streamed response. */
     public void end() {
-        if (started.get()) {
+        if (isStarted.get()) {
             finish(LastHttpContent.EMPTY_LAST_CONTENT);
         }
     }
@@ -248,8 +248,8 @@
      *
      * @return true once status and headers were sent
      */
-    public boolean started() {
-        return started.get();
+    public boolean isStarted() {
+        return isStarted.get();
     }
 
     /**
@@ -257,7 +257,7 @@
      *
      * @return true while the connection is open
      */
-    public boolean open() {
+    public boolean isOpen() {
         return channel.isActive();
     }
 
@@ -266,7 +266,7 @@
      *
      * @return false while unsent bytes exceed the connection's limit
      */
-    public boolean writable() {
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
@@ -275,7 +275,7 @@
      *
      * @param action action to run on the event loop
      */
-    public void onClose(Runnable action) {
+    public void addCloseListener(Runnable action) {
         ChannelFutureListener listener = future -> action.run();
         closeListeners.add(listener);
         channel.closeFuture().addListener(listener);
--- a/http/src/main/java/org/sardinelift/http/HttpAnswerListener.java
+++ b/http/src/main/java/org/sardinelift/http/HttpResponseListener.java
@@ -7,7 +7,7 @@
  * Receives a response as it arrives, on one event loop. Exactly one of {@link #onEnd} and {@link
  * #onFailure} comes last.
  */
-public interface HttpAnswerListener {
+public interface HttpResponseListener {
 
     /**
      * Called with the status and headers.
--- a/http/src/main/java/org/sardinelift/http/HttpServer.java
+++ b/http/src/main/java/org/sardinelift/http/HttpServer.java
@@ -19,13 +19,13 @@
 /** HTTP/1.1 server on a bound port. */
 public final class HttpServer implements AutoCloseable {
     private final Channel channel;
-    private final ChannelGroup connections;
+    private final ChannelGroup connectionCount;
     private final ServerState state;
 
     private HttpServer(Channel channel, ChannelGroup connections, ServerState state) {
         this.state = state;
         this.channel = channel;
-        this.connections = connections;
+        this.connectionCount = connections;
     }
 
     /**
@@ -134,8 +134,8 @@
      *
      * @return number of connections
      */
-    public int connections() {
-        return connections.size();
+    public int connectionCount() {
+        return connectionCount.size();
     }
 
     /**
@@ -143,7 +143,7 @@
      *
      * @return number of requests
      */
-    public int answersDue() {
+    public int pendingResponses() {
         return state.pendingResponses.get();
     }
 
@@ -153,8 +153,8 @@
     }
 
     /** Closes the connections that have no request in progress, not even a partly received one. */
-    public void closeIdle() {
-        connections.forEach(
+    public void closeIdleConnections() {
+        connectionCount.forEach(
                 connection ->
                         connection
                                 .eventLoop()
@@ -175,6 +175,6 @@
     @Override
     public void close() {
         channel.close().awaitUninterruptibly();
-        connections.close().awaitUninterruptibly();
+        connectionCount.close().awaitUninterruptibly();
     }
 }
--- a/http/src/test/java/org/sardinelift/http/HttpServerTest.java
+++ b/http/src/test/java/org/sardinelift/http/HttpServerTest.java
@@ -45,7 +45,7 @@
 
     private void handle(HttpExchange exchange) {
         if (exchange.path().equals("/hang")) {
-            exchange.onClose(callerDisconnected::countDown);
+            exchange.addCloseListener(callerDisconnected::countDown);
             return;
         }
         if (exchange.path().equals("/stream")) {
@@ -155,8 +155,8 @@
             String head = "POST /a HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\n";
             busy.getOutputStream().write((head + "content-length: 1\r\n\r\n").getBytes());
             busy.getInputStream().readNBytes("HTTP/1.1 100 Continue\r\n\r\n".length());
-            Awaitility.await().until(() -> server.connections() == 2);
-            server.closeIdle();
+            Awaitility.await().until(() -> server.connectionCount() == 2);
+            server.closeIdleConnections();
 
             assertEquals(-1, idle.getInputStream().read());
             busy.getOutputStream().write("b".getBytes());
@@ -210,7 +210,7 @@
         CountDownLatch ended = new CountDownLatch(1);
         client.send(
                 call,
-                new HttpAnswerListener() {
+                new HttpResponseListener() {
                     @Override
                     public void onHead(int status, List<Map.Entry<String, String>> headers) {}
 
--- a/objects/src/main/java/org/sardinelift/objects/DefaultObjectDialect.java
+++ b/objects/src/main/java/org/sardinelift/objects/DefaultObjectDialect.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 
 /** Dialect of the object API in docs/PLATFORM.md, which the platform stand-in serves. */
 final class DefaultObjectDialect implements ObjectDialect {
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public ReadResult parseReadResult(ObjectKey key, HttpAnswer answer, JsonNode body) {
+    public ReadResult parseReadResult(ObjectKey key, BufferedHttpResponse answer, JsonNode body) {
         if (answer.status() == NOT_FOUND) {
             return parseAbsent(key, answer);
         }
@@ -32,7 +32,7 @@
                 : new ReadResult.Unavailable(ObjectDialect.refusalReason(answer));
     }
 
-    private static ReadResult parseAbsent(ObjectKey key, HttpAnswer answer) {
+    private static ReadResult parseAbsent(ObjectKey key, BufferedHttpResponse answer) {
         String revision = answer.header("Revision");
         try {
             return new ReadResult.Absent(Long.parseLong(String.valueOf(revision)));
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public WriteResult parseWriteResult(HttpAnswer answer, JsonNode body) {
+    public WriteResult parseWriteResult(BufferedHttpResponse answer, JsonNode body) {
         if (answer.status() == OK) {
             return ObjectJson.parseWritten(body);
         }
--- a/objects/src/main/java/org/sardinelift/objects/HttpObjectStore.java
+++ b/objects/src/main/java/org/sardinelift/objects/HttpObjectStore.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 import org.jspecify.annotations.Nullable;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
+import org.sardinelift.http.HttpCallException;
 import org.sardinelift.http.HttpClient;
-import org.sardinelift.http.HttpFailure;
 
 /** Object store client over HTTP/1.1; a dialect formats its requests and parses its responses. */
 public final class HttpObjectStore implements ObjectStore {
@@ -151,7 +151,7 @@
     }
 
     private PageResult page(
-            String kind, String prefix, @Nullable HttpAnswer answer, Throwable error) {
+            String kind, String prefix, @Nullable BufferedHttpResponse answer, Throwable error) {
         return decode(
                 answer,
                 error,
@@ -205,7 +205,7 @@
                                         InstancesResult.Unavailable::new));
     }
 
-    private CompletableFuture<HttpAnswer> send(
+    private CompletableFuture<BufferedHttpResponse> send(
             ObjectDialect.Request request, Duration idleTimeout) {
         return client.call(
                 HttpCall.of(
@@ -221,7 +221,7 @@
     }
 
     private static <T> T decode(
-            @Nullable HttpAnswer answer,
+            @Nullable BufferedHttpResponse answer,
             Throwable error,
             Function<JsonNode, ? extends T> decoder,
             Function<String, ? extends T> unavailable) {
@@ -234,7 +234,7 @@
     }
 
     private static <T> T parse(
-            HttpAnswer answer,
+            BufferedHttpResponse answer,
             Function<JsonNode, ? extends T> decoder,
             Function<String, ? extends T> malformed) {
         try {
@@ -247,7 +247,7 @@
     }
 
     /** Parses the body; only success and conflict responses need one. */
-    private static JsonNode json(HttpAnswer answer) throws IOException {
+    private static JsonNode json(BufferedHttpResponse answer) throws IOException {
         boolean isJson = answer.body().length > 0 && answer.body()[0] == '{';
         return isJson || answer.status() == OK
                 ? ObjectJson.MAPPER.readTree(answer.body())
@@ -255,7 +255,7 @@
     }
 
     private static boolean mayHaveRun(Throwable error) {
-        return !(rootCause(error) instanceof HttpFailure failure) || failure.mayHaveRun();
+        return !(rootCause(error) instanceof HttpCallException failure) || failure.mayHaveRun();
     }
 
     private static String noResponseReason(Throwable error) {
--- a/objects/src/main/java/org/sardinelift/objects/ObjectDialect.java
+++ b/objects/src/main/java/org/sardinelift/objects/ObjectDialect.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.Set;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 
 /**
  * Formats the requests and parses the responses of one kind of object store over HTTP/1.1. The
@@ -56,7 +56,7 @@
      * @param body body as JSON, a missing node if it is not JSON
      * @return outcome of the read
      */
-    ReadResult parseReadResult(ObjectKey key, HttpAnswer answer, JsonNode body);
+    ReadResult parseReadResult(ObjectKey key, BufferedHttpResponse answer, JsonNode body);
 
     /**
      * Formats a request that writes an object if it has the expected version.
@@ -85,7 +85,7 @@
      * @param body body as JSON, a missing node if it is not JSON
      * @return outcome of the write or the deletion
      */
-    WriteResult parseWriteResult(HttpAnswer answer, JsonNode body);
+    WriteResult parseWriteResult(BufferedHttpResponse answer, JsonNode body);
 
     /**
      * Formats a request that lists one page of objects.
@@ -147,7 +147,7 @@
      * @param answer response of the store
      * @return the reason, with the status and the time to wait if the response has one
      */
-    static String refusalReason(HttpAnswer answer) {
+    static String refusalReason(BufferedHttpResponse answer) {
         String retryAfter = answer.header("Retry-After");
         return "the platform answered "
                 + answer.status()
--- a/protocol/src/main/java/org/sardinelift/protocol/Backoff.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/Backoff.java
@@ -17,9 +17,9 @@
         this.boundNanos = minNanos;
     }
 
-    static Backoff of(LinkTimings timings, RandomGenerator random) {
-        long min = Math.max(1, timings.reconnectMin().toNanos());
-        return new Backoff(min, Math.max(min, timings.reconnectMax().toNanos()), random);
+    static Backoff of(ConnectionTimings timings, RandomGenerator random) {
+        long min = Math.max(1, timings.minReconnectDelay().toNanos());
+        return new Backoff(min, Math.max(min, timings.maxReconnectDelay().toNanos()), random);
     }
 
     /** Random delay between half of a bound and the bound, which doubles with each call. */
--- a/protocol/src/main/java/org/sardinelift/protocol/ChannelConnection.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ChannelConnection.java
@@ -46,11 +46,11 @@
     static ChannelConnection ofOpener(
             Channel channel,
             Supplier<Hello> localHello,
-            LinkTimings timings,
+            ConnectionTimings timings,
             FrameListener listener) {
         HeartbeatMonitor monitor =
                 HeartbeatMonitor.ofOpener(
-                        timings.heartbeat(), timings.silence(), System.nanoTime());
+                        timings.heartbeatInterval(), timings.silenceTimeout(), System.nanoTime());
         return new ChannelConnection(channel, localHello, monitor, listener);
     }
 
@@ -58,10 +58,10 @@
     static ChannelConnection ofAcceptor(
             Channel channel,
             Supplier<Hello> localHello,
-            LinkTimings timings,
+            ConnectionTimings timings,
             FrameListener listener) {
         HeartbeatMonitor monitor =
-                HeartbeatMonitor.ofAcceptor(timings.silence(), System.nanoTime());
+                HeartbeatMonitor.ofAcceptor(timings.silenceTimeout(), System.nanoTime());
         return new ChannelConnection(channel, localHello, monitor, listener);
     }
 
@@ -115,7 +115,7 @@
         isClosing = true;
         if (isUp) {
             isUp = false;
-            listener.onDown(this, reason);
+            listener.onDisconnected(this, reason);
         }
     }
 
@@ -182,7 +182,7 @@
         }
         peer = hello;
         isUp = true;
-        listener.onUp(this);
+        listener.onConnected(this);
     }
 
     private void scheduleHeartbeatCheck() {
--- a/protocol/src/main/java/org/sardinelift/protocol/LinkTimings.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ConnectionTimings.java
@@ -8,10 +8,13 @@
  * @param heartbeat time between heartbeats, sent by the end that opened the connection
  * @param silence time without a byte after which a connection is closed
  * @param reconnectMin minimum backoff before a reconnect
- * @param reconnectMax maximum backoff before a reconnect
+ * @param maxReconnectDelay maximum backoff before a reconnect
  */
-public record LinkTimings(
-        Duration heartbeat, Duration silence, Duration reconnectMin, Duration reconnectMax) {
+public record ConnectionTimings(
+        Duration heartbeatInterval,
+        Duration silenceTimeout,
+        Duration minReconnectDelay,
+        Duration maxReconnectDelay) {
     private static final int DEFAULT_HEARTBEAT_MS = 750;
     private static final int DEFAULT_SILENCE_MS = 2_000;
     private static final int DEFAULT_RECONNECT_MIN_MS = 50;
@@ -22,8 +25,8 @@
      *
      * @return the default values
      */
-    public static LinkTimings defaults() {
-        return new LinkTimings(
+    public static ConnectionTimings defaults() {
+        return new ConnectionTimings(
                 Duration.ofMillis(DEFAULT_HEARTBEAT_MS),
                 Duration.ofMillis(DEFAULT_SILENCE_MS),
                 Duration.ofMillis(DEFAULT_RECONNECT_MIN_MS),
--- a/protocol/src/main/java/org/sardinelift/protocol/DecisionFrames.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/DecisionFrames.java
@@ -25,10 +25,10 @@
      * @param log its decisions
      * @return the frame to send back
      */
-    public static Frame answer(ExplainQuery query, String instance, DecisionLog log) {
+    public static Frame toResultFrame(ExplainQuery query, String instance, DecisionLog log) {
         String subject = query.getSubject();
         Set<String> names = subject == null || subject.isEmpty() ? Set.of() : Set.of(subject);
-        List<Decision> found = find(log, instance, names, query.getLimit());
+        List<Decision> found = findDecisions(log, instance, names, query.getLimit());
         return Frame.explainResult(new ExplainResult(query.getExchange(), found));
     }
 
@@ -41,7 +41,7 @@
      * @param limit maximum number of decisions; the newest are returned
      * @return the decisions, oldest first
      */
-    public static List<Decision> find(
+    public static List<Decision> findDecisions(
             DecisionLog log, String instance, Collection<String> names, int limit) {
         return log.find(names, Math.max(0, Math.min(MAX_DECISIONS, limit))).stream()
                 .map(record -> toDecision(instance, record))
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameLink.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameLink.java
@@ -49,7 +49,7 @@
             int port,
             @Nullable Supplier<SslContext> tls,
             Supplier<Hello> localHello,
-            LinkTimings timings,
+            ConnectionTimings timings,
             FrameListener listener) {
         return open(
                 group, host, port, tls, localHello, timings, ConnectionLimits.defaults(), listener);
@@ -74,7 +74,7 @@
             int port,
             @Nullable Supplier<SslContext> tls,
             Supplier<Hello> localHello,
-            LinkTimings timings,
+            ConnectionTimings timings,
             ConnectionLimits limits,
             FrameListener listener) {
         Backoff backoff = Backoff.of(timings, ThreadLocalRandom.current());
@@ -98,7 +98,7 @@
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                (int) timings.silence().toMillis())
+                                (int) timings.silenceTimeout().toMillis())
                         .handler(initializer)
                         .remoteAddress(host, port);
         FrameLink link = new FrameLink(group, bootstrap, backoff);
@@ -150,9 +150,9 @@
     private record BackoffResetListener(Backoff backoff, FrameListener listener)
             implements FrameListener {
         @Override
-        public void onUp(FrameConnection connection) {
+        public void onConnected(FrameConnection connection) {
             backoff.reset();
-            listener.onUp(connection);
+            listener.onConnected(connection);
         }
 
         @Override
@@ -161,8 +161,8 @@
         }
 
         @Override
-        public void onDown(FrameConnection connection, String reason) {
-            listener.onDown(connection, reason);
+        public void onDisconnected(FrameConnection connection, String reason) {
+            listener.onDisconnected(connection, reason);
         }
     }
 }
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameListener.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameListener.java
@@ -13,7 +13,7 @@
      *
      * @param connection the connection
      */
-    void onUp(FrameConnection connection);
+    void onConnected(FrameConnection connection);
 
     /**
      * Called when a frame has arrived, except hellos and heartbeats.
@@ -29,5 +29,5 @@
      * @param connection the connection
      * @param reason why it was closed
      */
-    void onDown(FrameConnection connection, String reason);
+    void onDisconnected(FrameConnection connection, String reason);
 }
--- a/protocol/src/main/java/org/sardinelift/protocol/FrameServer.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/FrameServer.java
@@ -49,7 +49,7 @@
             int port,
             @Nullable Supplier<SslContext> tls,
             Supplier<Hello> localHello,
-            LinkTimings timings,
+            ConnectionTimings timings,
             FrameListener listener)
             throws BindException {
         return start(
@@ -76,7 +76,7 @@
             int port,
             @Nullable Supplier<SslContext> tls,
             Supplier<Hello> localHello,
-            LinkTimings timings,
+            ConnectionTimings timings,
             ConnectionLimits limits,
             FrameListener listener)
             throws BindException {
--- a/protocol/src/main/java/org/sardinelift/protocol/ReportChannel.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ReportChannel.java
@@ -98,7 +98,7 @@
      * @param report the report
      * @return its bytes
      */
-    public byte[] bytes(PeerReport report) {
+    public byte[] serialize(PeerReport report) {
         try {
             return serializer.serialize(report);
         } catch (TException e) {
@@ -127,7 +127,7 @@
      * @param bytes its bytes
      * @return the report, or empty if the bytes are not a valid report
      */
-    public static Optional<PeerReport> read(byte[] bytes) {
+    public static Optional<PeerReport> deserialize(byte[] bytes) {
         PeerReport report = new PeerReport();
         try {
             new TDeserializer(new TCompactProtocol.Factory()).deserialize(report, bytes);
@@ -156,7 +156,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             byte[] bytes = ByteBufUtil.getBytes(packet.content());
-            read(bytes).ifPresent(report -> listener.onReport(report, bytes));
+            deserialize(bytes).ifPresent(report -> listener.onReport(report, bytes));
         }
 
         @Override
--- a/protocol/src/test/java/org/sardinelift/protocol/FrameLinkTest.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/FrameLinkTest.java
@@ -25,8 +25,8 @@
 import org.sardinelift.testkit.SilentRelay;
 
 class FrameLinkTest {
-    private static final LinkTimings TIMINGS =
-            new LinkTimings(
+    private static final ConnectionTimings TIMINGS =
+            new ConnectionTimings(
                     Duration.ofMillis(50),
                     Duration.ofMillis(400),
                     Duration.ofMillis(10),
@@ -86,7 +86,7 @@
     void heartbeatsKeepAnIdleConnectionOpen() {
         try (FrameLink link = link(bound.port())) {
             await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
-            await().during(TIMINGS.silence().multipliedBy(3))
+            await().during(TIMINGS.silenceTimeout().multipliedBy(3))
                     .until(() -> client.closeReasons.isEmpty() && server.closeReasons.isEmpty());
         }
     }
@@ -140,7 +140,7 @@
                     });
             loopPaused.await();
             client.opened.get(0).send(cancel(1));
-            await().pollDelay(TIMINGS.silence().multipliedBy(4))
+            await().pollDelay(TIMINGS.silenceTimeout().multipliedBy(4))
                     .until(() -> client.closeReasons.size() == 1);
             endPause.countDown();
             await().until(() -> server.closed.contains(stale) && client.opened.size() > 1);
--- a/protocol/src/test/java/org/sardinelift/protocol/Recorder.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/Recorder.java
@@ -12,7 +12,7 @@
     final List<FrameConnection> closed = new CopyOnWriteArrayList<>();
 
     @Override
-    public void onUp(FrameConnection connection) {
+    public void onConnected(FrameConnection connection) {
         opened.add(connection);
     }
 
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void onDown(FrameConnection connection, String reason) {
+    public void onDisconnected(FrameConnection connection, String reason) {
         closed.add(connection);
         closeReasons.add(reason);
     }
--- a/protocol/src/test/java/org/sardinelift/protocol/ReportChannelTest.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/ReportChannelTest.java
@@ -62,7 +62,7 @@
                 IntStream.range(0, 700)
                         .mapToObj(i -> new PeerAddress("gateway-" + i, "10.0.0." + i, 7360))
                         .toList());
-        byte[] bytes = sender.bytes(report);
+        byte[] bytes = sender.serialize(report);
         assertTrue(bytes.length > 10_000);
 
         send(bytes);
@@ -78,10 +78,10 @@
         report.setInstance("gateway-1");
 
         send(new byte[] {(byte) 0x5c, 1, 2});
-        send(sender.bytes(report));
+        send(sender.serialize(report));
 
         await().until(() -> received.size() == 1);
         assertEquals("gateway-1", received.get(0).getInstance());
-        assertTrue(ReportChannel.read(new byte[] {(byte) 0x5c, 1, 2}).isEmpty());
+        assertTrue(ReportChannel.deserialize(new byte[] {(byte) 0x5c, 1, 2}).isEmpty());
     }
 }
--- a/protocol/src/test/java/org/sardinelift/protocol/TlsLinkTest.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/TlsLinkTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.sardinelift.protocol.generated.Hello;
 import org.sardinelift.protocol.generated.Lane;
-import org.sardinelift.runtime.tls.TlsFiles;
+import org.sardinelift.runtime.tls.MutualTls;
 import org.sardinelift.runtime.tls.TlsSettings;
 
 class TlsLinkTest {
-    private static final LinkTimings TIMINGS =
-            new LinkTimings(
+    private static final ConnectionTimings TIMINGS =
+            new ConnectionTimings(
                     Duration.ofMillis(50),
                     Duration.ofSeconds(2),
                     Duration.ofMillis(10),
@@ -46,7 +46,7 @@
                         group,
                         "127.0.0.1",
                         0,
-                        files("first", "fleet-ca", "server").server(),
+                        files("first", "fleet-ca", "server").serverContexts(),
                         () -> hello("c1"),
                         TIMINGS,
                         server);
@@ -80,8 +80,8 @@
         }
     }
 
-    private TlsFiles files(String leaf, String trust, String to) throws IOException {
-        return TlsFiles.open(copy(leaf, trust, to));
+    private MutualTls files(String leaf, String trust, String to) throws IOException {
+        return MutualTls.open(copy(leaf, trust, to));
     }
 
     private FrameLink link(Supplier<SslContext> tls) {
@@ -91,14 +91,14 @@
 
     @Test
     void processesWithCertificatesOfOneAuthorityConnect() throws Exception {
-        try (FrameLink link = link(files("second", "fleet-ca", "client").client())) {
+        try (FrameLink link = link(files("second", "fleet-ca", "client").clientContexts())) {
             await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
         }
     }
 
     @Test
     void clientOfAnotherAuthorityIsRefused() throws Exception {
-        try (FrameLink link = link(files("stranger", "fleet-ca", "client").client())) {
+        try (FrameLink link = link(files("stranger", "fleet-ca", "client").clientContexts())) {
             await().during(Duration.ofMillis(500)).until(server.opened::isEmpty);
             assertTrue(client.opened.isEmpty());
         }
@@ -106,7 +106,7 @@
 
     @Test
     void serverOfAnotherAuthorityIsRefused() throws Exception {
-        try (FrameLink link = link(files("second", "other-ca", "client").client())) {
+        try (FrameLink link = link(files("second", "other-ca", "client").clientContexts())) {
             await().during(Duration.ofMillis(500)).until(server.opened::isEmpty);
             assertTrue(client.opened.isEmpty());
         }
@@ -122,7 +122,7 @@
 
     @Test
     void changedFilesApplyFromTheNextConnection() throws Exception {
-        try (FrameLink link = link(files("stranger", "fleet-ca", "client").client())) {
+        try (FrameLink link = link(files("stranger", "fleet-ca", "client").clientContexts())) {
             await().during(Duration.ofMillis(300)).until(server.opened::isEmpty);
             copy("second", "fleet-ca", "client");
             await().until(() -> server.opened.size() == 1);
@@ -132,10 +132,10 @@
     @Test
     void unreadableFilesFailTheStartAndAreIgnoredLater() throws Exception {
         TlsSettings settings = copy("second", "fleet-ca", "client");
-        TlsFiles files = TlsFiles.open(settings);
+        MutualTls files = MutualTls.open(settings);
         Files.writeString(settings.key(), "half a ke");
-        assertThrows(IOException.class, () -> TlsFiles.open(settings));
-        try (FrameLink link = link(files.client())) {
+        assertThrows(IOException.class, () -> MutualTls.open(settings));
+        try (FrameLink link = link(files.clientContexts())) {
             await().until(() -> server.opened.size() == 1);
         }
     }
--- a/runtime/src/main/java/org/sardinelift/runtime/ControlThread.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/ControlThread.java
@@ -87,14 +87,14 @@
      * @param period time between runs
      * @param task task to run
      */
-    public void repeat(Duration period, Runnable task) {
+    public void scheduleRepeatedly(Duration period, Runnable task) {
         schedule(
                 period,
                 () -> {
                     try {
                         task.run();
                     } finally {
-                        repeat(period, task);
+                        scheduleRepeatedly(period, task);
                     }
                 });
     }
--- a/runtime/src/main/java/org/sardinelift/runtime/OneShotTimer.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/OneShotTimer.java
@@ -33,7 +33,7 @@
      *
      * @param delay maximum delay from now
      */
-    public void within(Duration delay) {
+    public void scheduleWithin(Duration delay) {
         long due = System.nanoTime() + delay.toNanos();
         if (isSet && due - dueNanos >= 0) {
             return;
--- a/runtime/src/main/java/org/sardinelift/runtime/Telemetry.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/Telemetry.java
@@ -77,7 +77,7 @@
      * @param traceparent W3C trace context of the parent, empty for a new trace
      * @return the started span; the caller must end it
      */
-    public Span hop(String name, SpanKind kind, String traceparent) {
+    public Span startSpan(String name, SpanKind kind, String traceparent) {
         return tracer.spanBuilder(name).setSpanKind(kind).setParent(parse(traceparent)).startSpan();
     }
 
--- a/runtime/src/main/java/org/sardinelift/runtime/log/Event.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/LogEvent.java
@@ -4,13 +4,13 @@
 import org.tinylog.Logger;
 
 /** Builder of one structured log line: a named event with its values. */
-public final class Event {
+public final class LogEvent {
     /** Prefix of messages that are already JSON members; the writer adds them unquoted. */
     static final String JSON_MARKER = "\u0001";
 
     private final StringBuilder line = new StringBuilder(128);
 
-    private Event(String name) {
+    private LogEvent(String name) {
         line.append(JSON_MARKER).append(",\"event\":\"").append(name).append('"');
     }
 
@@ -20,8 +20,8 @@
      * @param name name of the event, such as {@code call.refused}
      * @return the line
      */
-    public static Event of(String name) {
-        return new Event(name);
+    public static LogEvent of(String name) {
+        return new LogEvent(name);
     }
 
     /**
@@ -31,7 +31,7 @@
      * @param value the value; null omits it
      * @return this line
      */
-    public Event with(String key, @Nullable String value) {
+    public LogEvent with(String key, @Nullable String value) {
         if (value != null) {
             appendKey(key);
             JsonText.append(line, value);
@@ -46,7 +46,7 @@
      * @param value the value
      * @return this line
      */
-    public Event with(String key, long value) {
+    public LogEvent with(String key, long value) {
         appendKey(key).append(value);
         return this;
     }
@@ -58,7 +58,7 @@
      * @param value the value
      * @return this line
      */
-    public Event with(String key, boolean value) {
+    public LogEvent with(String key, boolean value) {
         appendKey(key).append(value);
         return this;
     }
--- a/runtime/src/main/java/org/sardinelift/runtime/log/StructuredWriter.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/log/StructuredWriter.java
@@ -70,8 +70,8 @@
                 .append(entry.getLevel().name().toLowerCase(java.util.Locale.ROOT))
                 .append('"');
         String message = String.valueOf(entry.getMessage());
-        if (message.startsWith(Event.JSON_MARKER)) {
-            line.append(message, Event.JSON_MARKER.length(), message.length());
+        if (message.startsWith(LogEvent.JSON_MARKER)) {
+            line.append(message, LogEvent.JSON_MARKER.length(), message.length());
         } else {
             line.append(",\"event\":\"message\",\"text\":");
             JsonText.append(line, message);
--- a/runtime/src/main/java/org/sardinelift/runtime/tls/TlsFiles.java
+++ b/runtime/src/main/java/org/sardinelift/runtime/tls/MutualTls.java
@@ -12,14 +12,14 @@
  * trusted authorities, not by its address, since instances are replaced at any time. Changed files
  * are reloaded; while they can't be read, the certificates loaded last stay in use. Thread-safe.
  */
-public final class TlsFiles {
+public final class MutualTls {
     private static final String PROTOCOL = "TLSv1.3";
 
     private final FileBackedValue<Contexts> contexts;
 
     private record Contexts(SslContext server, SslContext client) {}
 
-    private TlsFiles(FileBackedValue<Contexts> contexts) {
+    private MutualTls(FileBackedValue<Contexts> contexts) {
         this.contexts = contexts;
     }
 
@@ -30,8 +30,8 @@
      * @return the loaded certificates
      * @throws IOException if a file can't be read or is not PEM; the message names the files
      */
-    public static TlsFiles open(TlsSettings settings) throws IOException {
-        return new TlsFiles(
+    public static MutualTls open(TlsSettings settings) throws IOException {
+        return new MutualTls(
                 FileBackedValue.open(
                         List.of(settings.certificate(), settings.key(), settings.trust()),
                         settings.recheckInterval(),
@@ -43,7 +43,7 @@
      *
      * @return supplies the current certificates for each new connection; clients need their own
      */
-    public Supplier<SslContext> server() {
+    public Supplier<SslContext> serverContexts() {
         return () -> contexts.current().server();
     }
 
@@ -52,7 +52,7 @@
      *
      * @return supplies the current certificates for each new connection
      */
-    public Supplier<SslContext> client() {
+    public Supplier<SslContext> clientContexts() {
         return () -> contexts.current().client();
     }
 
--- a/sardinectl/src/main/java/org/sardinelift/ctl/http/ApiClient.java
+++ b/sardinectl/src/main/java/org/sardinelift/ctl/http/ApiClient.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.sardinelift.http.HttpAnswer;
-import org.sardinelift.http.HttpAnswerListener;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
+import org.sardinelift.http.HttpCallException;
 import org.sardinelift.http.HttpClient;
-import org.sardinelift.http.HttpFailure;
+import org.sardinelift.http.HttpResponseListener;
 import org.sardinelift.objects.HttpObjectStore;
 import org.sardinelift.objects.ObjectStore;
 
@@ -71,7 +71,8 @@
     public CallResult call(
             Address address, String method, String uri, Map<String, String> headers, String body) {
         try {
-            HttpAnswer answer = client.call(request(address, method, uri, headers, body)).join();
+            BufferedHttpResponse answer =
+                    client.call(request(address, method, uri, headers, body)).join();
             return answer.status() < FIRST_ERROR_STATUS
                     ? new CallResult.Answered(answer.text())
                     : new CallResult.Refused(answer.status(), answer.text());
@@ -121,11 +122,11 @@
     }
 
     private static CallResult unanswered(Throwable cause) {
-        boolean mayHaveRun = !(cause instanceof HttpFailure failure) || failure.mayHaveRun();
+        boolean mayHaveRun = !(cause instanceof HttpCallException failure) || failure.mayHaveRun();
         return new CallResult.Unanswered(String.valueOf(cause.getMessage()), mayHaveRun);
     }
 
-    private static final class LineListener implements HttpAnswerListener {
+    private static final class LineListener implements HttpResponseListener {
         private final Consumer<String> onLine;
         private final CompletableFuture<CallResult> result;
         private final StringBuilder refusal = new StringBuilder();
--- a/sardinelift/src/main/java/org/sardinelift/server/ReloadSignal.java
+++ b/sardinelift/src/main/java/org/sardinelift/server/ReloadSignal.java
@@ -1,7 +1,7 @@
 package org.sardinelift.server;
 
 import java.nio.file.Path;
-import org.sardinelift.runtime.log.Event;
+import org.sardinelift.runtime.log.LogEvent;
 import org.sardinelift.settings.SettingsFile;
 import org.sardinelift.settings.SettingsResult;
 import sun.misc.Signal;
@@ -21,12 +21,12 @@
     private static void check(Path file) {
         SettingsResult<ServerSettings> result = SettingsFile.load(file, ServerSettings::read);
         if (result instanceof SettingsResult.Invalid<ServerSettings> invalid) {
-            Event.of("settings.unsound")
+            LogEvent.of("settings.unsound")
                     .with("file", file.toString())
                     .with("first_error", invalid.errors().get(0).toString())
                     .error();
         } else {
-            Event.of("settings.checked").with("file", file.toString()).info();
+            LogEvent.of("settings.checked").with("file", file.toString()).info();
         }
     }
 }
--- a/standins/src/main/java/org/sardinelift/standins/cli/AdminCommand.java
+++ b/standins/src/main/java/org/sardinelift/standins/cli/AdminCommand.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletionException;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.standins.EventLoops;
@@ -54,7 +54,8 @@
                         REQUEST_TIMEOUT);
         EventLoopGroup group = EventLoops.start("admin", 1);
         try {
-            HttpAnswer answer = HttpClient.create(group, REQUEST_TIMEOUT, null).call(call).join();
+            BufferedHttpResponse answer =
+                    HttpClient.create(group, REQUEST_TIMEOUT, null).call(call).join();
             System.out.println(answer.text());
             return answer.status() < FIRST_ERROR_STATUS ? 0 : 1;
         } catch (CompletionException e) {
--- a/standins/src/main/java/org/sardinelift/standins/engine/DecodeLoop.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/DecodeLoop.java
@@ -51,7 +51,7 @@
                     System.nanoTime() + uncached * options.prefillPerToken().toNanos());
             active.put(id, generation);
         }
-        exchange.onClose(() -> onReaderClosed(id, exchange));
+        exchange.addCloseListener(() -> onReaderClosed(id, exchange));
         LockSupport.unpark(thread);
     }
 
@@ -95,7 +95,7 @@
                 active.put(id, kept);
             }
         }
-        exchange.onClose(() -> onReaderClosed(id, exchange));
+        exchange.addCloseListener(() -> onReaderClosed(id, exchange));
         LockSupport.unpark(thread);
         return Optional.of(offset);
     }
--- a/standins/src/main/java/org/sardinelift/standins/engine/Generation.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/Generation.java
@@ -109,7 +109,7 @@
     }
 
     private void startResponse(HttpExchange exchange) {
-        if (!exchange.started()) {
+        if (!exchange.isStarted()) {
             exchange.start(200, java.util.Map.of("content-type", form.contentType()));
         }
     }
--- a/standins/src/test/java/org/sardinelift/standins/engine/EngineStandinTest.java
+++ b/standins/src/test/java/org/sardinelift/standins/engine/EngineStandinTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.http.HttpAnswer;
-import org.sardinelift.http.HttpAnswerListener;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
+import org.sardinelift.http.HttpResponseListener;
 import org.sardinelift.standins.EventLoops;
 import org.sardinelift.standins.Json;
 
@@ -52,8 +52,8 @@
     @Test
     void streamedAndWholeAnswersHaveTheSameText() {
         String expected = EngineText.answer(PROMPT, 12);
-        HttpAnswer whole = post("/v1/chat/completions", "r1", chat(12, false));
-        HttpAnswer stream = post("/v1/chat/completions", "r2", chat(12, true));
+        BufferedHttpResponse whole = post("/v1/chat/completions", "r1", chat(12, false));
+        BufferedHttpResponse stream = post("/v1/chat/completions", "r2", chat(12, true));
         JsonNode body = Json.parse(whole.text());
         assertEquals(expected, body.at("/choices/0/message/content").asText());
         assertEquals(12, body.at("/usage/completion_tokens").asInt());
@@ -78,7 +78,7 @@
         synchronized (first) {
             received = first.toByteArray();
         }
-        HttpAnswer rest = post("/resume/r3?offset=" + received.length, "r3", "");
+        BufferedHttpResponse rest = post("/resume/r3?offset=" + received.length, "r3", "");
         assertEquals(
                 EngineText.answer(PROMPT, 400),
                 streamedText(new String(received, StandardCharsets.UTF_8) + rest.text()));
@@ -176,7 +176,7 @@
                 .join();
     }
 
-    private HttpAnswer post(String uri, String id, String body) {
+    private BufferedHttpResponse post(String uri, String id, String body) {
         return client.call(call("POST", uri, id, body)).join();
     }
 
@@ -219,7 +219,7 @@
         }
     }
 
-    private record CollectingListener(ByteArrayOutputStream bytes) implements HttpAnswerListener {
+    private record CollectingListener(ByteArrayOutputStream bytes) implements HttpResponseListener {
         @Override
         public void onHead(int status, List<Map.Entry<String, String>> headers) {}
 
--- a/standins/src/test/java/org/sardinelift/standins/plain/PlainStandinTest.java
+++ b/standins/src/test/java/org/sardinelift/standins/plain/PlainStandinTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.sardinelift.http.HttpAnswer;
+import org.sardinelift.http.BufferedHttpResponse;
 import org.sardinelift.http.HttpCall;
 import org.sardinelift.http.HttpClient;
 import org.sardinelift.standins.EventLoops;
@@ -54,7 +54,7 @@
         }
     }
 
-    private HttpAnswer send(PlainStandin service, String effect, String body) {
+    private BufferedHttpResponse send(PlainStandin service, String effect, String body) {
         return client.call(
                         HttpCall.of(
                                 "127.0.0.1",
