--- a/objects/src/main/java/org/sardinelift/objects/kinds/ConfigCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/ConfigCodec.java
@@ -47,9 +47,9 @@
     public static DecodeResult<ConfigItem> decode(ConfigRef ref, String json) {
         Function<SettingsNode, ConfigItem> reader = node -> item(ref, node);
         SettingsResult<ConfigItem> result = SettingsFile.parse(json, reader);
-        if (result instanceof SettingsResult.Invalid<ConfigItem> unsound) {
+        if (result instanceof SettingsResult.Invalid<ConfigItem> invalid) {
             return new DecodeResult.Invalid<>(
-                    unsound.errors().stream()
+                    invalid.errors().stream()
                             .map(
                                     error ->
                                             new ConfigProblem(
@@ -131,8 +131,9 @@
     private static TeamTemplate template(String name, SettingsNode node) {
         return new TeamTemplate(
                 name,
-                number(node, "ratePerSecond").orElseGet(() -> missing(node, "ratePerSecond")),
-                burst(node).orElseGet(() -> missing(node, "burst")),
+                number(node, "ratePerSecond")
+                        .orElseGet(() -> addMissingError(node, "ratePerSecond")),
+                burst(node).orElseGet(() -> addMissingError(node, "burst")),
                 Set.copyOf(node.texts("models")),
                 Set.copyOf(node.texts("services")),
                 node.integer("onlineWeight", 1, 1, MAX_WEIGHT),
@@ -178,7 +179,7 @@
                 : Optional.empty();
     }
 
-    private static double missing(SettingsNode node, String field) {
+    private static double addMissingError(SettingsNode node, String field) {
         node.addError(field, "a number from 0", "nothing", "Set it.");
         return 0;
     }
--- a/objects/src/main/java/org/sardinelift/objects/kinds/RolloutCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/RolloutCodec.java
@@ -209,15 +209,15 @@
     }
 
     private static <T> DecodeResult<T> parse(
-            String where, String json, Function<SettingsNode, T> reader) {
+            String objectPath, String json, Function<SettingsNode, T> reader) {
         SettingsResult<T> result = SettingsFile.parse(json, reader);
-        if (result instanceof SettingsResult.Invalid<T> unsound) {
+        if (result instanceof SettingsResult.Invalid<T> invalid) {
             List<ConfigProblem> problems =
-                    unsound.errors().stream()
+                    invalid.errors().stream()
                             .map(
                                     error ->
                                             new ConfigProblem(
-                                                    where + error.path(),
+                                                    objectPath + error.path(),
                                                     error.expected(),
                                                     error.found(),
                                                     error.remedy()))
--- a/objects/src/main/java/org/sardinelift/objects/kinds/SharesCodec.java
+++ b/objects/src/main/java/org/sardinelift/objects/kinds/SharesCodec.java
@@ -57,9 +57,9 @@
      */
     public static DecodeResult<Shares> decode(String json) {
         SettingsResult<Value> result = SettingsFile.parse(json, Value::read);
-        if (result instanceof SettingsResult.Invalid<Value> unsound) {
+        if (result instanceof SettingsResult.Invalid<Value> invalid) {
             return new DecodeResult.Invalid<>(
-                    unsound.errors().stream()
+                    invalid.errors().stream()
                             .map(
                                     error ->
                                             new ConfigProblem(
@@ -71,10 +71,10 @@
         }
         Value value = ((SettingsResult.Valid<Value>) result).settings();
         if (value.total() != Shares.TOTAL_UNITS) {
-            return unsound("", Shares.TOTAL_UNITS + " units in all", value.total() + " units");
+            return invalid("", Shares.TOTAL_UNITS + " units in all", value.total() + " units");
         }
         if (value.fresh() > value.pool()) {
-            return unsound(
+            return invalid(
                     "/fresh",
                     "at most the " + value.pool() + " units of the pool",
                     value.fresh() + " units");
@@ -82,7 +82,7 @@
         return new DecodeResult.Valid<>(value.shares());
     }
 
-    private static DecodeResult<Shares> unsound(String path, String expected, String found) {
+    private static DecodeResult<Shares> invalid(String path, String expected, String found) {
         return new DecodeResult.Invalid<>(
                 List.of(new ConfigProblem("shares/limits" + path, expected, found, REMEDY)));
     }
--- a/objects/src/test/java/org/sardinelift/objects/kinds/ConfigCodecTest.java
+++ b/objects/src/test/java/org/sardinelift/objects/kinds/ConfigCodecTest.java
@@ -50,12 +50,12 @@
                 ConfigCodec.decode(
                         new ConfigRef(ConfigKind.TEMPLATE, "standard"),
                         "{\"burst\": \"many\", \"colour\": 1}");
-        DecodeResult.Invalid<?> unsound = assertInstanceOf(DecodeResult.Invalid.class, result);
+        DecodeResult.Invalid<?> invalid = assertInstanceOf(DecodeResult.Invalid.class, result);
         assertEquals(
                 List.of(
                         "template/standard/burst",
                         "template/standard/colour",
                         "template/standard/ratePerSecond"),
-                unsound.problems().stream().map(ConfigProblem::path).sorted().toList());
+                invalid.problems().stream().map(ConfigProblem::path).sorted().toList());
     }
 }
