--- a/http/src/main/java/org/sardinelift/http/HttpCall.java
+++ b/http/src/main/java/org/sardinelift/http/HttpCall.java
@@ -13,7 +13,7 @@
  * @param uri path and query
  * @param headers request headers in order; content-length is added, and host if absent
  * @param body body bytes, empty for none
- * @param silence maximum time without any byte of the response before the call fails
+ * @param silenceTimeout maximum time without any byte of the response before the call fails
  * @param needsFreshConnection whether a new connection must be used, since the peer may be about to
  *     close an idle one
  */
--- a/protocol/src/main/java/org/sardinelift/protocol/ConnectionTimings.java
+++ b/protocol/src/main/java/org/sardinelift/protocol/ConnectionTimings.java
@@ -5,9 +5,9 @@
 /**
  * Intervals and timeouts of a connection between two processes.
  *
- * @param heartbeat time between heartbeats, sent by the end that opened the connection
- * @param silence time without a byte after which a connection is closed
- * @param reconnectMin minimum backoff before a reconnect
+ * @param heartbeatInterval time between heartbeats, sent by the end that opened the connection
+ * @param silenceTimeout time without a byte after which a connection is closed
+ * @param minReconnectDelay minimum backoff before a reconnect
  * @param maxReconnectDelay maximum backoff before a reconnect
  */
 public record ConnectionTimings(
