--- a/companion/src/test/java/org/sardinelift/companion/SilentPathTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/SilentPathTest.java
@@ -53,7 +53,7 @@
         rig.target.startResponse("r1");
         rig.target.writeData("r1", "abc");
         await().until(() -> entry.bodyOf("r1").equals("abc"));
-        relay.silenceToClient();
+        relay.stopForwardingToClient();
         rig.target.writeData("r1", "def");
         awaitNewConnection();
         entry.query("r1", 3);
@@ -67,7 +67,7 @@
 
     @Test
     void startFrameLostOnTheWayCountsAsNotStarted() {
-        relay.silenceToServer();
+        relay.stopForwardingToServer();
         entry.start(FakeEntry.call("r1", Lane.ONLINE).setIdempotent(false));
         awaitNewConnection();
         entry.query("r1", 0);
--- a/companion/src/test/java/org/sardinelift/companion/order/OrderGuardTest.java
+++ b/companion/src/test/java/org/sardinelift/companion/order/OrderGuardTest.java
@@ -56,11 +56,11 @@
 
     @Test
     void noOrderIsExecutedWhileThePlatformIsUnavailable() {
-        store.down(true);
+        store.setDown(true);
         assertFalse(submit(guard(), 7));
         assertTrue(executed.isEmpty());
         assertFalse(results.get(0).isPassedOn());
-        store.down(false);
+        store.setDown(false);
         assertTrue(submit(guard(), 7));
         assertTrue(results.get(1).isPassedOn());
     }
@@ -69,7 +69,7 @@
     void staleReadDoesNotLetAnOldOrderThrough() {
         submit(guard(), 7);
         submit(guard(), 9);
-        store.stale(true);
+        store.setStaleReads(true);
         assertFalse(submit(guard(), 8));
         assertEquals(List.of(7L, 9L), executed);
     }
--- a/entry/src/test/java/org/sardinelift/entry/IdempotencyTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/IdempotencyTest.java
@@ -84,7 +84,7 @@
     @Test
     void withoutThePlatformTheCallIsNotRun() throws Exception {
         EntryProcess entry = fixture.startEntry("e1");
-        fixture.platform.down(true);
+        fixture.platform.setDown(true);
 
         BufferedHttpResponse answer = sendFine(entry, "{}").get(20, TimeUnit.SECONDS);
 
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchFailureTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchFailureTest.java
@@ -152,7 +152,7 @@
         String id = submitAccepted(nodes.get(0), Fleet.chatLines(1_000));
         fleet.advance(Duration.ofMillis(900));
         int before = fleet.dispatcher().calls().size();
-        store.down(true);
+        store.setDown(true);
         fleet.advance(Duration.ofMinutes(5));
         AtomicReference<Reply> refused = fleet.submit(nodes.get(0), "night", Fleet.chatLines(2));
         fleet.advance(Duration.ofMinutes(5));
@@ -162,7 +162,7 @@
         assertEquals("platform_unavailable", refused.get().body().path("kind").asText());
         assertEquals("not_run", refused.get().body().path("outcome").asText());
         assertTrue(refused.get().retryAfter().isPresent());
-        store.down(false);
+        store.setDown(false);
         fleet.advance(Duration.ofMinutes(2));
         assertEquals(1_000, count(nodes.get(0), id, "completed"));
         assertEquals(1_000, fleet.dispatcher().calls().size(), "items were run again");
--- a/entry/src/test/java/org/sardinelift/entry/batch/BatchFaultsTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/BatchFaultsTest.java
@@ -162,7 +162,7 @@
 
         private void setPlatformDown(boolean down) {
             isDown = down;
-            store.down(down);
+            store.setDown(down);
         }
 
         private void recordCancelConfirmed(String id) {
@@ -182,13 +182,13 @@
         }
 
         List<String> results(String id) {
-            store.down(false);
+            store.setDown(false);
             Fleet reading = new Fleet();
             Fleet.Node reader =
                     reading.start("reader", new ReadOnlyStore(store), BatchSettings.defaults());
             Fleet.StringSink sink = reading.results(reader, id);
             reading.advance(Duration.ofSeconds(2));
-            store.down(isDown);
+            store.setDown(isDown);
             return sink.lines();
         }
 
--- a/entry/src/test/java/org/sardinelift/entry/batch/FaultyStore.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/FaultyStore.java
@@ -82,9 +82,9 @@
                         pinnedReads--;
                         return pinnedResult;
                     }
-                    store.stale(drawFault());
+                    store.setStaleReads(drawFault());
                     ReadResult result = store.read(key).join();
-                    store.stale(false);
+                    store.setStaleReads(false);
                     return result;
                 });
     }
--- a/entry/src/test/java/org/sardinelift/entry/batch/FolderCacheTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/batch/FolderCacheTest.java
@@ -76,9 +76,9 @@
         platform.write(CHUNK, ObjectStore.ABSENT_VERSION, "a\nb").join();
         CachedObjectStore store = new CachedObjectStore(platform, cache(1_000), Runnable::run);
         assertTrue(store.read(CHUNK).join() instanceof ReadResult.Found);
-        platform.down(true);
+        platform.setDown(true);
         assertTrue(store.read(CHUNK).join() instanceof ReadResult.Found);
-        platform.down(false);
+        platform.setDown(false);
         eachFile(file -> file.toFile().delete());
         Files.delete(folder());
         assertTrue(store.read(CHUNK).join() instanceof ReadResult.Found);
--- a/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/ConfigControllerTest.java
@@ -48,11 +48,11 @@
 
     @Test
     void isNotReadyBeforeThePlatformAnswersAndListsAgainAfterAGap() {
-        store.down(true);
+        store.setDown(true);
         config.start(() -> true);
         await().until(() -> store.calls() >= 2);
         assertFalse(config.isReady());
-        store.down(false);
+        store.setDown(false);
         await().until(config::isReady);
         put(new KeyEntry("k1", "north", "00ff", false), 0);
         store.compact();
--- a/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/control/FleetLimiterTest.java
@@ -61,7 +61,7 @@
 
     @Test
     void anEntryWithoutPlatformAndPeersRefusesRequests() {
-        store.down(true);
+        store.setDown(true);
         start("e1");
         Admission.Refused refused = assertInstanceOf(Admission.Refused.class, admit("e1"));
         assertEquals(1, Long.signum(refused.retryAfter().toNanos()));
@@ -77,7 +77,7 @@
 
     @Test
     void leaveCompletesWhileThePlatformIsDown() throws Exception {
-        store.down(true);
+        store.setDown(true);
         start("e1");
         limiters.get("e1").leave().get(20, TimeUnit.SECONDS);
     }
@@ -95,7 +95,7 @@
         start("e1");
         await().atMost(20, TimeUnit.SECONDS)
                 .until(() -> unitsOf("e1") >= Shares.TOTAL_UNITS * 2 / 3);
-        store.down(true);
+        store.setDown(true);
 
         start("e2");
         await().until(() -> admit("e2") instanceof Admission.Admitted);
--- a/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
+++ b/entry/src/test/java/org/sardinelift/entry/order/OrderControllerTest.java
@@ -166,10 +166,10 @@
         OrderController only = createController("e1");
         writeSpec("a", 0);
         poll(1, only);
-        platform.down(true);
+        platform.setDown(true);
         poll(20, only);
         assertTrue(senders.isEmpty());
-        platform.down(false);
+        platform.setDown(false);
         platform.loseAnswers(3);
         poll(60, only);
         assertEquals(RolloutPhase.COMPLETED, state().phase());
--- a/protocol/src/test/java/org/sardinelift/protocol/FrameLinkTest.java
+++ b/protocol/src/test/java/org/sardinelift/protocol/FrameLinkTest.java
@@ -96,7 +96,7 @@
         try (SilentRelay relay = SilentRelay.start(bound.port());
                 FrameLink link = link(relay.port())) {
             await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
-            relay.silenceToServer();
+            relay.stopForwardingToServer();
             await().until(() -> client.opened.size() == 2 && server.opened.size() == 2);
             assertEquals(1, client.closeReasons.size());
             await().until(() -> server.closeReasons.size() == 1);
@@ -111,7 +111,7 @@
         try (SilentRelay relay = SilentRelay.start(bound.port());
                 FrameLink link = link(relay.port())) {
             await().until(() -> client.opened.size() == 1 && server.opened.size() == 1);
-            relay.silenceToClient();
+            relay.stopForwardingToClient();
             await().until(() -> client.opened.size() == 2 && server.closeReasons.size() == 1);
         }
     }
--- a/sardinectl/src/test/java/org/sardinelift/ctl/RolloutCommandsTest.java
+++ b/sardinectl/src/test/java/org/sardinelift/ctl/RolloutCommandsTest.java
@@ -71,7 +71,7 @@
 
     @Test
     void aStartWhoseAnswerIsLostSucceedsAndAnOutageIsReported() {
-        platform.faults(Faults.parse("{\"loseAnswers\":1}"));
+        platform.setFaults(Faults.parse("{\"loseAnswers\":1}"));
         assertEquals(ExitCode.OK, startRollout("registry", "m").code());
         platform.close();
         assertEquals(ExitCode.UNREACHABLE, startRollout("registry", "m").code());
--- a/sardinectl/src/test/java/org/sardinelift/ctl/SardinectlTest.java
+++ b/sardinectl/src/test/java/org/sardinelift/ctl/SardinectlTest.java
@@ -69,7 +69,7 @@
 
     @Test
     void anApplyWhoseAnswersAreLostWritesOnce() {
-        platform.faults(Faults.parse("{\"loseAnswers\":2}"));
+        platform.setFaults(Faults.parse("{\"loseAnswers\":2}"));
         assertEquals(ExitCode.OK, run(FILE.formatted(20), "apply", "-f", "-").code());
         JsonNode objects = run("", "get").json().path("objects");
         assertEquals(List.of("1", "1"), objects.findValuesAsText("version"));
@@ -177,7 +177,7 @@
                             "--key",
                             "sl_a_b");
             assertEquals(
-                    EngineText.answer("user: Ūdens?", 7), result.json().path("answer").asText());
+                    EngineText.generate("user: Ūdens?", 7), result.json().path("answer").asText());
         }
     }
 
--- a/sardinectl/src/test/java/org/sardinelift/ctl/config/ConfigWriterTest.java
+++ b/sardinectl/src/test/java/org/sardinelift/ctl/config/ConfigWriterTest.java
@@ -103,9 +103,9 @@
     }
 
     private static void set(FakeObjectStore store, Fault fault) {
-        store.down(fault == Fault.DOWN);
+        store.setDown(fault == Fault.DOWN);
         store.loseAnswers(fault == Fault.ANSWER_LOST ? 1 : 0);
-        store.dropWrites(fault == Fault.WRITE_LOST ? 1 : 0);
+        store.loseRequests(fault == Fault.WRITE_LOST ? 1 : 0);
     }
 
     private static Optional<StoredObject> read(FakeObjectStore store) {
--- a/standins/src/main/java/org/sardinelift/standins/engine/EngineText.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/EngineText.java
@@ -19,7 +19,7 @@
      * @param tokens number of tokens
      * @return the text of that many tokens
      */
-    public static String answer(String prompt, int tokens) {
+    public static String generate(String prompt, int tokens) {
         long seed = seed(prompt);
         return IntStream.range(0, tokens)
                 .mapToObj(index -> token(seed, index))
--- a/standins/src/main/java/org/sardinelift/standins/engine/Generation.java
+++ b/standins/src/main/java/org/sardinelift/standins/engine/Generation.java
@@ -62,7 +62,7 @@
         produced++;
         append(form.encodeToken(id, prompt, token, produced));
         if (produced >= prompt.maxTokens()) {
-            append(form.encodeEnd(id, prompt, EngineText.answer(prompt.text(), produced)));
+            append(form.encodeEnd(id, prompt, EngineText.generate(prompt.text(), produced)));
             finished = true;
             if (reader != null) {
                 reader.end();
--- a/standins/src/main/java/org/sardinelift/standins/platform/PlatformStandin.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/PlatformStandin.java
@@ -32,7 +32,7 @@
     private final RateLimit writes;
     private final RateLimit reads;
     private final HttpServer server;
-    private volatile Faults faults = Faults.none();
+    private volatile Faults setFaults = Faults.none();
 
     private PlatformStandin(PlatformOptions options) throws BindException {
         this.options = options;
@@ -75,8 +75,8 @@
      *
      * @param next the faults from now on
      */
-    public void faults(Faults next) {
-        faults = next;
+    public void setFaults(Faults next) {
+        setFaults = next;
     }
 
     /** Discards the history of changes, so that a watch from an older revision reports a gap. */
@@ -115,7 +115,7 @@
 
     /** Handles a call as the outage in force demands; returns false if there is none. */
     private boolean respondAsOutage(HttpExchange exchange) {
-        Faults now = faults;
+        Faults now = setFaults;
         if (now.down()) {
             exchange.abort();
         } else if (now.refuse()) {
@@ -132,7 +132,7 @@
         }
         api.apply(
                 operation,
-                faults.staleReads(),
+                setFaults.staleReads(),
                 result -> {
                     if (operation.type().isChange() && consumeLostAnswer()) {
                         exchange.abort();
@@ -144,7 +144,7 @@
     }
 
     private void answer(HttpExchange exchange, ApiResponse result) {
-        int slowMs = faults.slowMs();
+        int slowMs = setFaults.slowMs();
         if (slowMs == 0) {
             result.sendTo(exchange);
             return;
@@ -153,18 +153,18 @@
     }
 
     private synchronized boolean consumeLostRequest() {
-        if (faults.loseRequests() <= 0) {
+        if (setFaults.loseRequests() <= 0) {
             return false;
         }
-        faults = faults.afterLosingRequest();
+        setFaults = setFaults.afterLosingRequest();
         return true;
     }
 
     private synchronized boolean consumeLostAnswer() {
-        if (faults.loseAnswers() <= 0) {
+        if (setFaults.loseAnswers() <= 0) {
             return false;
         }
-        faults = faults.afterLosingAnswer();
+        setFaults = setFaults.afterLosingAnswer();
         return true;
     }
 
@@ -183,7 +183,7 @@
             return;
         }
         synchronized (this) {
-            faults = faults.with(change);
+            setFaults = setFaults.with(change);
         }
         if (change.path("gap").asBoolean()) {
             api.compact();
--- a/standins/src/test/java/org/sardinelift/standins/engine/EngineStandinTest.java
+++ b/standins/src/test/java/org/sardinelift/standins/engine/EngineStandinTest.java
@@ -51,7 +51,7 @@
 
     @Test
     void streamedAndWholeAnswersHaveTheSameText() {
-        String expected = EngineText.answer(PROMPT, 12);
+        String expected = EngineText.generate(PROMPT, 12);
         BufferedHttpResponse whole = post("/v1/chat/completions", "r1", chat(12, false));
         BufferedHttpResponse stream = post("/v1/chat/completions", "r2", chat(12, true));
         JsonNode body = Json.parse(whole.text());
@@ -80,7 +80,7 @@
         }
         BufferedHttpResponse rest = post("/resume/r3?offset=" + received.length, "r3", "");
         assertEquals(
-                EngineText.answer(PROMPT, 400),
+                EngineText.generate(PROMPT, 400),
                 streamedText(new String(received, StandardCharsets.UTF_8) + rest.text()));
         assertEquals(400, engine.counters().path("tokens").asLong());
         assertTrue(tokens < 400);
@@ -153,7 +153,7 @@
                         .stream()
                         .map(answer -> answer.join().text())
                         .toList();
-        assertTrue(answers.stream().allMatch(text -> text.contains(EngineText.answer("x", 40))));
+        assertTrue(answers.stream().allMatch(text -> text.contains(EngineText.generate("x", 40))));
         return engine.counters().path("mostRunning").asInt();
     }
 
--- a/standins/src/test/java/org/sardinelift/standins/platform/HttpObjectStoreTest.java
+++ b/standins/src/test/java/org/sardinelift/standins/platform/HttpObjectStoreTest.java
@@ -78,7 +78,7 @@
 
     @Test
     void aLostAnswerIsUnclearThoughTheWriteTookEffect() {
-        platform.faults(Faults.parse("{\"loseAnswers\":1}"));
+        platform.setFaults(Faults.parse("{\"loseAnswers\":1}"));
         assertInstanceOf(WriteResult.Unclear.class, store.write(TEAM, 0, "a").join());
         assertInstanceOf(ReadResult.Found.class, store.read(TEAM).join());
         assertEquals(new WriteResult.Conflict(1), store.write(TEAM, 0, "a").join());
@@ -86,18 +86,18 @@
 
     @Test
     void aCutConnectionIsUnclearAndARefusalIsNotWritten() {
-        platform.faults(Faults.parse("{\"down\":true}"));
+        platform.setFaults(Faults.parse("{\"down\":true}"));
         assertInstanceOf(WriteResult.Unclear.class, store.write(TEAM, 0, "a").join());
         assertInstanceOf(ReadResult.Unavailable.class, store.read(TEAM).join());
-        platform.faults(Faults.parse("{\"refuse\":true}"));
+        platform.setFaults(Faults.parse("{\"refuse\":true}"));
         assertInstanceOf(WriteResult.NotWritten.class, store.write(TEAM, 0, "a").join());
-        platform.faults(Faults.none());
+        platform.setFaults(Faults.none());
         assertEquals(new ReadResult.Absent(0), store.read(TEAM).join());
     }
 
     @Test
     void aLostRequestIsUnclearAndHadNoEffect() {
-        platform.faults(Faults.parse("{\"loseRequests\":1}"));
+        platform.setFaults(Faults.parse("{\"loseRequests\":1}"));
         assertInstanceOf(WriteResult.Unclear.class, store.write(TEAM, 0, "a").join());
         assertEquals(new WriteResult.Written(1, 1), store.write(TEAM, 0, "a").join());
     }
@@ -107,17 +107,17 @@
         CompletableFuture<WatchResult> watch =
                 store.watch(Set.of("team"), 0, Duration.ofMillis(1_500));
         await().until(() -> calls().contains("watch"));
-        platform.faults(Faults.parse("{\"down\":true}"));
+        platform.setFaults(Faults.parse("{\"down\":true}"));
         assertInstanceOf(WatchResult.Unavailable.class, watch.join());
     }
 
     @Test
     void aSilentPlatformLeavesAWriteUnclear() {
-        platform.faults(Faults.parse("{\"silent\":true}"));
+        platform.setFaults(Faults.parse("{\"silent\":true}"));
         ObjectStore shortTimeoutStore = connect(platform.port(), Duration.ofMillis(100));
         assertInstanceOf(WriteResult.Unclear.class, shortTimeoutStore.write(TEAM, 0, "a").join());
         assertInstanceOf(ReadResult.Unavailable.class, shortTimeoutStore.read(TEAM).join());
-        platform.faults(Faults.none());
+        platform.setFaults(Faults.none());
         assertEquals(new ReadResult.Absent(0), store.read(TEAM).join());
     }
 
@@ -132,7 +132,7 @@
     void staleReadsReturnThePreviousVersion() {
         store.write(TEAM, 0, "a").join();
         store.write(TEAM, 1, "b").join();
-        platform.faults(Faults.parse("{\"staleReads\":true}"));
+        platform.setFaults(Faults.parse("{\"staleReads\":true}"));
         assertEquals("a", ((ReadResult.Found) store.read(TEAM).join()).object().value());
         ListResult.Listed listed = (ListResult.Listed) store.list("team", "").join();
         assertEquals("a", listed.objects().get(0).value());
@@ -141,10 +141,10 @@
 
     @Test
     void anAnswerThatComesTooLateLeavesAWriteUnclear() {
-        platform.faults(Faults.parse("{\"slowMs\":2000}"));
+        platform.setFaults(Faults.parse("{\"slowMs\":2000}"));
         ObjectStore shortTimeoutStore = connect(platform.port(), Duration.ofMillis(100));
         assertInstanceOf(WriteResult.Unclear.class, shortTimeoutStore.write(TEAM, 0, "a").join());
-        platform.faults(Faults.none());
+        platform.setFaults(Faults.none());
         await().until(() -> store.read(TEAM).join() instanceof ReadResult.Found);
     }
 
--- a/system-tests/src/test/java/org/sardinelift/system/OnlineFailureTest.java
+++ b/system-tests/src/test/java/org/sardinelift/system/OnlineFailureTest.java
@@ -96,8 +96,8 @@
         fleet.awaitServing();
         Streams streams = openStreams("entry-1", STREAMS, 150);
 
-        relay.silenceToServer();
-        relay.silenceToClient();
+        relay.stopForwardingToServer();
+        relay.stopForwardingToClient();
 
         assertComplete(streams, 150);
     }
--- a/testkit/src/main/java/org/sardinelift/testkit/FakeObjectStore.java
+++ b/testkit/src/main/java/org/sardinelift/testkit/FakeObjectStore.java
@@ -30,8 +30,8 @@
     private List<InstancesResult.Instance> listed = List.of();
     private long revision;
     private long compactedRevision;
-    private boolean down;
-    private boolean stale;
+    private boolean setDown;
+    private boolean setStaleReads;
     private int answersToLose;
     private int writesToDrop;
     private int calls;
@@ -41,8 +41,8 @@
      *
      * @param isDown whether all following calls fail
      */
-    public synchronized void down(boolean isDown) {
-        down = isDown;
+    public synchronized void setDown(boolean isDown) {
+        setDown = isDown;
     }
 
     /**
@@ -50,8 +50,8 @@
      *
      * @param isStale whether following reads return the version before the newest
      */
-    public synchronized void stale(boolean isStale) {
-        stale = isStale;
+    public synchronized void setStaleReads(boolean isStale) {
+        setStaleReads = isStale;
     }
 
     /**
@@ -68,7 +68,7 @@
      *
      * @param count number of writes
      */
-    public synchronized void dropWrites(int count) {
+    public synchronized void loseRequests(int count) {
         writesToDrop = count;
     }
 
@@ -108,12 +108,12 @@
     @Override
     public synchronized CompletableFuture<ReadResult> read(ObjectKey key) {
         calls++;
-        if (down) {
+        if (setDown) {
             return completed(new ReadResult.Unavailable("the platform is down"));
         }
         String id = id(key);
         StoredObject object =
-                stale && previous.containsKey(id) ? previous.get(id) : objects.get(id);
+                setStaleReads && previous.containsKey(id) ? previous.get(id) : objects.get(id);
         return completed(
                 object == null ? new ReadResult.Absent(revision) : new ReadResult.Found(object));
     }
@@ -131,7 +131,7 @@
     private synchronized CompletableFuture<WriteResult> change(
             ObjectKey key, long expected, Function<Long, StoredObject> next) {
         calls++;
-        if (down) {
+        if (setDown) {
             return completed(new WriteResult.NotWritten("the platform is down"));
         }
         if (writesToDrop > 0) {
@@ -165,7 +165,7 @@
     @Override
     public synchronized CompletableFuture<ListResult> list(String kind, String namePrefix) {
         calls++;
-        if (down) {
+        if (setDown) {
             return completed(new ListResult.Unavailable("the platform is down"));
         }
         List<StoredObject> found =
@@ -180,7 +180,7 @@
     public synchronized CompletableFuture<WatchResult> watch(
             Set<String> kinds, long after, Duration wait) {
         calls++;
-        if (down) {
+        if (setDown) {
             return completed(new WatchResult.Unavailable("the platform is down"));
         }
         if (after < compactedRevision) {
@@ -198,7 +198,7 @@
     public synchronized CompletableFuture<InstancesResult> instances() {
         calls++;
         return completed(
-                down
+                setDown
                         ? new InstancesResult.Unavailable("the platform is down")
                         : new InstancesResult.Instances(listed));
     }
--- a/testkit/src/main/java/org/sardinelift/testkit/SilentRelay.java
+++ b/testkit/src/main/java/org/sardinelift/testkit/SilentRelay.java
@@ -49,12 +49,12 @@
     }
 
     /** Stops forwarding from open connections to the server, including the end of the stream. */
-    public void silenceToServer() {
+    public void stopForwardingToServer() {
         pipes.stream().filter(Pipe::toServer).forEach(Pipe::silence);
     }
 
     /** Stops forwarding from open connections to the client, including the end of the stream. */
-    public void silenceToClient() {
+    public void stopForwardingToClient() {
         pipes.stream().filter(pipe -> !pipe.toServer()).forEach(Pipe::silence);
     }
 
