--- a/bench/src/main/java/org/sardinelift/bench/model/ModelWorker.java
+++ b/bench/src/main/java/org/sardinelift/bench/model/ModelWorker.java
@@ -92,12 +92,12 @@
         observe();
         preemptExcess();
         long now = model.clock().now();
-        boolean hasMore = true;
-        while (hasMore) {
+        boolean hasNext = true;
+        while (hasNext) {
             Optional<TargetLoad> slot = slots.select(model.loads(loadTracker), now);
             Optional<ItemSchedule.ScheduledItem> next =
                     slot.isEmpty() ? Optional.empty() : schedule.selectNext(items(), now, nowMs());
-            hasMore = next.isPresent();
+            hasNext = next.isPresent();
             next.ifPresent(scheduled -> startItem(scheduled, model.target(slot.get().id())));
         }
     }
