--- a/entry/src/main/java/org/sardinelift/entry/filter/KeyFilter.java
+++ b/entry/src/main/java/org/sardinelift/entry/filter/KeyFilter.java
@@ -61,7 +61,8 @@
     private Optional<Problem> authenticate(CallContext call, Catalog current, String key) {
         KeyEntry entry = KeyDigest.idOf(key).map(current.keys()::get).orElse(null);
         if (entry == null || !digest.matches(key, entry.digest())) {
-            return Optional.of(Problem.notRun(ProblemKind.UNAUTHENTICATED, "the key is unknown"));
+            return Optional.of(
+                    Problem.notRun(ProblemKind.UNAUTHENTICATED, "the key is not known here"));
         }
         if (entry.isWithdrawn()) {
             return Optional.of(
