--- a/standins/src/main/java/org/sardinelift/standins/platform/PlatformStandin.java
+++ b/standins/src/main/java/org/sardinelift/standins/platform/PlatformStandin.java
@@ -32,7 +32,7 @@
     private final RateLimit writes;
     private final RateLimit reads;
     private final HttpServer server;
-    private volatile Faults setFaults = Faults.none();
+    private volatile Faults faults = Faults.none();
 
     private PlatformStandin(PlatformOptions options) throws BindException {
         this.options = options;
@@ -76,7 +76,7 @@
      * @param next the faults from now on
      */
     public void setFaults(Faults next) {
-        setFaults = next;
+        faults = next;
     }
 
     /** Discards the history of changes, so that a watch from an older revision reports a gap. */
@@ -115,7 +115,7 @@
 
     /** Handles a call as the outage in force demands; returns false if there is none. */
     private boolean respondAsOutage(HttpExchange exchange) {
-        Faults now = setFaults;
+        Faults now = faults;
         if (now.down()) {
             exchange.abort();
         } else if (now.refuse()) {
@@ -132,7 +132,7 @@
         }
         api.apply(
                 operation,
-                setFaults.staleReads(),
+                faults.staleReads(),
                 result -> {
                     if (operation.type().isChange() && consumeLostAnswer()) {
                         exchange.abort();
@@ -144,7 +144,7 @@
     }
 
     private void answer(HttpExchange exchange, ApiResponse result) {
-        int slowMs = setFaults.slowMs();
+        int slowMs = faults.slowMs();
         if (slowMs == 0) {
             result.sendTo(exchange);
             return;
@@ -153,18 +153,18 @@
     }
 
     private synchronized boolean consumeLostRequest() {
-        if (setFaults.loseRequests() <= 0) {
+        if (faults.loseRequests() <= 0) {
             return false;
         }
-        setFaults = setFaults.afterLosingRequest();
+        faults = faults.afterLosingRequest();
         return true;
     }
 
     private synchronized boolean consumeLostAnswer() {
-        if (setFaults.loseAnswers() <= 0) {
+        if (faults.loseAnswers() <= 0) {
             return false;
         }
-        setFaults = setFaults.afterLosingAnswer();
+        faults = faults.afterLosingAnswer();
         return true;
     }
 
@@ -183,7 +183,7 @@
             return;
         }
         synchronized (this) {
-            setFaults = setFaults.with(change);
+            faults = faults.with(change);
         }
         if (change.path("gap").asBoolean()) {
             api.compact();
--- a/testkit/src/main/java/org/sardinelift/testkit/FakeObjectStore.java
+++ b/testkit/src/main/java/org/sardinelift/testkit/FakeObjectStore.java
@@ -30,8 +30,8 @@
     private List<InstancesResult.Instance> listed = List.of();
     private long revision;
     private long compactedRevision;
-    private boolean setDown;
-    private boolean setStaleReads;
+    private boolean isDown;
+    private boolean hasStaleReads;
     private int answersToLose;
     private int writesToDrop;
     private int calls;
@@ -39,19 +39,19 @@
     /**
      * Starts or ends an outage of the platform.
      *
-     * @param isDown whether all following calls fail
+     * @param down whether all following calls fail
      */
-    public synchronized void setDown(boolean isDown) {
-        setDown = isDown;
+    public synchronized void setDown(boolean down) {
+        isDown = down;
     }
 
     /**
      * Switches stale reads on or off.
      *
-     * @param isStale whether following reads return the version before the newest
+     * @param stale whether following reads return the version before the newest
      */
-    public synchronized void setStaleReads(boolean isStale) {
-        setStaleReads = isStale;
+    public synchronized void setStaleReads(boolean stale) {
+        hasStaleReads = stale;
     }
 
     /**
@@ -108,12 +108,12 @@
     @Override
     public synchronized CompletableFuture<ReadResult> read(ObjectKey key) {
         calls++;
-        if (setDown) {
+        if (isDown) {
             return completed(new ReadResult.Unavailable("the platform is down"));
         }
         String id = id(key);
         StoredObject object =
-                setStaleReads && previous.containsKey(id) ? previous.get(id) : objects.get(id);
+                hasStaleReads && previous.containsKey(id) ? previous.get(id) : objects.get(id);
         return completed(
                 object == null ? new ReadResult.Absent(revision) : new ReadResult.Found(object));
     }
@@ -131,7 +131,7 @@
     private synchronized CompletableFuture<WriteResult> change(
             ObjectKey key, long expected, Function<Long, StoredObject> next) {
         calls++;
-        if (setDown) {
+        if (isDown) {
             return completed(new WriteResult.NotWritten("the platform is down"));
         }
         if (writesToDrop > 0) {
@@ -165,7 +165,7 @@
     @Override
     public synchronized CompletableFuture<ListResult> list(String kind, String namePrefix) {
         calls++;
-        if (setDown) {
+        if (isDown) {
             return completed(new ListResult.Unavailable("the platform is down"));
         }
         List<StoredObject> found =
@@ -180,7 +180,7 @@
     public synchronized CompletableFuture<WatchResult> watch(
             Set<String> kinds, long after, Duration wait) {
         calls++;
-        if (setDown) {
+        if (isDown) {
             return completed(new WatchResult.Unavailable("the platform is down"));
         }
         if (after < compactedRevision) {
@@ -198,7 +198,7 @@
     public synchronized CompletableFuture<InstancesResult> instances() {
         calls++;
         return completed(
-                setDown
+                isDown
                         ? new InstancesResult.Unavailable("the platform is down")
                         : new InstancesResult.Instances(listed));
     }
